--- a/include/poplarspool/duties/fleet_clock.h
+++ b/include/poplarspool/duties/fleet_clock.h
@@ -9,36 +9,37 @@
 
 namespace poplarspool::duties {
 
-/// True time, as well as it is known.
+/// Estimate of true time.
 struct fleet_time
 {
     wall_time at{};
-    std::uint32_t clocks = 1; ///< That the estimate rests on.
+    std::uint32_t clocks = 1; ///< Number of clocks in the estimate.
 
     bool operator==(const fleet_time &) const = default;
 };
 
-/// Estimates true time from the times of day of all instances: one instance's own may be seconds
-/// off, and jump. The estimate is the median of those that are heard, and of one who hears few, the
-/// estimate of whoever hears most. It is right as long as more than half of these clocks are, but
-/// for the time that a message takes. Between two tellings it goes on by the monotonic clock, which
-/// no jump changes. All members may be called from any thread.
+/// Estimates true time from the wall clocks of all instances, since the clock of a single instance
+/// may be seconds off or jump. The estimate is the median of the local clock and the clocks
+/// received directly, or the estimate of another instance if that one is based on more clocks. It
+/// is correct, apart from message latency, as long as more than half of these clocks are. Between
+/// updates it advances with the monotonic clock, which does not jump. Thread-safe.
 class fleet_clock
 {
 public:
     explicit fleet_clock(clock_source clock);
 
-    /// Another instance has told its own time of day.
-    void noteClock(std::uint64_t sender, wall_time told);
-    /// It has told what it makes of the clocks that it hears.
-    void noteEstimate(std::uint64_t sender, const fleet_time &told);
+    /// Records the wall clock time that another instance has sent.
+    void noteClock(std::uint64_t sender, wall_time received);
+    /// Records the estimate that another instance has made from the clocks it receives.
+    void noteEstimate(std::uint64_t sender, const fleet_time &received);
     fleet_time now() const;
-    /// @returns What to tell others: only of clocks heard here. Estimates that went on from one to
-    ///          the next would never end.
+    /// @returns The estimate to send to others, made only from the clocks received here. An
+    /// estimate
+    ///          that instances passed on to each other would never expire.
     fleet_time heard() const;
 
 private:
-    using offset = std::chrono::milliseconds; ///< Of a time of day, from the own monotonic clock.
+    using offset = std::chrono::milliseconds; ///< Of a wall clock from the local monotonic clock.
 
     struct sample
     {
@@ -52,13 +53,13 @@
         std::uint32_t clocks = 1;
     };
 
-    /// What one sender has told lately.
+    /// Recent samples from one sender.
     struct told_clock
     {
         std::deque<sample> samples;
         std::uint32_t clocks = 1;
 
-        void add(const sample &told);
+        void add(const sample &received);
         offset ahead() const;
     };
 
--- a/include/poplarspool/duties/lease.h
+++ b/include/poplarspool/duties/lease.h
@@ -13,30 +13,31 @@
 
 namespace poplarspool::duties {
 
-/// Who has a duty, as the store has it.
+/// Holder of a duty, as recorded in the store.
 struct lease_record
 {
     instance_id holder;
-    std::uint64_t fence = 0; ///< Rises with each term; stands on each call of that term.
-    store_version version; ///< Of the object in the store; revision 0: there is none yet.
-    std::string note = {}; ///< From holder to holder: what was to be done in that term.
+    std::uint64_t fence =
+            0; ///< Fencing token: increases with each term and is sent with each call.
+    store_version version; ///< Of the object in the store; revision 0: not created yet.
+    std::string note = {}; ///< State for later holders: the work of that term.
 
     bool operator==(const lease_record &) const = default;
 };
 
-/// The store, as far as one lease needs it.
+/// Access to one lease's record in the store.
 struct lease_store
 {
-    /// @returns The present record, never an older one of the same epoch.
+    /// @returns The current record, never an older one of the same epoch.
     std::function<result<lease_record>()> read;
-    /// Replaces the record of that very revision, or creates it where the revision is 0.
-    /// @returns Conflict where another one stands there. Any other failure may have taken effect,
-    ///          also later.
+    /// Replaces the record if it still has the revision in `next`, or creates it if that is 0.
+    /// @returns Conflict if the store has another revision. After any other failure the write may
+    ///          have taken effect, or may still do so.
     std::function<result<unit>(const lease_record &next)> write;
-    std::string duty = {}; ///< Its name, for the log.
+    std::string duty = {}; ///< Name of the duty, for the log.
 };
 
-/// A short time in which this instance alone may do the duty.
+/// A short period in which only this instance may carry out the duty.
 struct lease_term
 {
     std::uint64_t fence = 0;
@@ -45,31 +46,32 @@
     bool operator==(const lease_term &) const = default;
 };
 
-/// Lets one instance at a time do a duty. A term is taken only when there is something to do, by
-/// one conditional write.
+/// Lets one instance at a time carry out a duty. A term is acquired by one conditional write, and
+/// only when there is work to do.
 ///
-/// Whoever is told need not check fences, so that two holders must be kept apart by time: a term
-/// ends within half the bound, counted from before its write on a clock that goes on during a
-/// suspension, and a successor writes only after it has seen the same record for twice the bound.
-/// Between the last call of one holder and the first of the next there is at least one and a half
-/// times the bound. A store that comes back from an older copy may have lost the record of a term
-/// that still runs: for twice the bound from when this is noticed, nobody writes, whoever the
-/// record names. Who starts afterwards can't tell how long ago that was, and waits as long.
-/// @attention For one thread.
+/// Receivers of calls need not check fences, so two holders are kept apart by time: a term ends
+/// half the bound after its write was started, on a clock that keeps running during a suspension,
+/// and a successor writes only after it has seen the same record for twice the bound. Between the
+/// last call of one holder and the first call of the next there is at least one and a half times
+/// the bound. After a store rollback the record of a term that is still running may be lost. For
+/// twice the bound after it detects a rollback, an instance does not write, not even if the record
+/// names it. An instance that starts later can't tell how long ago the rollback was, and waits for
+/// the same time.
+/// @attention Not thread-safe.
 class duty_lease
 {
 public:
-    /// @param bound Time for which calls of two holders must be apart.
+    /// @param bound Minimum time between the calls of two holders.
     duty_lease(lease_store store, instance_id self, milliseconds bound, clock_source clock,
                journal &events);
 
-    /// @returns The present record, where this instance may replace it; none where another one may
-    ///          have a term, or the store can't tell.
+    /// @returns The current record if this instance may replace it; none if another instance may
+    ///          have a term, or the store can't be read.
     std::optional<lease_record> findFree();
-    /// Takes a term in place of a record that findFree() gave.
-    /// @param note For this holder and the next ones.
-    std::optional<lease_term> take(const lease_record &present, std::string note);
-    /// Both at once, for a duty without notes.
+    /// Acquires a term by replacing a record that readIfAvailable() has returned.
+    /// @param checkpoint For this holder and later ones.
+    std::optional<lease_term> take(const lease_record &present, std::string checkpoint);
+    /// Does both in one call, for a duty without checkpoints.
     std::optional<lease_term> tryTake();
 
 private:
@@ -80,10 +82,10 @@
     const milliseconds bound;
     const clock_source clock;
     journal &events;
-    std::optional<std::uint64_t> epoch; ///< Of the store, as it was read last.
-    mono_time wentBackAt{}; ///< When it was seen to rise; 0: never.
-    store_version seenVersion; ///< Of another holder's record.
-    mono_time seenAt{}; ///< Since when that one has been there, as far as seen here.
+    std::optional<std::uint64_t> epoch; ///< Epoch of the store at the last read.
+    mono_time wentBackAt{}; ///< When a change of the epoch was last detected; 0: never.
+    store_version seenVersion; ///< Version of another holder's record.
+    mono_time seenAt{}; ///< When that version was first read here.
 };
 
 } // namespace poplarspool::duties
--- a/include/poplarspool/duties/limits.h
+++ b/include/poplarspool/duties/limits.h
@@ -4,47 +4,50 @@
 #include <cstddef>
 #include <cstdint>
 
-/// Limits of duties that one instance at a time has towards the platform.
+/// Limits of duties, which one instance at a time carries out for the platform.
 namespace poplarspool::config {
 
 using namespace std::chrono_literals;
 
-/// Fences that one epoch of the store has room for: one a term of a second and a half lasts weeks.
+/// Fences in one epoch of the store. With one fence per term of 1.5 s they last for more than two
+/// weeks.
 inline constexpr std::uint64_t fencesPerEpoch = 1'000'000;
-/// The last epoch of the store that has room for fences.
+/// Last epoch of the store for which fences can be allocated.
 inline constexpr std::uint64_t storeEpochMost = 10'000'000'000'000;
 static_assert(storeEpochMost < UINT64_MAX / fencesPerEpoch);
 
-/// Between two looks of the holder at what is due, and between two tries to become it.
+/// Interval at which the owner of a duty checks for due work, and the one at which it tries again.
 inline constexpr std::chrono::milliseconds dutyLookTime = 500ms;
 inline constexpr std::chrono::milliseconds dutyTryPause = 1s;
-/// For one call to the platform: a slow one takes 60 times its usual 4 ms.
+/// Timeout of one call to the platform: a slow call takes 60 times the usual 4 ms.
 inline constexpr std::chrono::milliseconds dutyCallTime = 700ms;
 
-/// Between two tellings of an instance's counts: what it counted since is lost with it.
+/// Interval at which an instance sends its counts. If it crashes, counts since the last update are
+/// lost.
 inline constexpr std::chrono::milliseconds usageTellTime = 400ms;
-/// Instances that keep the counts of all others: all would have to be lost at once.
+/// Replicas: instances that hold the counts of all others. Counts are lost only if all of them
+/// crash at once.
 inline constexpr std::size_t usageKeepers = 4;
-/// Times that a changed count is told, against lost datagrams.
+/// Number of updates in which a changed count is sent, since datagrams may be lost.
 inline constexpr std::uint32_t usageRepeats = 3;
-/// Time between two tellings of a keeper's estimate of the time to all.
+/// Interval at which a replica sends its time estimate to all instances.
 inline constexpr std::chrono::milliseconds clockTellTime = 2s;
-/// Time for which another instance's clock, or its estimate, counts.
+/// Time after which a received clock sample or estimate expires.
 inline constexpr std::chrono::milliseconds clockMemory = 10s;
-/// Tellings of one clock of which the one that was least late counts.
+/// Samples kept per clock; the one with the lowest latency is used.
 inline constexpr std::size_t clockSamples = 8;
-/// Bytes of counts in one datagram; its frame and the rest of its message take the others.
+/// Bytes of counts in one datagram; the remainder is for its frame and the other message fields.
 inline constexpr std::size_t usageBytesPerDatagram = 1100;
-/// Counts in one datagram, and lives of instances that are kept for one window.
+/// Counts in one datagram, and instance incarnations kept per window.
 inline constexpr std::size_t maxToldCounts = 512;
 inline constexpr std::size_t maxUsageLives = 4096;
-/// Windows that are kept, and the last ones that are reported by one holder at once.
+/// Windows that are kept, and the most recent windows that may be added to one term's reports.
 inline constexpr std::uint64_t usageWindowsKept = 8;
 inline constexpr std::uint64_t usageWindowsAtOnce = 3;
-/// From a window's end until its counts have been told, where all are heard.
+/// Time from the end of a window until its counts have arrived, if all instances are reachable.
 inline constexpr std::chrono::milliseconds usageSettleTime = 1200ms;
-/// Share of the time until a report is late in which silent instances are waited for: the rest
-/// leaves room for another holder.
+/// Share of the time until a report is late that is spent waiting for silent instances; the rest is
+/// left for another holder to take over.
 inline constexpr double usagePatienceShare = 0.5;
 
 } // namespace poplarspool::config
--- a/include/poplarspool/duties/usage_exchange.h
+++ b/include/poplarspool/duties/usage_exchange.h
@@ -14,7 +14,7 @@
 
 namespace poplarspool::duties {
 
-/// What usage is counted by, on one instance.
+/// State from which one instance counts usage.
 struct usage_parts
 {
     usage_ledger &ledger;
@@ -22,21 +22,22 @@
     milliseconds window; ///< Length.
 };
 
-/// Tells own counts to a few instances that keep those of all, and the time to everyone. A keeper
-/// that ends takes nothing with it that the others don't have.
+/// Sends the local usage counts to a few replicas, which hold the counts of all instances, and
+/// distributes the time. Every replica receives all counts, so none are lost when one of them ends.
 class usage_exchange
 {
 public:
-    /// @param choices The other instances hear at the same port.
-    /// @param life That the ledger counts as its own.
-    /// @param members This instance among them; called on the exchange's thread.
-    usage_exchange(peer::datagram_settings choices, std::uint64_t life, usage_parts parts,
+    /// @param settings The other instances receive on the same port.
+    /// @param incarnation The one that the table counts as local.
+    /// @param members Returns all members, including this instance; called on the exchange's
+    /// thread.
+    usage_exchange(peer::datagram_settings settings, std::uint64_t incarnation, usage_parts context,
                    std::function<std::vector<policy::member>()> members, clock_source clock,
                    metrics_registry &metrics, journal &events);
     ~usage_exchange();
 
     result<unit> start();
-    /// Tells all that is left, and ends.
+    /// Stops the loop, then sends all local counts and marks them as the last.
     void stop();
 
 private:
--- a/include/poplarspool/duties/usage_keeper.h
+++ b/include/poplarspool/duties/usage_keeper.h
@@ -7,29 +7,30 @@
 
 namespace poplarspool::duties {
 
-/// The platform, as far as usage needs it.
+/// Receiver of usage reports on the platform.
 struct usage_sink
 {
-    /// Sends one report in the holder's name. Nothing leaves once the term is over.
+    /// Sends one report in the holder's name. Sends nothing once the term has ended.
     std::function<result<unit>(const usage_report &report, const lease_term &term)> send;
 };
 
-/// What the keeper works with.
+/// Dependencies of the reporter.
 struct usage_tools
 {
     const usage_parts parts;
-    const milliseconds late; ///< After a window's end, by which its report has to be there.
+    const milliseconds late; ///< Time after a window's end by which its report must have arrived.
     const usage_sink sink;
     const clock_source clock;
     journal &events;
     metrics_registry &metrics;
-    /// Whether the duty falls on this instance. Two may think so: the lease keeps them apart.
+    /// Whether this instance owns the duty. Two instances may both return true; the lease keeps
+    /// them apart.
     std::function<bool()> isOwner;
 };
 
-/// Reports each window's usage once it is counted, on a thread of its own. Before a report is sent
-/// it stands in the store, in the lease's record: whoever has the duty next sends the same, or
-/// none.
+/// Reports the usage of each window once its counts are complete, on a separate thread. A report is
+/// stored in the checkpoint of the lease record before it is sent, so the next holder of the duty
+/// sends the same report or none.
 class usage_keeper
 {
 public:
@@ -39,12 +40,12 @@
     void requestStop() { thread.requestStop(); }
     void stop() { thread.stop(); }
 
-    /// One look, and what follows from it. Of the keeper's thread, and of tests.
+    /// Runs one iteration. Called by the reporter's thread and by tests.
     void look();
 
 private:
     window_number dueWindow(wall_time now) const;
-    bool sendAll(const usage_note &note, const lease_term &term);
+    bool sendAll(const usage_note &checkpoint, const lease_term &term);
     bool send(const usage_report &report, const lease_term &term);
     void noteSkipped(const std::optional<usage_note> &before, const usage_note &next) const;
 
@@ -53,10 +54,11 @@
     counter &sent;
     counter &failed;
     counter &skipped;
-    std::optional<window_number> done; ///< All up to it is reported; none: not known.
-    std::optional<window_number> delivered; ///< Sent by this instance, all up to it.
+    std::optional<window_number> done; ///< All windows up to it have been reported; none: unknown.
+    std::optional<window_number>
+            delivered; ///< Last window up to which this instance has sent all reports.
     mono_time nextTryAt{};
-    look_thread thread; ///< Ends before what it looks at.
+    look_thread thread; ///< Last member: stops before the state it uses is destroyed.
 };
 
 } // namespace poplarspool::duties
--- a/src/duties/fleet_clock.cpp
+++ b/src/duties/fleet_clock.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-milliseconds offsetOf(wall_time told, mono_time at)
+milliseconds offsetOf(wall_time time, mono_time at)
 {
-    return told.time_since_epoch()
+    return time.time_since_epoch()
             - std::chrono::duration_cast<milliseconds>(at.time_since_epoch());
 }
 
 template <class Clocks>
-void forgetOld(Clocks &clocks, mono_time at)
+void removeExpired(Clocks &clocks, mono_time at)
 {
     std::erase_if(clocks, [at](const auto &entry) {
         return at - entry.second.samples.back().takenAt > config::clockMemory;
@@ -30,14 +30,14 @@
     settle(clock.mono());
 }
 
-/// What was on its way for long shows a time that is too early: the latest one is right, and those
-/// that were held up don't count.
-void fleet_clock::told_clock::add(const sample &told)
+/// Latency makes a received time too early, so ahead() uses the sample that is furthest ahead;
+/// delayed samples have no effect.
+void fleet_clock::told_clock::add(const sample &received)
 {
-    std::erase_if(samples, [&told](const sample &one) {
-        return told.takenAt - one.takenAt > config::clockMemory;
+    std::erase_if(samples, [&received](const sample &one) {
+        return received.takenAt - one.takenAt > config::clockMemory;
     });
-    samples.push_back(told);
+    samples.push_back(received);
     if (samples.size() > config::clockSamples)
         samples.pop_front();
 }
@@ -47,35 +47,35 @@
     return std::ranges::max(samples, {}, &sample::ahead).ahead;
 }
 
-void fleet_clock::noteClock(std::uint64_t sender, wall_time told)
+void fleet_clock::noteClock(std::uint64_t sender, wall_time received)
 {
     const mono_time at = clock.mono();
     const std::lock_guard lock(guard);
-    clocks[sender].add({offsetOf(told, at), at});
+    clocks[sender].add({offsetOf(received, at), at});
     settle(at);
 }
 
-void fleet_clock::noteEstimate(std::uint64_t sender, const fleet_time &told)
+void fleet_clock::noteEstimate(std::uint64_t sender, const fleet_time &received)
 {
     const mono_time at = clock.mono();
     const std::lock_guard lock(guard);
     told_clock &known = estimates[sender];
-    known.add({offsetOf(told.at, at), at});
-    known.clocks = told.clocks;
+    known.add({offsetOf(received.at, at), at});
+    known.clocks = received.clocks;
     settle(at);
 }
 
-/// @attention With the guard held.
+/// @attention Call with `guard` locked.
 void fleet_clock::settle(mono_time at)
 {
-    forgetOld(clocks, at);
-    forgetOld(estimates, at);
-    std::vector<offset> heard{offsetOf(clock.wall(), at)};
+    removeExpired(clocks, at);
+    removeExpired(estimates, at);
+    std::vector<offset> offsets{offsetOf(clock.wall(), at)};
     for (const auto &entry : clocks)
-        heard.push_back(entry.second.ahead());
-    const auto middle = heard.begin() + static_cast<std::ptrdiff_t>(heard.size() / 2);
-    std::ranges::nth_element(heard, middle);
-    ofHeard = {*middle, static_cast<std::uint32_t>(heard.size())};
+        offsets.push_back(entry.second.ahead());
+    const auto middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
+    std::ranges::nth_element(offsets, middle);
+    ofHeard = {*middle, static_cast<std::uint32_t>(offsets.size())};
     ofAll = ofHeard;
     for (const auto &entry : estimates) {
         if (entry.second.clocks > ofAll.clocks)
--- a/src/duties/lease.cpp
+++ b/src/duties/lease.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// @returns Nothing where there is none above all that were given.
+/// @returns None if there is no number above all fences that have been issued.
 std::optional<std::uint64_t> fenceAfter(const lease_record &present)
 {
     const bool isLast = present.fence == std::numeric_limits<std::uint64_t>::max();
     if (isLast || present.version.epoch > config::storeEpochMost)
         return std::nullopt;
-    // Fences of terms whose records were lost must not be given again.
+    // Fences of terms whose records were lost must not be reused.
     return std::max(present.fence + 1, present.version.epoch * config::fencesPerEpoch);
 }
 
@@ -27,20 +27,21 @@
       events(events)
 { }
 
-/// The holder's clock is not ours. That its record stands unchanged for twice the bound shows that
-/// whatever term it had taken is over: it could only have gone on by another write.
+/// The holder's clock can't be compared with the local one. A record that has not changed for twice
+/// the bound shows that the holder's last term is over, since only another write could have started
+/// a new one.
 bool duty_lease::isFreeFrom(const lease_record &found)
 {
     const mono_time now = clock.mono();
-    // Also who starts in a later epoch: the record of a term that still runs may just have been
-    // lost.
+    // Applies to an instance that starts in a later epoch too: the record of a term that is still
+    // running may just have been lost.
     if (epoch.value_or(0) != found.version.epoch)
         wentBackAt = now;
     epoch = found.version.epoch;
     if (wentBackAt != mono_time{} && now - wentBackAt < 2 * bound)
         return false;
-    const bool isNobodys = found.version.revision == 0;
-    if (isNobodys || found.holder == self)
+    const bool hasNoHolder = found.version.revision == 0;
+    if (hasNoHolder || found.holder == self)
         return true;
     if (found.version != seenVersion) {
         seenVersion = found.version;
@@ -61,7 +62,7 @@
     return valueOf(found);
 }
 
-std::optional<lease_term> duty_lease::take(const lease_record &present, std::string note)
+std::optional<lease_term> duty_lease::take(const lease_record &present, std::string checkpoint)
 {
     const auto fence = fenceAfter(present);
     if (!fence) {
@@ -71,12 +72,12 @@
                      {"epoch", std::to_string(present.version.epoch)}});
         return std::nullopt;
     }
-    const lease_record next{self, *fence, present.version, std::move(note)};
-    const mono_time askedAt = clock.mono();
+    const lease_record next{self, *fence, present.version, std::move(checkpoint)};
+    const mono_time requestedAt = clock.mono();
     const auto written = store.write(next);
     if (!succeeded(written)) {
-        // Where the write took effect after all, the record names this instance, and the next try
-        // writes anew.
+        // If the write has taken effect nevertheless, the record names this instance and the next
+        // attempt replaces it.
         events.emit("lease_missed", {{"duty", store.duty}, {"reason", errorOf(written).message}});
         return std::nullopt;
     }
@@ -85,7 +86,7 @@
                  {"fence", std::to_string(next.fence)},
                  {"before", present.holder.text},
                  {"epoch", std::to_string(present.version.epoch)}});
-    return lease_term{next.fence, askedAt + bound / 2};
+    return lease_term{next.fence, requestedAt + bound / 2};
 }
 
 std::optional<lease_term> duty_lease::tryTake()
--- a/src/duties/usage.cpp
+++ b/src/duties/usage.cpp
@@ -11,27 +11,27 @@
 
 using nlohmann::json;
 
-constexpr char noteEpoch[] = "epoch";
-constexpr char noteSettled[] = "settled";
-constexpr char noteReports[] = "reports";
-constexpr char noteWindow[] = "window";
-constexpr char noteCounts[] = "counts";
+constexpr char epochKey[] = "epoch";
+constexpr char settledKey[] = "settled";
+constexpr char reportsKey[] = "reports";
+constexpr char windowKey[] = "window";
+constexpr char countsKey[] = "counts";
 
-/// Bytes of a told count beside its workspace's name, at most.
+/// Maximum encoded size of a count, without the workspace's name.
 constexpr std::size_t countBytes = 12;
 
 std::uint64_t numberOf(const json &value)
 {
     if (!value.is_number_unsigned())
-        throw json::other_error::create(501, "expected a number of 0 or more", &value);
+        throw json::other_error::create(501, "expected a non-negative integer", &value);
     return value.get<std::uint64_t>();
 }
 
 usage_report reportOf(const json &entry)
 {
     usage_report made;
-    made.window = numberOf(entry.at(noteWindow));
-    for (const auto &[name, count] : entry.at(noteCounts).items())
+    made.window = numberOf(entry.at(windowKey));
+    for (const auto &[name, count] : entry.at(countsKey).items())
         made.counts[{name}] = numberOf(count);
     return made;
 }
@@ -57,42 +57,44 @@
     counted.changedIn = tellings;
 }
 
-void usage_ledger::take(const told_usage &told)
+void usage_ledger::take(const told_usage &received)
 {
     const std::lock_guard lock(guard);
-    const bool isNew = !others[told.window].contains(told.life);
-    if (told.life == self || (isNew && others[told.window].size() >= config::maxUsageLives))
+    const bool isNew = !others[received.window].contains(received.incarnation);
+    if (received.incarnation == self
+        || (isNew && others[received.window].size() >= config::maxUsageLives))
         return;
-    usage_counts &known = others[told.window][told.life];
-    for (const auto &[workspace, count] : told.counts) {
-        std::uint64_t &most = known[workspace];
-        most = std::max(most, count);
+    usage_counts &known = others[received.window][received.incarnation];
+    for (const auto &[workspace, count] : received.counts) {
+        std::uint64_t &highest = known[workspace];
+        highest = std::max(highest, count);
     }
-    if (!told.counts.empty()) {
-        window_number &last = lives[told.life].lastWindow;
-        last = std::max(last, told.window);
+    if (!received.counts.empty()) {
+        window_number &last = lives[received.incarnation].lastWindow;
+        last = std::max(last, received.window);
     }
 }
 
-void usage_ledger::noteTold(std::uint64_t life, wall_time at, bool isLast)
+void usage_ledger::noteTold(std::uint64_t incarnation, wall_time at, bool isLast)
 {
     const std::lock_guard lock(guard);
-    if (life == self || (!lives.contains(life) && lives.size() >= config::maxUsageLives))
+    if (incarnation == self
+        || (!lives.contains(incarnation) && lives.size() >= config::maxUsageLives))
         return;
-    told_life &known = lives[life];
+    told_life &known = lives[incarnation];
     known.toldAt = std::max(known.toldAt, at);
     known.isOver = known.isOver || isLast;
 }
 
-std::vector<told_usage> usage_ledger::collect(bool tellsAll)
+std::vector<told_usage> usage_ledger::collect(bool sendsAll)
 {
     const std::lock_guard lock(guard);
-    const std::uint64_t telling = tellings++;
+    const std::uint64_t current = tellings++;
     std::vector<told_usage> parts;
     for (const auto &[window, counts] : own) {
         std::size_t bytesLeft = 0;
         for (const auto &[workspace, counted] : counts) {
-            if (!tellsAll && counted.changedIn + config::usageRepeats <= telling)
+            if (!sendsAll && counted.changedIn + config::usageRepeats <= current)
                 continue;
             const std::size_t bytes = workspace.text.size() + countBytes;
             if (bytes > bytesLeft || parts.back().counts.size() >= config::maxToldCounts) {
@@ -118,8 +120,8 @@
     const auto theirs = others.find(window);
     if (theirs == others.end())
         return total;
-    for (const auto &life : theirs->second) {
-        for (const auto &[workspace, count] : life.second)
+    for (const auto &incarnation : theirs->second) {
+        for (const auto &[workspace, count] : incarnation.second)
             total[workspace] += count;
     }
     return total;
@@ -129,8 +131,8 @@
 {
     const std::lock_guard lock(guard);
     return std::ranges::all_of(lives, [&](const auto &entry) {
-        const told_life &life = entry.second;
-        return life.isOver || life.lastWindow < since || life.toldAt >= end;
+        const told_life &progress = entry.second;
+        return progress.isOver || progress.lastWindow < since || progress.toldAt >= end;
     });
 }
 
@@ -142,17 +144,18 @@
     std::erase_if(lives, [window](const auto &entry) { return entry.second.lastWindow < window; });
 }
 
-std::string encode(const usage_note &note)
+std::string encode(const usage_note &checkpoint)
 {
     json reports = json::array();
-    for (const usage_report &one : note.reports) {
+    for (const usage_report &one : checkpoint.reports) {
         json counts = json::object();
         for (const auto &[workspace, count] : one.counts)
             counts[workspace.text] = count;
-        reports.push_back({{noteWindow, one.window}, {noteCounts, std::move(counts)}});
+        reports.push_back({{windowKey, one.window}, {countsKey, std::move(counts)}});
     }
-    return json{
-            {noteEpoch, note.epoch}, {noteSettled, note.settled}, {noteReports, std::move(reports)}}
+    return json{{epochKey, checkpoint.epoch},
+                {settledKey, checkpoint.settled},
+                {reportsKey, std::move(reports)}}
             .dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
@@ -161,9 +164,9 @@
     try {
         const json read = parseJsonOrThrow(text);
         usage_note made;
-        made.epoch = numberOf(read.at(noteEpoch));
-        made.settled = numberOf(read.at(noteSettled));
-        for (const json &entry : read.at(noteReports))
+        made.epoch = numberOf(read.at(epochKey));
+        made.settled = numberOf(read.at(settledKey));
+        for (const json &entry : read.at(reportsKey))
             made.reports.push_back(reportOf(entry));
         return made;
     } catch (const json::exception &) {
@@ -183,10 +186,11 @@
                 made.reports.push_back(one);
         }
     }
-    // Reports of the windows up to now may have been fixed, and sent, by notes that are lost: an
-    // older copy of the store lacks them.
-    const bool isLost = before ? before->epoch != state.epoch : state.epoch > 0 || !state.isFirst;
-    if (isLost) {
+    // Reports of the windows up to now may have been stored and sent under checkpoints that a store
+    // rollback has removed.
+    const bool wasRolledBack =
+            before ? before->epoch != state.epoch : state.epoch > 0 || !state.isFirst;
+    if (wasRolledBack) {
         made.settled = std::max(before ? before->settled : 0, state.present);
         return made;
     }
--- a/src/duties/usage_exchange.cpp
+++ b/src/duties/usage_exchange.cpp
@@ -11,45 +11,45 @@
 
 namespace {
 
-constexpr std::string_view keepersKey = "usage";
+constexpr std::string_view replicasKey = "usage";
 
 } // namespace
 
 struct usage_exchange::state
 {
-    state(peer::datagram_settings choices, std::uint64_t life, usage_parts parts,
+    state(peer::datagram_settings settings, std::uint64_t incarnation, usage_parts context,
           std::function<std::vector<policy::member>()> members, clock_source time,
           metrics_registry &metrics, journal &events)
-        : self(choices.self), port(choices.address.port), life(life), parts(parts),
-          members(std::move(members)), clock(std::move(time)),
+        : self(settings.self), port(settings.address.port), incarnation(incarnation),
+          usage(context), members(std::move(members)), clock(std::move(time)),
           clocks(metrics.gaugeOf("poplarspool_clocks_heard")),
-          loop("usage_news", std::move(choices), peer::frame_kind::Usage,
+          loop("usage_news", std::move(settings), peer::frame_kind::Usage,
                "poplarspool_usage_news_total",
-               {[this] { return tell(); },
+               {[this] { return sendUpdates(); },
                 [this](std::uint64_t sender, std::string_view payload) {
-                    return hear(sender, payload);
+                    return receive(sender, payload);
                 }},
                clock, metrics, events)
     { }
 
-    mono_time tell();
-    void tellCounts(bool tellsAll, bool isLast);
-    void tellTime(const std::vector<policy::member> &all);
-    bool hear(std::uint64_t sender, std::string_view payload);
-    usage_news newsOf(told_usage usage, bool isLast) const;
+    mono_time sendUpdates();
+    void sendCounts(bool sendsAll, bool isLast);
+    void sendTime(const std::vector<policy::member> &all);
+    bool receive(std::uint64_t sender, std::string_view payload);
+    usage_news updateOf(told_usage localUsage, bool isLast) const;
     std::vector<endpoint> addressesOf(const std::vector<const policy::member *> &some) const;
 
     const instance_id self;
     const std::uint16_t port;
-    const std::uint64_t life;
-    const usage_parts parts;
+    const std::uint64_t incarnation;
+    const usage_parts context;
     const std::function<std::vector<policy::member>()> members;
     const clock_source clock;
     gauge &clocks;
-    // Of the loop's thread.
-    std::vector<endpoint> keepers;
-    bool isKeeper = false;
-    mono_time timeToldAt{};
+    // Used by the loop's thread only.
+    std::vector<endpoint> replicas;
+    bool isReplica = false;
+    mono_time timeSentAt{};
     peer::datagram_loop loop;
 };
 
@@ -64,75 +64,75 @@
     return found;
 }
 
-usage_news usage_exchange::state::newsOf(told_usage usage, bool isLast) const
+usage_news usage_exchange::state::updateOf(told_usage localUsage, bool isLast) const
 {
-    return {clock.wall(), parts.time.heard(), isLast, std::move(usage)};
+    return {clock.wall(), context.time.heard(), isLast, std::move(localUsage)};
 }
 
-mono_time usage_exchange::state::tell()
+mono_time usage_exchange::state::sendUpdates()
 {
     const std::vector<policy::member> all = members();
-    const auto chosen = policy::ownersOf(all, keepersKey, config::usageKeepers);
+    const auto chosen = policy::ownersOf(all, replicasKey, config::usageKeepers);
     std::vector<endpoint> present = addressesOf(chosen);
-    isKeeper = std::ranges::any_of(chosen,
-                                   [this](const policy::member *one) { return one->id == self; });
-    const bool isChanged = present != keepers;
-    keepers = std::move(present);
-    // A new one has none of the counts so far.
-    tellCounts(isChanged, false);
-    // Also where nothing was counted: it says that all has been told, and what time it is.
-    loop.send(keepers, encode(newsOf({life, 0, {}}, false)));
-    tellTime(all);
-    const window_number now = windowAt(parts.time.now().at, parts.window);
-    parts.ledger.forgetBefore(now - std::min(now, config::usageWindowsKept));
-    clocks.set(parts.time.heard().clocks);
+    isReplica = std::ranges::any_of(chosen,
+                                    [this](const policy::member *one) { return one->id == self; });
+    const bool isChanged = present != replicas;
+    replicas = std::move(present);
+    // A new replica has none of the earlier counts.
+    sendCounts(isChanged, false);
+    // Sent even if nothing was counted: it marks all counts as sent and carries the time.
+    loop.send(replicas, encode(updateOf({incarnation, 0, {}}, false)));
+    sendTime(all);
+    const window_number now = windowAt(context.time.now().at, context.window);
+    context.ledger.forgetBefore(now - std::min(now, config::usageWindowsKept));
+    clocks.set(context.time.heard().clocks);
     return clock.mono() + config::usageTellTime;
 }
 
-void usage_exchange::state::tellCounts(bool tellsAll, bool isLast)
+void usage_exchange::state::sendCounts(bool sendsAll, bool isLast)
 {
-    for (told_usage &part : parts.ledger.collect(tellsAll))
-        loop.send(keepers, encode(newsOf(std::move(part), isLast)));
+    for (told_usage &part : context.ledger.collect(sendsAll))
+        loop.send(replicas, encode(updateOf(std::move(part), isLast)));
 }
 
-void usage_exchange::state::tellTime(const std::vector<policy::member> &all)
+void usage_exchange::state::sendTime(const std::vector<policy::member> &all)
 {
     const mono_time now = clock.mono();
-    if (!isKeeper || now - timeToldAt < config::clockTellTime)
+    if (!isReplica || now - timeSentAt < config::clockTellTime)
         return;
-    timeToldAt = now;
+    timeSentAt = now;
     std::vector<const policy::member *> others;
     others.reserve(all.size());
     for (const policy::member &one : all)
         others.push_back(&one);
-    loop.send(addressesOf(others), encode(newsOf({life, 0, {}}, false)));
+    loop.send(addressesOf(others), encode(updateOf({incarnation, 0, {}}, false)));
 }
 
-bool usage_exchange::state::hear(std::uint64_t sender, std::string_view payload)
+bool usage_exchange::state::receive(std::uint64_t sender, std::string_view payload)
 {
     const auto read = decodeUsageNews(payload);
     if (!succeeded(read))
         return false;
-    const usage_news &news = valueOf(read);
-    parts.time.noteClock(sender, news.toldAt);
-    parts.time.noteEstimate(sender, news.heard);
-    const wall_time now = parts.time.now().at;
-    const window_number present = windowAt(now, parts.window);
-    const bool isLate = news.usage.window + config::usageWindowsKept < present;
-    const bool isEarly = news.usage.window > present + 1;
-    if (!news.usage.counts.empty() && !isLate && !isEarly)
-        parts.ledger.take(news.usage);
-    // Parts with counts come before the one without any.
-    if (news.usage.counts.empty() || news.isLast)
-        parts.ledger.noteTold(news.usage.life, now, news.isLast);
+    const usage_news &update = valueOf(read);
+    context.time.noteClock(sender, update.sentAt);
+    context.time.noteEstimate(sender, update.estimate);
+    const wall_time now = context.time.now().at;
+    const window_number present = windowAt(now, context.window);
+    const bool isLate = update.usage.window + config::usageWindowsKept < present;
+    const bool isEarly = update.usage.window > present + 1;
+    if (!update.usage.counts.empty() && !isLate && !isEarly)
+        context.ledger.take(update.usage);
+    // The update without counts is sent after the updates with counts.
+    if (update.usage.counts.empty() || update.isLast)
+        context.ledger.noteTold(update.usage.incarnation, now, update.isLast);
     return true;
 }
 
-usage_exchange::usage_exchange(peer::datagram_settings choices, std::uint64_t life,
-                               usage_parts parts,
+usage_exchange::usage_exchange(peer::datagram_settings settings, std::uint64_t incarnation,
+                               usage_parts context,
                                std::function<std::vector<policy::member>()> members,
                                clock_source clock, metrics_registry &metrics, journal &events)
-    : inner(std::make_unique<state>(std::move(choices), life, parts, std::move(members),
+    : inner(std::make_unique<state>(std::move(settings), incarnation, context, std::move(members),
                                     std::move(clock), metrics, events))
 { }
 
@@ -149,7 +149,7 @@
 void usage_exchange::stop()
 {
     inner->loop.stop();
-    inner->tellCounts(true, true);
+    inner->sendCounts(true, true);
 }
 
 } // namespace poplarspool::duties
--- a/src/duties/usage_keeper.cpp
+++ b/src/duties/usage_keeper.cpp
@@ -17,21 +17,21 @@
              [this] { look(); })
 { }
 
-/// A window is due once everyone who counted in it has told; and where someone is silent, once
-/// waiting longer could make the report late.
+/// A window is due once the counts of all instances that counted requests in it have arrived, or
+/// once waiting longer for a silent instance could make the report late.
 window_number usage_keeper::dueWindow(wall_time now) const
 {
     const milliseconds length = tools.parts.window;
     const window_number present = windowAt(now, length);
-    const milliseconds patience(static_cast<std::int64_t>(static_cast<double>(tools.late.count())
-                                                          * config::usagePatienceShare));
+    const milliseconds maxWait(static_cast<std::int64_t>(static_cast<double>(tools.late.count())
+                                                         * config::usagePatienceShare));
     window_number due = present;
     while (due > 0) {
         const wall_time end = endOf(--due, length);
         const window_number before = due - std::min<window_number>(due, 1);
         const bool isComplete =
                 now - end >= config::usageSettleTime && tools.parts.ledger.isComplete(before, end);
-        if (isComplete || now - end >= patience)
+        if (isComplete || now - end >= maxWait)
             break;
     }
     return due;
@@ -75,29 +75,29 @@
     nextTryAt = {};
 }
 
-/// Of the windows between two notes, the last ones are reported.
+/// Of the windows between two checkpoints only the most recent ones are reported; logs the others.
 void usage_keeper::noteSkipped(const std::optional<usage_note> &before,
                                const usage_note &next) const
 {
     if (!before)
         return;
-    const auto made = static_cast<window_number>(
+    const auto reported = static_cast<window_number>(
             std::ranges::count_if(next.reports, [&before](const usage_report &one) {
                 return one.window > before->settled;
             }));
-    const window_number left = next.settled - before->settled - made;
-    if (left == 0)
+    const window_number omitted = next.settled - before->settled - reported;
+    if (omitted == 0)
         return;
-    skipped.add(left);
+    skipped.add(omitted);
     tools.events.emit("usage_windows_skipped",
                       {{"from", std::to_string(before->settled + 1)},
-                       {"to", std::to_string(before->settled + left)},
+                       {"to", std::to_string(before->settled + omitted)},
                        {"epoch", std::to_string(next.epoch)}});
 }
 
-bool usage_keeper::sendAll(const usage_note &note, const lease_term &term)
+bool usage_keeper::sendAll(const usage_note &checkpoint, const lease_term &term)
 {
-    return std::ranges::all_of(note.reports,
+    return std::ranges::all_of(checkpoint.reports,
                                [&](const usage_report &one) { return send(one, term); });
 }
 
--- a/src/duties/usage_news.cpp
+++ b/src/duties/usage_news.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Bytes of the smallest count.
-constexpr std::size_t leastCountBytes = 2;
-/// The year 9999, in Unix milliseconds: sums of such times don't overflow.
-constexpr std::int64_t latestToldMs = 253'402'300'799'999;
+/// Encoded size of the smallest count.
+constexpr std::size_t minCountBytes = 2;
+/// End of the year 9999 in Unix milliseconds: sums of such times don't overflow.
+constexpr std::int64_t maxWallTimeMs = 253'402'300'799'999;
 
 template <class Codec, class Time>
 void describeTime(Codec &codec, Time &time)
@@ -19,22 +19,22 @@
     std::int64_t sinceMs = time.time_since_epoch().count();
     codec.fixed(sinceMs);
     if constexpr (Codec::isDecoding) {
-        if (sinceMs < 0 || sinceMs > latestToldMs)
-            throw peer::bad_payload("a time that is none");
+        if (sinceMs < 0 || sinceMs > maxWallTimeMs)
+            throw peer::bad_payload("wall clock time out of range");
         time = wall_time(milliseconds(sinceMs));
     }
 }
 
-template <class Codec, class News>
-void describe(Codec &codec, News &news)
+template <class Codec, class Update>
+void describe(Codec &codec, Update &update)
 {
-    describeTime(codec, news.toldAt);
-    describeTime(codec, news.heard.at);
-    codec.small(news.heard.clocks);
-    codec.small(news.isLast);
-    codec.fixed(news.usage.life);
-    codec.small(news.usage.window);
-    codec.list(news.usage.counts, config::maxToldCounts, leastCountBytes,
+    describeTime(codec, update.sentAt);
+    describeTime(codec, update.estimate.at);
+    codec.small(update.estimate.clocks);
+    codec.small(update.isLast);
+    codec.fixed(update.usage.incarnation);
+    codec.small(update.usage.window);
+    codec.list(update.usage.counts, config::maxToldCounts, minCountBytes,
                [](Codec &each, auto &item) {
                    each.text(item.first.text, config::maxNameBytes);
                    each.small(item.second);
@@ -43,21 +43,21 @@
 
 } // namespace
 
-result<std::string> encode(const usage_news &news)
+result<std::string> encode(const usage_news &update)
 {
-    return peer::encoded([&news](peer::encoder &out) { describe(out, news); });
+    return peer::encoded([&update](peer::encoder &out) { describe(out, update); });
 }
 
 result<usage_news> decodeUsageNews(std::string_view payload)
 {
     try {
         peer::decoder in(payload);
-        usage_news news;
-        describe(in, news);
+        usage_news update;
+        describe(in, update);
         in.finish();
-        return news;
+        return update;
     } catch (const std::exception &) {
-        return notRun(error_code::Broken, "malformed news of usage");
+        return notRun(error_code::Broken, "malformed usage update");
     }
 }
 
--- a/src/duties/usage_news.h
+++ b/src/duties/usage_news.h
@@ -9,19 +9,19 @@
 
 namespace poplarspool::duties {
 
-/// What instances tell each other of usage and of the time.
+/// Usage counts and time that instances send to each other.
 struct usage_news
 {
-    wall_time toldAt{}; ///< By the sender's own time of day.
-    fleet_time heard; ///< What it makes of the clocks that it hears.
-    bool isLast = false; ///< The sender ends, and has told all that it counted.
-    told_usage usage; ///< Names the sender's life, also where nothing is counted.
+    wall_time sentAt{}; ///< By the sender's wall clock.
+    fleet_time estimate; ///< Of the sender, from the clocks it receives.
+    bool isLast = false; ///< The sender is stopping and has sent all its counts.
+    told_usage usage; ///< Names the sender's incarnation, even without counts.
 
     bool operator==(const usage_news &) const = default;
 };
 
-/// @returns TooLarge where a bound is broken.
-result<std::string> encode(const usage_news &news);
+/// @returns TooLarge if a size limit is exceeded.
+result<std::string> encode(const usage_news &update);
 result<usage_news> decodeUsageNews(std::string_view payload);
 
 } // namespace poplarspool::duties
--- a/tests/duties/lease_test.cpp
+++ b/tests/duties/lease_test.cpp
@@ -11,8 +11,8 @@
 
 using namespace std::chrono_literals;
 
-/// One record, and a clock that two instances share.
-struct world
+/// A store with one record, and a clock that all instances share.
+struct test_store
 {
     mono_time now{std::chrono::hours(1)};
     clock_source clock{[this] { return now; }, [] { return wall_time{}; }};
@@ -32,7 +32,7 @@
         };
         made.write = [this](const lease_record &next) -> result<unit> {
             if (next.version != record.version)
-                return notRun(error_code::Conflict, "another one stands there");
+                return notRun(error_code::Conflict, "the record has another revision");
             record = next;
             record.version.revision = ++revision;
             if (losesAnswers)
@@ -42,7 +42,7 @@
         return made;
     }
 
-    void goBackTo(lease_record older)
+    void rollBackTo(lease_record older)
     {
         older.version.epoch = record.version.epoch + 1;
         record = older;
@@ -60,25 +60,26 @@
 class lease_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(lease_test);
-    CPPUNIT_TEST(theHolderTakesTermAfterTerm);
-    CPPUNIT_TEST(aSuccessorWaitsUntilTheTermIsLongOver);
-    CPPUNIT_TEST(eachSignOfTheHolderBeginsTheWaitAnew);
-    CPPUNIT_TEST(aLostAnswerGivesNoTerm);
-    CPPUNIT_TEST(ofTwoThatWriteOneHasTheTerm);
-    CPPUNIT_TEST(withoutTheStoreThereIsNoTerm);
-    CPPUNIT_TEST(aTermWhoseRecordIsLostIsWaitedFor);
-    CPPUNIT_TEST(fencesOfLostTermsAreNotGivenAgain);
-    CPPUNIT_TEST(noFenceFollowsTheHighest);
-    CPPUNIT_TEST(anEpochWithoutRoomForFencesGivesNone);
-    CPPUNIT_TEST(whoStartsAfterACopyWaitsForLostTerms);
+    CPPUNIT_TEST(holderAcquiresConsecutiveTerms);
+    CPPUNIT_TEST(successorWaitsForBoundAfterTermEnd);
+    CPPUNIT_TEST(eachNewRecordRestartsTheWait);
+    CPPUNIT_TEST(lostAnswerYieldsNoTerm);
+    CPPUNIT_TEST(concurrentWritesYieldOneTerm);
+    CPPUNIT_TEST(unreachableStoreYieldsNoTerm);
+    CPPUNIT_TEST(runningInstanceWaitsForTermLostInRollback);
+    CPPUNIT_TEST(fencesOfLostTermsAreNotReused);
+    CPPUNIT_TEST(noTermAfterHighestFence);
+    CPPUNIT_TEST(epochBeyondFenceRangeYieldsNoTerm);
+    CPPUNIT_TEST(startedInstanceWaitsForTermLostInRollback);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Another writer leaves a record with the highest fence that there is. The next one would be
-    /// 0, and engines would refuse it, or take older orders after newer ones.
-    void noFenceFollowsTheHighest()
+    /// Another writer has left a record with the second highest fence. After the highest one the
+    /// next would wrap around to 0: engines would refuse it, or accept older orders after newer
+    /// ones.
+    void noTermAfterHighestFence()
     {
-        world test;
+        test_store test;
         test.record = {{"a"}, std::numeric_limits<std::uint64_t>::max() - 1, {0, 10}};
         duty_lease mine = test.leaseOf("a");
         const auto last = mine.tryTake();
@@ -88,13 +89,13 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.events.events({"lease_unusable", {}, {}}).size());
     }
 
-    /// Its least fence would be lower than that of an earlier epoch.
-    void anEpochWithoutRoomForFencesGivesNone()
+    /// The lowest fence of such an epoch would overflow and be lower than fences of earlier epochs.
+    void epochBeyondFenceRangeYieldsNoTerm()
     {
-        world test;
+        test_store test;
         test.record = {{"a"}, 7, {config::storeEpochMost, 10}};
-        // Who starts in a later epoch waits for lost terms first.
-        const auto takenBy = [&test](duty_lease lease) {
+        // An instance that starts in a later epoch waits for lost terms first.
+        const auto acquiredBy = [&test](duty_lease lease) {
             std::optional<lease_term> term;
             for (int tries = 0; tries < 100 && !term; ++tries) {
                 term = lease.tryTake();
@@ -102,16 +103,16 @@
             }
             return term;
         };
-        const auto last = takenBy(test.leaseOf("a"));
+        const auto last = acquiredBy(test.leaseOf("a"));
         CPPUNIT_ASSERT(last.has_value());
         CPPUNIT_ASSERT_EQUAL(config::storeEpochMost * config::fencesPerEpoch, last->fence);
         test.record = {{"a"}, 7, {config::storeEpochMost + 1, 10}};
-        CPPUNIT_ASSERT(!takenBy(test.leaseOf("a")));
+        CPPUNIT_ASSERT(!acquiredBy(test.leaseOf("a")));
     }
 
-    void theHolderTakesTermAfterTerm()
+    void holderAcquiresConsecutiveTerms()
     {
-        world test;
+        test_store test;
         duty_lease mine = test.leaseOf("a");
         const auto first = mine.tryTake();
         CPPUNIT_ASSERT(first == (lease_term{1, test.now + 1500ms}));
@@ -119,12 +120,12 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, second->fence);
     }
 
-    /// An instance orders an engine and is cut off; another one takes over and orders the same
-    /// engine. Less than the bound apart, the engine may carry out the first order after the
-    /// second.
-    void aSuccessorWaitsUntilTheTermIsLongOver()
+    /// An instance sends an order to an engine and loses its connection; its successor sends
+    /// another order to the same engine. If these are less than the bound apart, the engine may
+    /// execute the first order after the second.
+    void successorWaitsForBoundAfterTermEnd()
     {
-        world test;
+        test_store test;
         const auto lastOrder = test.leaseOf("a").tryTake()->endsAt;
         duty_lease other = test.leaseOf("b");
         std::optional<lease_term> taken;
@@ -136,9 +137,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, taken->fence);
     }
 
-    void eachSignOfTheHolderBeginsTheWaitAnew()
+    void eachNewRecordRestartsTheWait()
     {
-        world test;
+        test_store test;
         duty_lease mine = test.leaseOf("a");
         duty_lease other = test.leaseOf("b");
         for (int i = 0; i < 4; ++i) {
@@ -149,11 +150,11 @@
         }
     }
 
-    /// The store takes the write and its answer is lost. Counted from a later try, a term of the
-    /// first write would last too long; so that write gives none.
-    void aLostAnswerGivesNoTerm()
+    /// The write succeeds but its answer is lost. A term counted from a later attempt would last
+    /// too long, so the first write must not yield one.
+    void lostAnswerYieldsNoTerm()
     {
-        world test;
+        test_store test;
         test.losesAnswers = true;
         duty_lease mine = test.leaseOf("a");
         CPPUNIT_ASSERT(!mine.tryTake());
@@ -161,9 +162,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, mine.tryTake()->fence);
     }
 
-    void ofTwoThatWriteOneHasTheTerm()
+    void concurrentWritesYieldOneTerm()
     {
-        world test;
+        test_store test;
         lease_store late = test.store();
         late.read = [] { return lease_record(); };
         duty_lease mine = test.leaseOf("a");
@@ -172,23 +173,24 @@
         CPPUNIT_ASSERT(!other.tryTake());
     }
 
-    void withoutTheStoreThereIsNoTerm()
+    void unreachableStoreYieldsNoTerm()
     {
-        world test;
+        test_store test;
         test.isDown = true;
         CPPUNIT_ASSERT(!test.leaseOf("a").tryTake());
     }
 
-    /// An instance takes a term and orders an engine; the store comes back from a copy without that
-    /// record, or with an older one of another instance, and that one starts anew. It can't tell
-    /// how long ago that was. Taken at its word, both would order the engine within the bound.
-    void whoStartsAfterACopyWaitsForLostTerms()
+    /// An instance acquires a term and sends an order to an engine. A store rollback removes the
+    /// record or brings back an older one of another instance, which then restarts and can't tell
+    /// how long ago the rollback was. If it trusted the record, both would send orders to the
+    /// engine within the bound.
+    void startedInstanceWaitsForTermLostInRollback()
     {
         const lease_record none;
         for (const lease_record &older : {none, lease_record{{"b"}, 1, {0, 11}}}) {
-            world test;
+            test_store test;
             CPPUNIT_ASSERT(test.leaseOf("a").tryTake());
-            test.goBackTo(older);
+            test.rollBackTo(older);
             const mono_time startedAt = test.now;
             duty_lease started = test.leaseOf("b");
             while (!started.tryTake())
@@ -197,12 +199,12 @@
         }
     }
 
-    /// An instance takes a term and orders an engine; the store comes back from a copy that has not
-    /// that record, but an older one of the other instance, or none. Taken at its word, both would
-    /// order the engine within the bound.
-    void aTermWhoseRecordIsLostIsWaitedFor()
+    /// An instance acquires a term and sends an order to an engine. A store rollback replaces the
+    /// record with an older one of the other instance, or with none. If that instance trusted the
+    /// store, both would send orders to the engine within the bound.
+    void runningInstanceWaitsForTermLostInRollback()
     {
-        world test;
+        test_store test;
         duty_lease mine = test.leaseOf("a");
         duty_lease other = test.leaseOf("b");
         CPPUNIT_ASSERT(other.tryTake());
@@ -210,25 +212,25 @@
         while (!mine.tryTake())
             test.now += 100ms;
         for (const lease_record &older : {copy, lease_record()}) {
-            test.goBackTo(older);
-            const mono_time wentBackAt = test.now;
+            test.rollBackTo(older);
+            const mono_time rolledBackAt = test.now;
             while (!other.tryTake())
                 test.now += 100ms;
-            CPPUNIT_ASSERT(test.now - wentBackAt >= 6s);
+            CPPUNIT_ASSERT(test.now - rolledBackAt >= 6s);
         }
     }
 
-    /// Two terms of the same fence could not be told apart, and an engine that checks fences would
-    /// refuse a lower one.
-    void fencesOfLostTermsAreNotGivenAgain()
+    /// Two terms with the same fence can't be distinguished, and an engine that checks fences
+    /// refuses a lower one.
+    void fencesOfLostTermsAreNotReused()
     {
-        world test;
+        test_store test;
         duty_lease mine = test.leaseOf("a");
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, mine.tryTake()->fence);
         const lease_record copy = test.record;
         std::uint64_t highest = mine.tryTake()->fence;
         for (int times = 0; times < 2; ++times) {
-            test.goBackTo(copy);
+            test.rollBackTo(copy);
             CPPUNIT_ASSERT(!mine.tryTake());
             test.now += 6s;
             const std::uint64_t next = mine.tryTake()->fence;
--- a/tests/duties/usage_exchange_test.cpp
+++ b/tests/duties/usage_exchange_test.cpp
@@ -40,14 +40,15 @@
     return made;
 }
 
-/// One instance at its own loopback address.
-struct node
+/// An instance with its own loopback address.
+struct test_instance
 {
-    node(const std::string &name, std::uint64_t life, std::uint16_t port,
-         const std::vector<policy::member> &all, const std::string &host)
-        : ledger(life), exchange(
-                                {{name}, 1, {host, port}, "key"}, life, {ledger, time, 5s},
-                                [all] { return all; }, systemClock(), metrics, events)
+    test_instance(const std::string &name, std::uint64_t incarnation, std::uint16_t port,
+                  const std::vector<policy::member> &all, const std::string &host)
+        : ledger(incarnation),
+          exchange(
+                  {{name}, 1, {host, port}, "key"}, incarnation, {ledger, time, 5s},
+                  [all] { return all; }, systemClock(), metrics, events)
     {
         CPPUNIT_ASSERT(succeeded(exchange.start()));
     }
@@ -59,8 +60,8 @@
     usage_exchange exchange;
 };
 
-template <class Holds>
-bool comesTrue(const Holds &holds)
+template <class Condition>
+bool becomesTrue(const Condition &holds)
 {
     const auto end = std::chrono::steady_clock::now() + 20s;
     while (!holds()) {
@@ -76,23 +77,23 @@
 class usage_exchange_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(usage_exchange_test);
-    CPPUNIT_TEST(newsSurviveTheWire);
-    CPPUNIT_TEST(brokenNewsAreNone);
-    CPPUNIT_TEST(keepersHoldTheCountsOfAll);
-    CPPUNIT_TEST(whoEndsTellsTheRest);
+    CPPUNIT_TEST(updateSurvivesEncoding);
+    CPPUNIT_TEST(malformedUpdatesAreRejected);
+    CPPUNIT_TEST(replicasHoldCountsOfAllInstances);
+    CPPUNIT_TEST(stoppingInstanceSendsRemainingCounts);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void newsSurviveTheWire()
+    void updateSurvivesEncoding()
     {
-        const usage_news news{wall_time(7ms),
-                              {wall_time(9ms), 40},
-                              true,
-                              {UINT64_MAX, 340'000'000, {{{"a"}, 1}, {{"\u0c15"}, 1'000'000}}}};
-        CPPUNIT_ASSERT(valueOf(decodeUsageNews(valueOf(encode(news)))) == news);
+        const usage_news update{wall_time(7ms),
+                                {wall_time(9ms), 40},
+                                true,
+                                {UINT64_MAX, 340'000'000, {{{"a"}, 1}, {{"\u0c15"}, 1'000'000}}}};
+        CPPUNIT_ASSERT(valueOf(decodeUsageNews(valueOf(encode(update)))) == update);
     }
 
-    void brokenNewsAreNone()
+    void malformedUpdatesAreRejected()
     {
         const std::string text = valueOf(encode(usage_news{wall_time(7ms), {}, false, {1, 2, {}}}));
         for (std::size_t size = 0; size < text.size(); ++size)
@@ -102,39 +103,39 @@
                 valueOf(encode(usage_news{wall_time(-1ms), {}, false, {1, 2, {}}})))));
     }
 
-    void keepersHoldTheCountsOfAll()
+    void replicasHoldCountsOfAllInstances()
     {
         const std::uint16_t port = freePort();
         const std::vector<policy::member> all{memberAt("a", "127.0.0.1"),
                                               memberAt("b", "127.0.0.2")};
-        node a("a", 1, port, all, "127.0.0.1");
-        node b("b", 2, port, all, "127.0.0.2");
+        test_instance a("a", 1, port, all, "127.0.0.1");
+        test_instance b("b", 2, port, all, "127.0.0.2");
         const window_number window = windowAt(a.time.now().at, 5s);
         a.ledger.noteBegun(window, {"x"});
         b.ledger.noteBegun(window, {"x"});
         const usage_counts both{{{"x"}, 2}};
-        CPPUNIT_ASSERT(comesTrue([&] { return a.ledger.totalOf(window) == both; }));
-        CPPUNIT_ASSERT(comesTrue([&] { return b.ledger.totalOf(window) == both; }));
-        CPPUNIT_ASSERT(comesTrue([&] { return a.time.now().clocks == 2; }));
+        CPPUNIT_ASSERT(becomesTrue([&] { return a.ledger.totalOf(window) == both; }));
+        CPPUNIT_ASSERT(becomesTrue([&] { return b.ledger.totalOf(window) == both; }));
+        CPPUNIT_ASSERT(becomesTrue([&] { return a.time.now().clocks == 2; }));
     }
 
-    /// Guards against counts that are lost with an instance that is stopped in order.
-    void whoEndsTellsTheRest()
+    /// Guards against counts that are lost when an instance shuts down cleanly.
+    void stoppingInstanceSendsRemainingCounts()
     {
         const std::uint16_t port = freePort();
         const std::vector<policy::member> all{memberAt("a", "127.0.0.1"),
                                               memberAt("b", "127.0.0.2")};
-        node a("a", 1, port, all, "127.0.0.1");
-        node b("b", 2, port, all, "127.0.0.2");
+        test_instance a("a", 1, port, all, "127.0.0.1");
+        test_instance b("b", 2, port, all, "127.0.0.2");
         const window_number window = windowAt(a.time.now().at, 5s);
         a.ledger.noteBegun(window, {"x"});
-        CPPUNIT_ASSERT(comesTrue([&] { return b.ledger.totalOf(window).contains({"x"}); }));
+        CPPUNIT_ASSERT(becomesTrue([&] { return b.ledger.totalOf(window).contains({"x"}); }));
         a.ledger.noteBegun(window, {"x"});
         a.exchange.stop();
-        CPPUNIT_ASSERT(comesTrue([&] { return b.ledger.totalOf(window).at({"x"}) == 2; }));
-        // Nothing more is waited for.
+        CPPUNIT_ASSERT(becomesTrue([&] { return b.ledger.totalOf(window).at({"x"}) == 2; }));
+        // The other instance no longer waits for counts of the stopped one.
         CPPUNIT_ASSERT(
-                comesTrue([&] { return b.ledger.isComplete(window, endOf(window + 9, 5s)); }));
+                becomesTrue([&] { return b.ledger.isComplete(window, endOf(window + 9, 5s)); }));
     }
 };
 
--- a/tests/duties/usage_keeper_test.cpp
+++ b/tests/duties/usage_keeper_test.cpp
@@ -12,11 +12,11 @@
 using namespace std::chrono_literals;
 
 constexpr milliseconds windowLength = 5s;
-constexpr milliseconds lateTime = 10s;
+constexpr milliseconds reportDeadline = 10s;
 constexpr milliseconds leaseBound = 3s;
 
-/// A report as the platform took it.
-struct taken_report
+/// A report as the platform has received it.
+struct received_report
 {
     std::string holder;
     std::uint64_t fence = 0;
@@ -26,7 +26,7 @@
 };
 
 /// The clock, the store and the platform that all instances share.
-struct world
+struct simulation
 {
     mono_time mono{std::chrono::hours(5)};
     wall_time truth{milliseconds(1'700'000'000'000)};
@@ -38,8 +38,8 @@
     bool losesStoreAnswers = false;
     bool isPlatformDown = false;
     bool losesPlatformAnswers = false;
-    milliseconds beforeSend{0}; ///< Passes between a term's begin and the next send.
-    std::vector<taken_report> taken;
+    milliseconds beforeSend{0}; ///< Time that passes between the start of a term and the next send.
+    std::vector<received_report> received;
 
     void pass(milliseconds time)
     {
@@ -60,7 +60,7 @@
             if (isStoreDown)
                 return notRun(error_code::Unavailable, "down");
             if (next.version != record.version)
-                return notRun(error_code::Conflict, "another one stands there");
+                return notRun(error_code::Conflict, "the record has another revision");
             record = next;
             record.version.revision = ++revision;
             if (losesStoreAnswers)
@@ -78,7 +78,7 @@
                 return notRun(error_code::TimedOut, "the term is over");
             if (isPlatformDown)
                 return mayHaveRun(error_code::TimedOut, "down");
-            taken.push_back({holder, term.fence, report, mono, truth});
+            received.push_back({holder, term.fence, report, mono, truth});
             if (losesPlatformAnswers)
                 return mayHaveRun(error_code::TimedOut, "no answer");
             return unit{};
@@ -86,19 +86,20 @@
     }
 };
 
-/// One life of an instance.
-struct node
+/// One incarnation of an instance.
+struct test_instance
 {
-    node(world &around, std::string name, std::uint64_t life, milliseconds ahead = 0ms)
-        : around(around), name(std::move(name)), life(life), ahead(ahead), ledger(life),
-          keeper({{ledger, time, windowLength},
-                  lateTime,
-                  around.sinkOf(this->name),
-                  clock,
-                  around.events,
-                  around.metrics,
-                  [this] { return isOwner; }},
-                 around.store(), {this->name}, leaseBound)
+    test_instance(simulation &environment, std::string name, std::uint64_t incarnation,
+                  milliseconds ahead = 0ms)
+        : environment(environment), name(std::move(name)), incarnation(incarnation), ahead(ahead),
+          ledger(incarnation), keeper({{ledger, time, windowLength},
+                                       reportDeadline,
+                                       environment.sinkOf(this->name),
+                                       clock,
+                                       environment.events,
+                                       environment.metrics,
+                                       [this] { return isOwner; }},
+                                      environment.store(), {this->name}, leaseBound)
     { }
 
     void count(const std::string &workspace)
@@ -106,57 +107,58 @@
         ledger.noteBegun(windowAt(time.now().at, windowLength), {workspace});
     }
 
-    void tell(node &other)
+    void sendTo(test_instance &other)
     {
         for (const told_usage &part : ledger.collect(true))
             other.ledger.take(part);
-        other.ledger.noteTold(life, other.time.now().at, false);
-        other.time.noteClock(life, around.truth + ahead);
+        other.ledger.noteTold(incarnation, other.time.now().at, false);
+        other.time.noteClock(incarnation, environment.truth + ahead);
     }
 
-    world &around;
+    simulation &environment;
     const std::string name;
-    const std::uint64_t life;
+    const std::uint64_t incarnation;
     const milliseconds ahead;
-    clock_source clock{[this] { return around.mono; }, [this] { return around.truth + ahead; }};
+    clock_source clock{[this] { return environment.mono; },
+                       [this] { return environment.truth + ahead; }};
     fleet_clock time{clock};
     usage_ledger ledger;
     bool isOwner = false;
-    bool isCut = false; ///< From the other instances.
+    bool isDisconnected = false; ///< From the other instances.
     usage_keeper keeper;
 };
 
-/// Lets time pass until the holder has reported the window.
-const taken_report &reportOf(world &test, node &holder, window_number window)
+/// Advances the time until the holder has reported the window.
+const received_report &reportOf(simulation &test, test_instance &holder, window_number window)
 {
-    while (test.taken.empty() || test.taken.back().report.window < window) {
+    while (test.received.empty() || test.received.back().report.window < window) {
         test.pass(500ms);
         holder.keeper.look();
     }
-    return test.taken.back();
+    return test.received.back();
 }
 
-/// @throws CPPUNIT_NS::Exception where the platform has seen what must never be.
-void judge(const world &test, const std::string &seed)
+/// @throws CPPUNIT_NS::Exception if the reports that the platform received break an invariant.
+void checkInvariants(const simulation &test, const std::string &seed)
 {
     std::map<window_number, usage_counts> reported;
     std::map<std::uint64_t, std::string> holders;
     std::uint64_t highest = 0;
-    for (std::size_t i = 0; i < test.taken.size(); ++i) {
-        const taken_report &one = test.taken[i];
+    for (std::size_t i = 0; i < test.received.size(); ++i) {
+        const received_report &one = test.received[i];
         const auto first = reported.try_emplace(one.report.window, one.report.counts).first;
-        CPPUNIT_ASSERT_MESSAGE("two reports of a window, " + seed,
+        CPPUNIT_ASSERT_MESSAGE("different reports of one window, " + seed,
                                first->second == one.report.counts);
         const auto holder = holders.try_emplace(one.fence, one.holder).first;
-        CPPUNIT_ASSERT_MESSAGE("two holders of a fence, " + seed, holder->second == one.holder);
-        CPPUNIT_ASSERT_MESSAGE("a lower fence, " + seed, one.fence >= highest);
+        CPPUNIT_ASSERT_MESSAGE("two holders with one fence, " + seed, holder->second == one.holder);
+        CPPUNIT_ASSERT_MESSAGE("fence decreased, " + seed, one.fence >= highest);
         highest = one.fence;
-        for (std::size_t k = i; k-- > 0 && one.at - test.taken[k].at < leaseBound;) {
-            if (test.taken[k].holder == one.holder)
+        for (std::size_t k = i; k-- > 0 && one.at - test.received[k].at < leaseBound;) {
+            if (test.received[k].holder == one.holder)
                 continue;
-            for (std::size_t m = k; m-- > 0 && one.at - test.taken[m].at < leaseBound;)
-                CPPUNIT_ASSERT_MESSAGE("two holders took turns, " + seed,
-                                       test.taken[m].holder != one.holder);
+            for (std::size_t m = k; m-- > 0 && one.at - test.received[m].at < leaseBound;)
+                CPPUNIT_ASSERT_MESSAGE("holders alternated within the lease bound, " + seed,
+                                       test.received[m].holder != one.holder);
         }
     }
 }
@@ -166,50 +168,51 @@
 class usage_keeper_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(usage_keeper_test);
-    CPPUNIT_TEST(aWindowIsReportedOnceItIsCounted);
-    CPPUNIT_TEST(silentInstancesAreWaitedForInTime);
-    CPPUNIT_TEST(whoIsNotTheOwnerAsksNobody);
-    CPPUNIT_TEST(theSuccessorSendsWhatWasNoted);
-    CPPUNIT_TEST(withoutTheNoteNothingIsSent);
-    CPPUNIT_TEST(nothingIsSentAfterTheTerm);
-    CPPUNIT_TEST(whatWasNotTakenIsSentAgain);
-    CPPUNIT_TEST(noRuleBreaksWhateverFails);
+    CPPUNIT_TEST(windowIsReportedWhenComplete);
+    CPPUNIT_TEST(waitForSilentInstancesIsBounded);
+    CPPUNIT_TEST(nonOwnerMakesNoStoreCalls);
+    CPPUNIT_TEST(successorSendsStoredReport);
+    CPPUNIT_TEST(nothingIsSentWithoutConfirmedCheckpoint);
+    CPPUNIT_TEST(nothingIsSentAfterTermEnd);
+    CPPUNIT_TEST(unconfirmedReportIsSentAgain);
+    CPPUNIT_TEST(invariantsHoldUnderRandomFaults);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void aWindowIsReportedOnceItIsCounted()
+    void windowIsReportedWhenComplete()
     {
-        world test;
-        node a(test, "a", 1);
+        simulation test;
+        test_instance a(test, "a", 1);
         a.isOwner = true;
         const window_number window = windowAt(test.truth, windowLength);
         a.count("x");
         a.count("x");
-        const taken_report &mine = reportOf(test, a, window);
+        const received_report &mine = reportOf(test, a, window);
         CPPUNIT_ASSERT(mine.report == (usage_report{window, {{{"x"}, 2}}}));
         const auto age = mine.trueAt - endOf(window, windowLength);
         CPPUNIT_ASSERT(age >= config::usageSettleTime && age <= 3s);
     }
 
-    /// Guards against a report without the counts of an instance that is cut off for some seconds.
-    void silentInstancesAreWaitedForInTime()
+    /// Guards against a report without the counts of an instance that is disconnected for some
+    /// seconds.
+    void waitForSilentInstancesIsBounded()
     {
-        world test;
-        node a(test, "a", 1);
-        node b(test, "b", 2);
+        simulation test;
+        test_instance a(test, "a", 1);
+        test_instance b(test, "b", 2);
         a.isOwner = true;
         const window_number window = windowAt(test.truth, windowLength);
         b.count("x");
-        b.tell(a);
+        b.sendTo(a);
         const auto age = reportOf(test, a, window).trueAt - endOf(window, windowLength);
-        CPPUNIT_ASSERT(age >= lateTime / 2 && age < lateTime - 2 * leaseBound + 2s);
+        CPPUNIT_ASSERT(age >= reportDeadline / 2 && age < reportDeadline - 2 * leaseBound + 2s);
     }
 
-    void whoIsNotTheOwnerAsksNobody()
+    void nonOwnerMakesNoStoreCalls()
     {
-        world test;
+        simulation test;
         test.isStoreDown = true;
-        node a(test, "a", 1);
+        test_instance a(test, "a", 1);
         for (int i = 0; i < 40; ++i) {
             test.pass(500ms);
             a.keeper.look();
@@ -217,12 +220,13 @@
         CPPUNIT_ASSERT(test.events.events({"lease_unknown", {}, {}}).empty());
     }
 
-    /// The holder ends between its write and its call. Its successor has counted more.
-    void theSuccessorSendsWhatWasNoted()
+    /// The holder crashes after it has written the checkpoint and before it sends the report. Its
+    /// successor has received more counts.
+    void successorSendsStoredReport()
     {
-        world test;
+        simulation test;
         {
-            node a(test, "a", 1);
+            test_instance a(test, "a", 1);
             a.isOwner = true;
             a.count("x");
             test.pass(windowLength + 2s);
@@ -230,97 +234,100 @@
             a.keeper.look();
         }
         test.isPlatformDown = false;
-        node b(test, "b", 2);
+        test_instance b(test, "b", 2);
         b.isOwner = true;
-        const auto noted = decodeUsageNote(test.record.note)->reports;
-        b.ledger.take({1, noted.back().window, {{{"x"}, 40}}});
-        for (int i = 0; i < 20 && test.taken.empty(); ++i) {
+        const auto stored = decodeUsageNote(test.record.note)->reports;
+        b.ledger.take({1, stored.back().window, {{{"x"}, 40}}});
+        for (int i = 0; i < 20 && test.received.empty(); ++i) {
             b.keeper.look();
             test.pass(500ms);
         }
-        CPPUNIT_ASSERT(test.taken[0].report == noted.front());
-        judge(test, "");
+        CPPUNIT_ASSERT(test.received[0].report == stored.front());
+        checkInvariants(test, "");
     }
 
-    void withoutTheNoteNothingIsSent()
+    void nothingIsSentWithoutConfirmedCheckpoint()
     {
-        world test;
-        node a(test, "a", 1);
+        simulation test;
+        test_instance a(test, "a", 1);
         a.isOwner = true;
         test.losesStoreAnswers = true;
         test.pass(windowLength + 2s);
         a.keeper.look();
-        CPPUNIT_ASSERT(test.taken.empty());
+        CPPUNIT_ASSERT(test.received.empty());
         test.losesStoreAnswers = false;
         test.pass(1s);
         a.keeper.look();
-        CPPUNIT_ASSERT(!test.taken.empty());
+        CPPUNIT_ASSERT(!test.received.empty());
     }
 
-    /// The holder stands still after its write; another one may have begun since.
-    void nothingIsSentAfterTheTerm()
+    /// The holder is suspended after its write, and another instance may have acquired a term
+    /// since.
+    void nothingIsSentAfterTermEnd()
     {
-        world test;
-        node a(test, "a", 1);
+        simulation test;
+        test_instance a(test, "a", 1);
         a.isOwner = true;
         test.pass(windowLength + 2s);
         test.beforeSend = leaseBound;
         a.keeper.look();
-        CPPUNIT_ASSERT(test.taken.empty());
+        CPPUNIT_ASSERT(test.received.empty());
     }
 
-    void whatWasNotTakenIsSentAgain()
+    void unconfirmedReportIsSentAgain()
     {
-        world test;
-        node a(test, "a", 1);
+        simulation test;
+        test_instance a(test, "a", 1);
         a.isOwner = true;
         test.pass(windowLength + 2s);
         test.losesPlatformAnswers = true;
         a.keeper.look();
-        const std::size_t before = test.taken.size();
+        const std::size_t before = test.received.size();
         test.losesPlatformAnswers = false;
         test.pass(1s);
         a.keeper.look();
-        CPPUNIT_ASSERT(before > 0 && test.taken.size() > before);
-        CPPUNIT_ASSERT(test.taken[before].report == test.taken[0].report);
-        judge(test, "");
+        CPPUNIT_ASSERT(before > 0 && test.received.size() > before);
+        CPPUNIT_ASSERT(test.received[before].report == test.received[0].report);
+        checkInvariants(test, "");
     }
 
-    /// Holders are killed, stand still, are cut off and disagree on who it is, while the store and
-    /// the platform lose answers and come and go.
-    void noRuleBreaksWhateverFails()
+    /// Holders crash, are suspended or disconnected, and disagree on the owner, while the store and
+    /// the platform lose answers and become unreachable.
+    void invariantsHoldUnderRandomFaults()
     {
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
             std::mt19937_64 random(seed);
             const std::size_t count = seed % 10 == 0 ? 60 : 3 + random() % 10;
-            play(seed, random, count);
+            runWithFaults(seed, random, count);
         }
     }
 
 private:
-    static void calmDown(world &test, const std::vector<std::unique_ptr<node>> &nodes,
-                         std::size_t owner)
+    static void runWithoutFaults(simulation &test,
+                                 const std::vector<std::unique_ptr<test_instance>> &instances,
+                                 std::size_t owner)
     {
         test.isStoreDown = test.isPlatformDown = false;
         test.losesStoreAnswers = test.losesPlatformAnswers = false;
         test.beforeSend = 0ms;
-        for (std::size_t i = 0; i < nodes.size(); ++i)
-            nodes[i]->isOwner = i == owner;
+        for (std::size_t i = 0; i < instances.size(); ++i)
+            instances[i]->isOwner = i == owner;
         for (int step = 0; step < 50; ++step) {
             test.pass(500ms);
-            nodes[owner]->keeper.look();
+            instances[owner]->keeper.look();
         }
     }
 
-    static void play(std::uint64_t seed, std::mt19937_64 &random, std::size_t count)
+    static void runWithFaults(std::uint64_t seed, std::mt19937_64 &random, std::size_t count)
     {
-        world test;
-        std::uint64_t life = 0;
-        std::vector<std::unique_ptr<node>> nodes;
+        simulation test;
+        std::uint64_t incarnation = 0;
+        std::vector<std::unique_ptr<test_instance>> instances;
         const auto chance = [&random](std::uint64_t oneIn) { return random() % oneIn == 0; };
         const auto skew = [&random] { return milliseconds(random() % 40); };
         for (std::size_t i = 0; i < count; ++i)
-            nodes.push_back(std::make_unique<node>(test, "n" + std::to_string(i), ++life, skew()));
+            instances.push_back(std::make_unique<test_instance>(test, "n" + std::to_string(i),
+                                                                ++incarnation, skew()));
         std::vector<mono_time> frozenUntil(count);
         for (int step = 0; step < 240; ++step) {
             test.pass(250ms);
@@ -332,31 +339,31 @@
             test.losesPlatformAnswers = chance(6);
             const std::size_t owner = random() % 30 == 0 ? random() % count : step / 80;
             for (std::size_t i = 0; i < count; ++i) {
-                node &one = *nodes[i];
+                test_instance &one = *instances[i];
                 one.isOwner = i == owner || chance(60);
                 if (test.mono < frozenUntil[i])
                     continue;
                 if (chance(8))
                     one.count("w" + std::to_string(random() % 4));
                 if (chance(200))
-                    one.isCut = !one.isCut;
-                if (chance(3) && !one.isCut)
-                    one.tell(*nodes[random() % count]);
+                    one.isDisconnected = !one.isDisconnected;
+                if (chance(3) && !one.isDisconnected)
+                    one.sendTo(*instances[random() % count]);
                 if (one.isOwner && chance(25))
                     test.beforeSend = milliseconds(random() % 3'000);
                 if (step % 2 == 0)
                     one.keeper.look();
                 if (one.isOwner && chance(30))
-                    nodes[i] =
-                            std::make_unique<node>(test, "n" + std::to_string(i), ++life, skew());
+                    instances[i] = std::make_unique<test_instance>(test, "n" + std::to_string(i),
+                                                                   ++incarnation, skew());
                 else if (one.isOwner && chance(30))
                     frozenUntil[i] = test.mono + 4s;
             }
         }
-        const std::size_t before = test.taken.size();
-        calmDown(test, nodes, random() % count);
-        judge(test, "seed " + std::to_string(seed));
-        CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), test.taken.size() > before);
+        const std::size_t before = test.received.size();
+        runWithoutFaults(test, instances, random() % count);
+        checkInvariants(test, "seed " + std::to_string(seed));
+        CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), test.received.size() > before);
     }
 };
 
--- a/tests/duties/usage_test.cpp
+++ b/tests/duties/usage_test.cpp
@@ -33,18 +33,18 @@
 {
     CPPUNIT_TEST_SUITE(usage_test);
     CPPUNIT_TEST(windowsAreCountedFromTheStartOf1970);
-    CPPUNIT_TEST(countsOfAllLivesAreAdded);
-    CPPUNIT_TEST(tellingsJoinInAnyOrder);
-    CPPUNIT_TEST(changedCountsAreToldAFewTimes);
-    CPPUNIT_TEST(manyWorkspacesAreToldInParts);
-    CPPUNIT_TEST(whoHasCountedMustHaveTold);
-    CPPUNIT_TEST(oldWindowsAreForgotten);
-    CPPUNIT_TEST(notesSurviveTheStore);
-    CPPUNIT_TEST(theFirstNoteBeginsWithWhatIsDue);
+    CPPUNIT_TEST(countsOfAllIncarnationsAreAdded);
+    CPPUNIT_TEST(mergeIsIdempotentAndOrderIndependent);
+    CPPUNIT_TEST(changedCountsAreSentRepeatedly);
+    CPPUNIT_TEST(manyWorkspacesAreSentInParts);
+    CPPUNIT_TEST(windowIsCompleteWhenAllCountsAreReceived);
+    CPPUNIT_TEST(oldWindowsAreRemoved);
+    CPPUNIT_TEST(checkpointSurvivesEncoding);
+    CPPUNIT_TEST(firstCheckpointContainsDueWindow);
     CPPUNIT_TEST(eachWindowIsReportedOnce);
-    CPPUNIT_TEST(whatMayNotHaveBeenSentIsSentAgainAsItWas);
-    CPPUNIT_TEST(afterAnOlderCopyLostWindowsAreLeftOut);
-    CPPUNIT_TEST(anUnreadableNoteFixesAllWindowsSoFar);
+    CPPUNIT_TEST(unconfirmedReportsAreKeptUnchanged);
+    CPPUNIT_TEST(windowsLostInRollbackAreSkipped);
+    CPPUNIT_TEST(malformedCheckpointSettlesAllEarlierWindows);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -56,7 +56,7 @@
         CPPUNIT_ASSERT(endOf(1, 5s) == at(10'000));
     }
 
-    void countsOfAllLivesAreAdded()
+    void countsOfAllIncarnationsAreAdded()
     {
         usage_ledger ledger(1);
         ledger.noteBegun(7, {"a"});
@@ -68,29 +68,29 @@
         CPPUNIT_ASSERT(ledger.totalOf(9).empty());
     }
 
-    /// Guards against counts that are added twice where datagrams come late, doubled or not at all.
-    void tellingsJoinInAnyOrder()
+    /// Guards against counts that are added twice when datagrams are delayed, duplicated or lost.
+    void mergeIsIdempotentAndOrderIndependent()
     {
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
             std::mt19937_64 random(seed);
-            std::vector<told_usage> told;
+            std::vector<told_usage> received;
             for (std::uint64_t i = 0; i < 200; ++i)
-                told.push_back({2 + random() % 5, random() % 3, {{{"a"}, random() % 50}}});
+                received.push_back({2 + random() % 5, random() % 3, {{{"a"}, random() % 50}}});
             usage_ledger once(1);
-            usage_ledger again(1);
-            for (const told_usage &one : told)
+            usage_ledger repeated(1);
+            for (const told_usage &one : received)
                 once.take(one);
-            std::vector<told_usage> doubled = told;
-            doubled.insert(doubled.end(), told.begin(), told.end());
-            std::shuffle(doubled.begin(), doubled.end(), random);
-            for (const told_usage &one : doubled)
-                again.take(one);
+            std::vector<told_usage> duplicated = received;
+            duplicated.insert(duplicated.end(), received.begin(), received.end());
+            std::shuffle(duplicated.begin(), duplicated.end(), random);
+            for (const told_usage &one : duplicated)
+                repeated.take(one);
             for (window_number window = 0; window < 3; ++window)
-                CPPUNIT_ASSERT(once.totalOf(window) == again.totalOf(window));
+                CPPUNIT_ASSERT(once.totalOf(window) == repeated.totalOf(window));
         }
     }
 
-    void changedCountsAreToldAFewTimes()
+    void changedCountsAreSentRepeatedly()
     {
         usage_ledger ledger(1);
         ledger.noteBegun(7, {"a"});
@@ -103,7 +103,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, ledger.collect(false)[0].counts[0].second);
     }
 
-    void manyWorkspacesAreToldInParts()
+    void manyWorkspacesAreSentInParts()
     {
         usage_ledger ledger(1);
         usage_ledger other(2);
@@ -119,8 +119,8 @@
         CPPUNIT_ASSERT(other.totalOf(7) == ledger.totalOf(7));
     }
 
-    /// Guards against a report without the counts of an instance that is cut off for a while.
-    void whoHasCountedMustHaveTold()
+    /// Guards against a report without the counts of an instance that is temporarily disconnected.
+    void windowIsCompleteWhenAllCountsAreReceived()
     {
         usage_ledger ledger(1);
         CPPUNIT_ASSERT(ledger.isComplete(7, at(40'000)));
@@ -136,7 +136,7 @@
         CPPUNIT_ASSERT(ledger.isComplete(7, at(40'000)));
     }
 
-    void oldWindowsAreForgotten()
+    void oldWindowsAreRemoved()
     {
         usage_ledger ledger(1);
         ledger.noteBegun(7, {"a"});
@@ -146,20 +146,20 @@
         CPPUNIT_ASSERT(ledger.isComplete(7, at(40'000)));
     }
 
-    void notesSurviveTheStore()
+    void checkpointSurvivesEncoding()
     {
-        const usage_note note{3, 9, {{8, {{{"a"}, 5}, {{"\u0c15"}, 1}}}, {9, {}}}};
-        CPPUNIT_ASSERT(decodeUsageNote(encode(note)) == note);
-        // A name that is no text must not keep the others from being reported.
-        const usage_note odd{3, 9, {{9, {{{"\xff"}, 5}, {{"a"}, 1}}}}};
+        const usage_note checkpoint{3, 9, {{8, {{{"a"}, 5}, {{"\u0c15"}, 1}}}, {9, {}}}};
+        CPPUNIT_ASSERT(decodeUsageNote(encode(checkpoint)) == checkpoint);
+        // A workspace name that isn't valid UTF-8 must not prevent the report of the others.
+        const usage_note invalid{3, 9, {{9, {{{"\xff"}, 5}, {{"a"}, 1}}}}};
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
-                             decodeUsageNote(encode(odd))->reports[0].counts.at({"a"}));
+                             decodeUsageNote(encode(invalid))->reports[0].counts.at({"a"}));
         for (const char *text : {"", "{", "[]", "{\"epoch\":-1,\"settled\":1,\"reports\":[]}",
                                  "{\"epoch\":1,\"settled\":1,\"reports\":[{\"window\":1}]}"})
             CPPUNIT_ASSERT_MESSAGE(text, !decodeUsageNote(text));
     }
 
-    void theFirstNoteBeginsWithWhatIsDue()
+    void firstCheckpointContainsDueWindow()
     {
         const usage_note first = nextNote({}, {0, true, 11, 10, {}}, countsByWindow);
         CPPUNIT_ASSERT(first == (usage_note{0, 10, {{10, {{{"a"}, 10}}}}}));
@@ -170,7 +170,7 @@
         const usage_note before{0, 10, {{10, {}}}};
         const usage_note next = nextNote(before, {0, false, 13, 12, 10}, countsByWindow);
         CPPUNIT_ASSERT(next == (usage_note{0, 12, {{11, {{{"a"}, 11}}}, {12, {{{"a"}, 12}}}}}));
-        // Nobody waits for those that are too late anyway.
+        // Older windows are skipped, since their reports would be too late anyway.
         const usage_note late = nextNote(before, {0, false, 31, 30, 10}, noCounts);
         CPPUNIT_ASSERT_EQUAL(window_number{28}, late.reports.front().window);
         CPPUNIT_ASSERT_EQUAL(window_number{30}, late.settled);
@@ -181,9 +181,9 @@
         CPPUNIT_ASSERT(slow == (usage_note{0, 10, {}}));
     }
 
-    /// The holder ends after its write: its successor has counted otherwise, and can't know whether
+    /// The holder crashes after its write. Its successor has other counts and can't know whether
     /// the report was sent.
-    void whatMayNotHaveBeenSentIsSentAgainAsItWas()
+    void unconfirmedReportsAreKeptUnchanged()
     {
         const usage_note before{0, 10, {{9, {}}, {10, {{{"a"}, 4}}}}};
         const usage_note next = nextNote(before, {0, false, 12, 11, {}}, countsByWindow);
@@ -193,9 +193,9 @@
         CPPUNIT_ASSERT_EQUAL(window_number{10}, known.reports.front().window);
     }
 
-    /// The store comes back without the note of a report that was sent. Made anew, it would have
-    /// other counts.
-    void afterAnOlderCopyLostWindowsAreLeftOut()
+    /// A store rollback removes the checkpoint of a report that was sent. A new report of that
+    /// window would have other counts.
+    void windowsLostInRollbackAreSkipped()
     {
         const usage_note before{0, 8, {{8, {{{"a"}, 4}}}}};
         const usage_note next = nextNote(before, {1, false, 12, 11, {}}, countsByWindow);
@@ -206,7 +206,7 @@
                        == (usage_note{1, 12, {}}));
     }
 
-    void anUnreadableNoteFixesAllWindowsSoFar()
+    void malformedCheckpointSettlesAllEarlierWindows()
     {
         CPPUNIT_ASSERT(nextNote({}, {0, false, 12, 11, {}}, countsByWindow)
                        == (usage_note{0, 12, {}}));
