--- a/include/poplarspool/policy/inventory.h
+++ b/include/poplarspool/policy/inventory.h
@@ -13,16 +13,17 @@
 
 namespace poplarspool::policy {
 
-/// What a runner of a pool is.
+/// Kind of the runners in a pool.
 enum class runner_kind { Engine, Service };
 
-/// The part of the work that an engine takes.
+/// Phase of the requests that an engine is configured for.
 enum class engine_role { Mixed, Prefill, Decode };
 
 std::string_view nameOf(runner_kind kind);
 std::string_view nameOf(engine_role role);
 
-/// @returns What nameOf() names so; none where nothing is.
+/// Inverse of nameOf().
+/// @returns None if the name is unknown.
 std::optional<runner_kind> runnerKindOf(std::string_view name);
 std::optional<engine_role> engineRoleOf(std::string_view name);
 
@@ -34,21 +35,21 @@
     auto operator<=>(const model_version &) const = default;
 };
 
-/// A target as the asset register knows it.
+/// A target as described in the inventory.
 struct runner_spec
 {
     runner_id id;
     pool_id pool;
     zone_id zone;
     endpoint address;
-    bool checksFence = false; ///< Refuses an order whose fencing number is old.
-    bool isDraining = false; ///< Gets no new work; running streams finish.
+    bool checksFence = false; ///< Refuses an order with an outdated fencing token.
+    bool isDraining = false; ///< Receives no new work; running streams finish.
     std::uint32_t accelerators = 1;
-    std::uint32_t kvPieces = 1000; ///< Pieces of KV memory.
-    std::uint32_t pieceTokens = 16; ///< Tokens that one piece holds.
-    double prefillTokensPerSecond = 8000; ///< Of the whole engine.
-    double decodeTokensPerSecond = 1500; ///< Of the whole engine, all streams together.
-    std::uint32_t concurrency = 64; ///< Requests that it runs at once.
+    std::uint32_t kvPieces = 1000; ///< Size of the KV memory in pieces.
+    std::uint32_t pieceTokens = 16; ///< Tokens per piece.
+    double prefillTokensPerSecond = 8000; ///< Total of the engine.
+    double decodeTokensPerSecond = 1500; ///< Total of the engine over all streams.
+    std::uint32_t concurrency = 64; ///< Maximum number of requests that run at once.
     std::vector<model_version> mayCarry; ///< Engines only.
     std::vector<std::string> adapters; ///< Engines only.
 
@@ -59,14 +60,14 @@
 {
     pool_id id;
     runner_kind kind = runner_kind::Engine;
-    std::vector<model_version> serves; ///< Engines: the models wanted in this pool.
+    std::vector<model_version> serves; ///< Engines: models that this pool is to serve.
     std::string service; ///< Services: the NAME in /v1/services/NAME/…
-    engine_role startRole = engine_role::Mixed; ///< Engines: before any plan.
+    engine_role startRole = engine_role::Mixed; ///< Engines: role before the first plan.
 
     bool operator==(const pool_spec &) const = default;
 };
 
-/// The fixed fleet. Runners are sorted by id; a runner_handle is an index into them.
+/// The configured fleet. `runners` is sorted by id; a runner_handle is an index into it.
 struct inventory
 {
     std::string deployment;
@@ -77,13 +78,13 @@
     bool operator==(const inventory &) const = default;
 };
 
-/// @returns An invalid handle where there is none.
+/// @returns An invalid handle if there is no such runner.
 runner_handle findRunner(const inventory &fleet, const runner_id &id);
 
-/// @returns nullptr where there is none.
+/// @returns nullptr if there is no such pool.
 const pool_spec *findPool(const inventory &fleet, const pool_id &id);
 
-/// Text keys that are looked up without making a string first.
+/// Transparent hash, for lookups by string_view without constructing a string.
 struct text_hash
 {
     using is_transparent = void;
@@ -96,28 +97,29 @@
 template <class Value>
 using text_map = std::unordered_map<std::string, Value, text_hash, std::equal_to<>>;
 
-/// A runner's capacity, in the form in which estimates need it.
+/// A runner's capacity in the units that load estimates use.
 struct runner_rates
 {
-    double prefillTokensPerSecond = 1; ///< In mixed role, as the next two.
+    double prefillTokensPerSecond = 1; ///< This and the next two: in the mixed role.
     double prefillTokenSeconds = 1;
     double decodeTokenSeconds = 1;
     double piecesPerToken = 0;
     double pieces = 0;
-    double slots = 1; ///< Requests at once.
+    double slots = 1; ///< Requests that run at once.
 
     bool operator==(const runner_rates &) const = default;
 };
 
 runner_rates ratesOf(const runner_spec &spec);
 
-/// What a request's path needs of one runner's spec, beside each other in memory.
+/// The part of a runner_spec that routing reads, stored contiguously.
 struct indexed_runner
 {
     runner_rates rates;
-    std::uint32_t zone = UINT32_MAX; ///< Place in inventory::zones.
+    std::uint32_t zone = UINT32_MAX; ///< Index into inventory::zones.
     engine_role startRole = engine_role::Mixed;
-    bool startsWithModel = false; ///< Wanted in its pool, so expected before the first report.
+    bool startsWithModel =
+            false; ///< Served by the runner's pool, so assumed to be loaded until the first report.
 
     bool operator==(const indexed_runner &) const = default;
 };
@@ -130,23 +132,23 @@
     bool operator==(const indexed_candidate &) const = default;
 };
 
-/// Runners that may serve one model or service. A list is there, if empty, also where all of them
-/// are draining.
+/// Runners that can serve one model or service, except those that are draining. If all of them are
+/// draining, the list exists and is empty.
 struct candidate_list
 {
     std::vector<indexed_candidate> runners;
-    std::vector<std::uint64_t> idHashes; ///< In the same order; for rendezvous.
+    std::vector<std::uint64_t> idHashes; ///< In the same order, for rendezvous hashing.
 
     bool operator==(const candidate_list &) const = default;
 };
 
-/// Who could serve what, by the inventory alone. Built once per configuration, so that a request
-/// looks only at the runners that may serve it.
+/// Maps models and services to the runners that can serve them according to the inventory. Built
+/// once per configuration, so that routing visits only the runners that can serve a request.
 struct view_index
 {
-    std::shared_ptr<const inventory> fleet; ///< That it was built from.
-    text_map<candidate_list> models; ///< Engines that may carry a model.
-    text_map<candidate_list> services; ///< Runners of a plain service.
+    std::shared_ptr<const inventory> fleet; ///< Inventory that the index was built from.
+    text_map<candidate_list> models; ///< Engines by the models they support.
+    text_map<candidate_list> services; ///< Runners by plain service.
     text_map<runner_handle> ids;
     text_map<std::uint32_t> zones;
 };
--- a/include/poplarspool/policy/plan.h
+++ b/include/poplarspool/policy/plan.h
@@ -7,7 +7,7 @@
 
 namespace poplarspool::policy {
 
-/// The wanted state of one engine: absolute, never a step.
+/// Desired state of one engine; absolute, not relative to its current state.
 struct wanted_engine
 {
     engine_role role = engine_role::Mixed;
@@ -16,24 +16,24 @@
     bool operator==(const wanted_engine &) const = default;
 };
 
-/// Work that a pool was asked for lately, in seconds of engine time per second.
+/// Recent demand on a pool, in seconds of engine time per second.
 struct demand_estimate
 {
     double prefillSeconds = 0;
     double decodeSeconds = 0;
-    double prefillSpread = 0; ///< Standard deviation of single looks.
+    double prefillSpread = 0; ///< Standard deviation of single iterations.
     double decodeSpread = 0;
 
     bool operator==(const demand_estimate &) const = default;
 };
 
-/// What a planner remembers between two looks; a successor starts from an empty one, which only
-/// makes it slower to act.
+/// State of a planner between two iterations. A successor starts from an empty state, which only
+/// delays its first changes.
 struct plan_memory
 {
     demand_estimate demand;
-    /// Engine seconds lost so far by not changing (rent-or-buy): above 0 towards prefill, below 0
-    /// towards decode.
+    /// Accumulated cost of not changing roles, in engine seconds (rent-or-buy rule). Above 0
+    /// if changes towards prefill would avoid it, below 0 for changes towards decode.
     double regretSeconds = 0;
     mono_time lookedAt{};
 
@@ -50,14 +50,15 @@
 
 struct plan_step
 {
-    std::vector<planned_change> changes; ///< To start now; often empty.
-    plan_memory memory; ///< For the next look.
+    std::vector<planned_change> changes; ///< To start now; may be empty.
+    plan_memory memory; ///< For the next iteration.
 };
 
-/// One look at a pool. Engines without the wanted models get them first; roles change only where
-/// the engine seconds lost by not changing exceed the price of the change, as often as the rule's
-/// weight says, and never while another change of the pool is in flight (docs/design/role-plan.md).
-/// @param seen Demand since the last look.
+/// Runs one planning iteration for a pool. Engines that lack models of their pool get them first. A
+/// role changes only once the engine seconds lost by not changing exceed the cost of the change
+/// times a factor that follows from the rule's goodput weight, and never while another change of
+/// the pool is in flight (docs/design/role-plan.md).
+/// @param seen Demand since the last iteration.
 plan_step planPool(const view &now, const pool_id &pool, const plan_rule &rule,
                    const plan_memory &memory, const demand_estimate &seen, mono_time time);
 
--- a/include/poplarspool/policy/retry.h
+++ b/include/poplarspool/policy/retry.h
@@ -9,21 +9,23 @@
 
 namespace poplarspool::policy {
 
-/// Lets retries be at most a share of requests, so that failures don't multiply the load. Thread
-/// safe and free of locks.
+/// Limits retries to a share of the requests, so that failures don't multiply the load. Thread-safe
+/// and lock-free.
 class retry_budget
 {
 public:
-    /// @param share Retries per request; @param burst retries saved up at most.
+    /// @param share Retries per request.
+    /// @param burst Maximum number of retries that can accumulate.
     retry_budget(double share, double burst);
     void onRequest();
-    /// As onRequest(), with the share that the rules in force give.
+    /// As onRequest(), with the share from the rules in force.
     void onRequest(double share);
-    /// @returns Whether a retry may be made now; takes it off the budget.
+    /// Takes a retry from the budget.
+    /// @returns False if the budget does not allow one now.
     bool tryTake();
     /// @returns Whether the budget is not overdrawn.
     bool hasRoom() const;
-    /// Takes a retry that has been made already; the budget may be overdrawn by it.
+    /// Deducts a retry that was already made; may overdraw the budget.
     void takeAnyway();
 
 private:
@@ -34,9 +36,9 @@
     std::atomic<std::int64_t> saved;
 };
 
-/// @param triesMade The first among them.
-/// @returns Whether a request that failed so may be tried elsewhere at all, budget aside: a
-///          repeatable one always, another one only where it truly has not run.
+/// @param triesMade Number of tries, including the first one.
+/// @returns Whether a request with this failure may be tried on another runner, regardless of the
+///          budget. A request that isn't repeatable may be only if it certainly has not run.
 bool mayRetry(const error &failure, bool isRepeatable, std::uint32_t triesMade,
               milliseconds timeLeft);
 
--- a/include/poplarspool/policy/routing.h
+++ b/include/poplarspool/policy/routing.h
@@ -9,28 +9,29 @@
 
 namespace poplarspool::policy {
 
-/// Work that this instance has open at one runner, beyond what its last report can know.
+/// Work that this instance has in progress at one runner, including work that the runner's last
+/// report can't contain yet.
 struct sent_work
 {
-    std::uint32_t open = 0; ///< Requests sent and not ended.
+    std::uint32_t open = 0; ///< Requests sent and not finished.
     std::uint32_t openSinceReport = 0; ///< Of these, sent since the report was taken.
     std::uint64_t prefillTokensSinceReport = 0;
 
     bool operator==(const sent_work &) const = default;
 };
 
-/// What is wanted of a runner.
+/// Input of a routing decision.
 struct route_request
 {
     std::string model; ///< For engines.
     std::string service; ///< For plain services.
     std::uint32_t promptTokens = 0;
-    std::uint32_t outputTokens = 0; ///< At most.
-    std::uint64_t prefixHash = 0; ///< Of the prompt's head; 0: no affinity.
-    std::uint32_t rank = 0; ///< Priority.
+    std::uint32_t outputTokens = 0; ///< Maximum.
+    std::uint64_t prefixHash = 0; ///< Hash of the prompt prefix; 0: no affinity.
+    std::uint32_t rank = 0; ///< Priority; the lowest rank is served first.
     zone_id zone; ///< Preferred.
     milliseconds timeLeft{0};
-    std::vector<runner_handle> avoid; ///< Failed or refused in an earlier try.
+    std::vector<runner_handle> avoid; ///< Runners that failed or refused in an earlier try.
 
     bool operator==(const route_request &) const = default;
 };
@@ -38,31 +39,34 @@
 struct route_choice
 {
     runner_handle runner;
-    milliseconds expectedStart{0}; ///< Until the first token.
+    milliseconds expectedStart{0}; ///< Time until the first token.
     milliseconds expectedEnd{0};
 
     bool operator==(const route_choice &) const = default;
 };
 
-/// Chooses a runner, or refuses truly "not run": NotFound where nobody carries the model or service
-/// by the inventory, TooLarge where its KV memory exceeds that of every engine in reach, Overloaded
-/// with retryAfter where it can't be done in time, Unavailable where all who could are away.
+/// Chooses a runner, or refuses the request as not run. Errors: NotFound if the inventory has no
+/// runner for the model or service; TooLarge if the request needs more KV memory than any engine
+/// that can take it has; Overloaded with retryAfter if it can't finish in time; Unavailable if no
+/// runner that could serve it takes work now.
 /// @param sent One entry per runner of the view.
-/// @param tieBreak Any number that differs between requests, and between instances: what is chosen
-///                 at random is drawn by it, so instances that count from the same start draw the
-///                 same runners.
+/// @param tieBreak Seed of the random choices. Must differ between requests and between instances:
+///                 instances that count up from the same start choose the same runners.
 result<route_choice> route(const view &now, const route_request &wanted,
                            std::span<const sent_work> sent, mono_time time, std::uint64_t tieBreak);
 
-/// @returns Tokens of a prompt by its bytes; the engines' own count is not known beforehand.
+/// @returns Estimate of a prompt's tokens from its size in bytes, since the engine's own count is
+/// not
+///          known in advance.
 std::uint32_t estimateTokens(std::string_view prompt);
 
-/// @returns Hash of the prompt's head, as wide as affinity looks; 0 for a short prompt.
+/// @returns Hash of the prompt prefix that prefix affinity uses; 0 if the prompt is shorter.
 std::uint64_t prefixHashOf(std::string_view model, std::string_view prompt);
 
-/// Addresses to give to a caller, best first: its own zone before others, alive before suspect,
-/// leaving and dead never, spread by load.
-/// @param zone Where the caller is; invalid: unknown.
+/// Returns addresses of instances for a caller, best first. Order: alive before suspect, not
+/// overloaded before overloaded, the caller's zone before others; otherwise random. Leaving and
+/// dead instances are left out.
+/// @param zone Zone of the caller; invalid: unknown.
 std::vector<endpoint> rankAddresses(const view &now, const zone_id &zone, std::uint64_t tieBreak);
 
 } // namespace poplarspool::policy
--- a/include/poplarspool/policy/rules.h
+++ b/include/poplarspool/policy/rules.h
@@ -11,33 +11,34 @@
 
 namespace poplarspool::policy {
 
-/// A class of requests; the lower the rank, the earlier it is served.
+/// A priority class of requests; lower ranks are served first.
 struct priority_class
 {
     std::string name;
     std::uint32_t rank = 0;
-    milliseconds timeLimit = config::defaultTimeLimit; ///< Where the caller names none.
+    milliseconds timeLimit = config::defaultTimeLimit; ///< If the caller gives none.
 
     bool operator==(const priority_class &) const = default;
 };
 
-/// A caller that may come in. Where the rules name any, no one else gets in.
+/// A caller that has access. If the rules list any callers, all others are refused.
 struct caller_rule
 {
     caller_id id;
-    std::string keySha256; ///< Hex of the SHA-256 of its bearer key.
-    std::vector<workspace_id> workspaces; ///< That it may name; empty: any.
-    std::string priorityClass; ///< Of its requests where no request rule says otherwise.
+    std::string keySha256; ///< SHA-256 of its bearer key, in hex.
+    std::vector<workspace_id> workspaces; ///< Workspaces it may use; empty: any.
+    std::string priorityClass; ///< For its requests, unless a request rule sets another one.
 
     bool operator==(const caller_rule &) const = default;
 };
 
 enum class repeat_rule {
-    Allowed, ///< Idempotent: may be tried again after a failure.
+    Allowed, ///< Idempotent: may be retried after a failure.
     Never, ///< Runs at most once.
 };
 
-/// What holds for requests that match. Empty members match all; the first rule that matches wins.
+/// Settings for matching requests. Empty conditions match everything; the first matching rule
+/// applies.
 struct request_rule
 {
     std::string name;
@@ -45,29 +46,29 @@
     workspace_id workspace;
     std::string model; ///< Completions of this model.
     std::string service; ///< Calls of this plain service.
-    std::string method; ///< Such as "POST".
-    std::string pathPrefix; ///< Of the service's own path.
+    std::string method; ///< HTTP method, such as "POST".
+    std::string pathPrefix; ///< Prefix of the path within the service.
 
-    std::string priorityClass; ///< Empty: the caller's or the default.
+    std::string priorityClass; ///< Empty: the caller's class or the default.
     repeat_rule repeat = repeat_rule::Allowed;
-    bool needsKey = false; ///< Refuse without an Idempotency-Key.
+    bool needsKey = false; ///< Refuse requests without an Idempotency-Key.
 
     bool operator==(const request_rule &) const = default;
 };
 
-/// How a pool's roles are planned.
+/// Settings for planning the engine roles of a pool.
 struct plan_rule
 {
     pool_id pool;
     bool enabled = true;
-    double goodputWeight = 0.5; ///< 1: only goodput counts; 0: only few role changes count.
+    double goodputWeight = 0.5; ///< 1: maximize goodput only; 0: minimize role changes only.
     std::uint32_t maxChangesInFlight = 1;
-    std::uint32_t minEngines = 1; ///< Engines that always stay in service.
+    std::uint32_t minEngines = 1; ///< Minimum number of engines that stay in service.
 
     bool operator==(const plan_rule &) const = default;
 };
 
-/// The operators' rules.
+/// Rules set by the operators.
 struct rules
 {
     std::vector<priority_class> classes; ///< At least one; the last one is the default.
@@ -82,7 +83,7 @@
     bool operator==(const rules &) const = default;
 };
 
-/// What a request is, as far as rules look at it.
+/// Properties of a request that rules match.
 struct request_facts
 {
     caller_id caller;
@@ -90,12 +91,12 @@
     std::string model; ///< Empty for a plain service.
     std::string service; ///< Empty for a completion.
     std::string method;
-    std::string path; ///< The service's own path.
+    std::string path; ///< Path within the service.
 
     bool operator==(const request_facts &) const = default;
 };
 
-/// What the rules say of one request.
+/// Settings that result from the rules for one request.
 struct request_ruling
 {
     std::string priorityClass;
@@ -107,16 +108,16 @@
     bool operator==(const request_ruling &) const = default;
 };
 
-/// Where no request rule matches, completions may be repeated, and calls of plain services if HTTP
-/// calls their method idempotent.
-request_ruling rulingOf(const rules &book, const request_facts &facts);
+/// If no request rule matches, completions may be repeated, and calls of plain services only if
+/// HTTP defines their method as idempotent.
+request_ruling rulingOf(const rules &ruleSet, const request_facts &facts);
 
-/// @param bearerKey As it came in; empty where there was none.
-/// @returns The caller; the invalid id where the rules name no callers and anyone may come in;
-///          Unauthorized (not run) otherwise.
-result<caller_id> admitCaller(const rules &book, std::string_view bearerKey);
+/// @param bearerKey Key as received; empty if there was none.
+/// @returns The caller; an invalid id if the rules list no callers, which allows all requests;
+///          otherwise Unauthorized (not run).
+result<caller_id> admitCaller(const rules &ruleSet, std::string_view bearerKey);
 
-/// @returns Whether that caller may act for that workspace.
-bool mayUse(const rules &book, const caller_id &caller, const workspace_id &workspace);
+/// @returns Whether the caller may use the workspace.
+bool mayUse(const rules &ruleSet, const caller_id &caller, const workspace_id &workspace);
 
 } // namespace poplarspool::policy
--- a/src/duties/usage_exchange.cpp
+++ b/src/duties/usage_exchange.cpp
@@ -21,7 +21,7 @@
           std::function<std::vector<policy::member>()> members, clock_source time,
           metrics_registry &metrics, journal &events)
         : self(settings.self), port(settings.address.port), incarnation(incarnation),
-          usage(context), members(std::move(members)), clock(std::move(time)),
+          context(context), members(std::move(members)), clock(std::move(time)),
           clocks(metrics.gaugeOf("poplarspool_clocks_heard")),
           loop("usage_news", std::move(settings), peer::frame_kind::Usage,
                "poplarspool_usage_news_total",
--- a/src/policy/addresses.cpp
+++ b/src/policy/addresses.cpp
@@ -11,46 +11,49 @@
 
 struct ranked_member
 {
-    std::tuple<bool, bool, bool, std::uint64_t> key; ///< The least is the best.
-    const member *who = nullptr;
+    std::tuple<bool, bool, bool, std::uint64_t> key; ///< The lowest key is the best.
+    const member *instance = nullptr;
 
     bool isElsewhere() const { return std::get<2>(key); }
     bool operator<(const ranked_member &other) const { return key < other.key; }
 };
 
-bool isOffered(const member &who)
+bool isEligible(const member &instance)
 {
-    const bool isThere = who.state == member_state::Alive || who.state == member_state::Suspect;
-    return isThere && who.callerAddress.isValid();
+    const bool isUp =
+            instance.state == member_state::Alive || instance.state == member_state::Suspect;
+    return isUp && instance.callerAddress.isValid();
 }
 
-/// @returns Streams beyond which an instance is overloaded beside the others. Callers keep an
-///          address for seconds and counts lag, so a strict order by load would send everybody
-///          to the instance that happens to be the emptiest; a bound only spares the fullest.
+/// @returns Number of streams above which an instance counts as overloaded compared with the
+/// others.
+///          Callers keep an address for seconds and the counts are delayed, so a strict order by
+///          load would send all callers to the least loaded instance. A bound only spares the most
+///          loaded ones.
 double loadBound(const view &now)
 {
     double streams = 0;
     double count = 0;
-    for (const member &who : now.members)
-        if (isOffered(who)) {
-            streams += who.openStreams;
+    for (const member &instance : now.members)
+        if (isEligible(instance)) {
+            streams += instance.openStreams;
             ++count;
         }
     const double mean = count > 0 ? streams / count : 0;
     return mean * config::addressLoadFactor + config::addressLoadSlack;
 }
 
-/// Keeps the best of a sorted list, with some from other zones among them: a caller whose list
-/// names one zone only has nowhere to go when that zone is lost.
-void shorten(std::vector<ranked_member> &ranked)
+/// Truncates a sorted list to its best entries and includes some from other zones: a caller whose
+/// list contains one zone only can't reach any instance when that zone fails.
+void truncate(std::vector<ranked_member> &ranked)
 {
     if (ranked.size() <= config::maxRankedAddresses)
         return;
-    const auto most = ranked.begin() + config::maxRankedAddresses;
-    const auto spare = most - config::minElsewhereAddresses;
+    const auto limit = ranked.begin() + config::maxRankedAddresses;
+    const auto reserved = limit - config::minElsewhereAddresses;
     const auto elsewhere = std::stable_partition(
-            spare, ranked.end(), [](const ranked_member &one) { return one.isElsewhere(); });
-    std::sort(spare, elsewhere);
+            reserved, ranked.end(), [](const ranked_member &one) { return one.isElsewhere(); });
+    std::sort(reserved, elsewhere);
     ranked.resize(config::maxRankedAddresses);
 }
 
@@ -61,21 +64,22 @@
     const double bound = loadBound(now);
     std::vector<ranked_member> ranked;
     ranked.reserve(now.members.size());
-    for (const member &who : now.members) {
-        if (!isOffered(who))
+    for (const member &instance : now.members) {
+        if (!isEligible(instance))
             continue;
-        const bool isSuspect = who.state == member_state::Suspect;
-        const bool isOverloaded = who.openStreams > bound;
-        const bool isElsewhere = zone.isValid() && who.zone != zone;
+        const bool isSuspect = instance.state == member_state::Suspect;
+        const bool isOverloaded = instance.openStreams > bound;
+        const bool isElsewhere = zone.isValid() && instance.zone != zone;
         ranked.push_back(
-                {{isSuspect, isOverloaded, isElsewhere, hashOf(who.id.text, tieBreak)}, &who});
+                {{isSuspect, isOverloaded, isElsewhere, hashOf(instance.id.text, tieBreak)},
+                 &instance});
     }
     std::sort(ranked.begin(), ranked.end());
-    shorten(ranked);
+    truncate(ranked);
     std::vector<endpoint> addresses;
     addresses.reserve(ranked.size());
     for (const ranked_member &one : ranked)
-        addresses.push_back(one.who->callerAddress);
+        addresses.push_back(one.instance->callerAddress);
     return addresses;
 }
 
--- a/src/policy/engine_estimate.cpp
+++ b/src/policy/engine_estimate.cpp
@@ -12,15 +12,16 @@
     return std::max(0.0, std::chrono::duration<double>(to - from).count());
 }
 
-/// @returns Pieces that the requests sent since the report will hold.
+/// @returns KV memory pieces that the requests sent since the report will use.
 double sentPieces(const runner_rates &rates, std::uint32_t requests, std::uint64_t promptTokens)
 {
     const double outputTokens = requests * config::typicalOutputTokens;
     return (static_cast<double>(promptTokens) + outputTokens) * rates.piecesPerToken;
 }
 
-/// An engine whose reports stop looks empty, or as it last was, and would get everything or
-/// nothing. Half used at least, plus what is open there, spreads the work by our own count.
+/// Estimate for an engine without a recent report. If it were taken as empty, or as it last was, it
+/// would receive all requests or none. It is assumed to be at least half used, plus the requests
+/// open there, so that work is spread by this instance's own count.
 runner_load estimateUnknown(const runner_rates &rates, const load_report &report,
                             const sent_work &sent, double piecesTotal)
 {
@@ -43,20 +44,20 @@
 }
 
 runner_load estimateLoad(const runner_rates &rates, const runner_state &state,
-                         const sent_work &sent, const load_question &question)
+                         const sent_work &sent, const load_question &query)
 {
     const load_report &report = state.report;
     const double piecesTotal = report.kvPiecesTotal > 0 ? report.kvPiecesTotal : rates.pieces;
-    if (!isFreshReport(state, question.time))
+    if (!isFreshReport(state, query.time))
         return estimateUnknown(rates, report, sent, piecesTotal);
     runner_load load;
     load.piecesTotal = piecesTotal;
-    const double queued = report.queued * question.queueShare;
-    // Requests that the report already counts are not added a second time.
+    const double queued = report.queued * query.queueShare;
+    // Requests that the report already includes must not be counted twice.
     load.ahead = std::max<double>(report.running + queued + sent.openSinceReport, sent.open);
-    const double age = secondsBetween(state.reportedAt, question.time);
+    const double age = secondsBetween(state.reportedAt, query.time);
     const double done = age * config::backlogDrainShare * rates.prefillTokensPerSecond;
-    const double reported = static_cast<double>(report.prefillTokensQueued) * question.queueShare;
+    const double reported = static_cast<double>(report.prefillTokensQueued) * query.queueShare;
     const double backlog = std::max(0.0, reported - done);
     load.prefillTokens = backlog + static_cast<double>(sent.prefillTokensSinceReport);
     double used = report.kvPiecesUsed
@@ -87,16 +88,16 @@
     const double prefillTokenSeconds = rates.prefillTokenSeconds / speed.prefill;
     const double decodeTokenSeconds = rates.decodeTokenSeconds / speed.decode;
     const double pieces = (1.0 * wanted.promptTokens + wanted.outputTokens) * rates.piecesPerToken;
-    double endsAwaited = std::max(0.0, load.ahead + 1 - rates.slots);
-    // KV memory runs out before slots do where prompts are long: a request that finds too few free
+    double streamsToEnd = std::max(0.0, load.ahead + 1 - rates.slots);
+    // With long prompts KV memory is exhausted before slots are: a request that finds too few free
     // pieces waits in the engine until enough streams have ended.
     if (pieces > load.piecesFree) {
         const double held = std::max(0.0, load.piecesTotal - load.piecesFree);
         const double perStream = std::max(1.0, held / std::max(1.0, load.ahead));
         const double needed = std::ceil((pieces - load.piecesFree) / perStream);
-        endsAwaited = std::max(endsAwaited, needed);
+        streamsToEnd = std::max(streamsToEnd, needed);
     }
-    const double wait = endsAwaited * config::typicalOutputTokens * decodeTokenSeconds;
+    const double wait = streamsToEnd * config::typicalOutputTokens * decodeTokenSeconds;
     const double prefill = (load.prefillTokens + wanted.promptTokens) * prefillTokenSeconds;
     const double active = std::min(load.ahead + 1, rates.slots);
     const double perToken = std::max(config::minTokenSeconds, active * decodeTokenSeconds);
--- a/src/policy/engine_estimate.h
+++ b/src/policy/engine_estimate.h
@@ -2,47 +2,48 @@
 
 #include "poplarspool/policy/routing.h"
 
-/// What a request would meet at one runner, from the runner's spec, its lagging report and what
-/// this instance sent since.
+/// Estimates of load and completion time at one runner, from its spec, its last report and the
+/// requests that this instance has sent since.
 namespace poplarspool::policy {
 
 struct runner_load
 {
-    double ahead = 0; ///< Requests that hold a slot or get one before a new request.
-    double prefillTokens = 0; ///< To be worked off before a new request's prompt.
+    double ahead = 0; ///< Requests that hold a slot, or will get one before a new request.
+    double prefillTokens = 0; ///< Prompt tokens to process before a new request's prompt.
     double piecesTotal = 0;
     double piecesFree = 0;
 
     bool operator==(const runner_load &) const = default;
 };
 
-/// What is the same for all runners that one request is compared on.
+/// Inputs that are the same for all runners considered for one request.
 struct load_question
 {
     mono_time time{};
-    /// Share of a queue that goes before the request. Reports don't tell ranks apart, so a queue is
-    /// taken to be spread over them: without the discount a long queue of the lowest class would
-    /// get the highest class refused, although engines would let it go ahead.
+    /// Share of a queue that is served before the request. Reports don't distinguish ranks, so
+    /// queues are assumed to be spread over all ranks. Without this discount a long queue of the
+    /// lowest class would cause requests of the highest class to be refused, although engines serve
+    /// them first.
     double queueShare = 1;
 };
 
 load_question questionOf(std::uint32_t rank, mono_time time);
 
-/// A stale report counts as unknown load, never as empty.
+/// Treats a stale report as unknown load, never as an idle runner.
 runner_load estimateLoad(const runner_rates &rates, const runner_state &state,
-                         const sent_work &sent, const load_question &question);
+                         const sent_work &sent, const load_question &query);
 
 struct time_estimate
 {
-    bool fits = true; ///< The request's KV memory is not beyond the engine's whole memory.
-    double startSeconds = 0; ///< Until the first token.
+    bool fits = true; ///< The request's KV memory doesn't exceed the engine's total memory.
+    double startSeconds = 0; ///< Time until the first token.
     double endSeconds = 0;
-    double score = 0; ///< By which runners are compared; the least is the best.
+    double score = 0; ///< For comparing runners; the lowest is the best.
 
     bool operator==(const time_estimate &) const = default;
 };
 
-/// Speed of an engine in some role, as a share of its speed in mixed role.
+/// Speed of an engine in a role, relative to its speed in the mixed role.
 struct role_speed
 {
     double prefill = 1;
--- a/src/policy/inventory.cpp
+++ b/src/policy/inventory.cpp
@@ -69,8 +69,8 @@
 void addCandidate(candidate_list &list, const runner_spec &runner,
                   const indexed_candidate &candidate)
 {
-    const bool isThere = !list.runners.empty() && list.runners.back().runner == candidate.runner;
-    if (runner.isDraining || isThere)
+    const bool isListed = !list.runners.empty() && list.runners.back().runner == candidate.runner;
+    if (runner.isDraining || isListed)
         return;
     list.runners.push_back(candidate);
     list.idHashes.push_back(hashOf(runner.id.text));
@@ -79,9 +79,9 @@
 void indexEngine(view_index &index, const runner_spec &runner, const pool_spec &pool,
                  indexed_candidate candidate)
 {
-    for (const model_version &carried : runner.mayCarry) {
-        candidate.facts.startsWithModel = servesModel(pool, carried.model);
-        addCandidate(index.models[carried.model], runner, candidate);
+    for (const model_version &supported : runner.mayCarry) {
+        candidate.facts.startsWithModel = servesModel(pool, supported.model);
+        addCandidate(index.models[supported.model], runner, candidate);
     }
 }
 
--- a/src/policy/plan.cpp
+++ b/src/policy/plan.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// An engine of the pool that could be ordered to change.
+/// An engine of the pool that may be given an order to change.
 struct pool_engine
 {
     runner_handle runner;
     const runner_spec *spec = nullptr;
     const load_report *report = nullptr;
-    std::vector<model_version> wanted; ///< Of the pool's models, those that it may carry.
-    bool isServing = false; ///< Open for work, with a model of the pool.
+    std::vector<model_version> wanted; ///< The pool's models that the engine supports.
+    bool isServing = false; ///< Open for work, with a model of the pool loaded.
 };
 
 struct pool_engines
 {
-    std::vector<pool_engine> idle; ///< Not in flight, with a fresh report.
+    std::vector<pool_engine> idle; ///< Without a change in flight and with a fresh report.
     std::uint32_t inFlight = 0;
     std::uint32_t serving = 0;
 };
@@ -56,15 +56,15 @@
         const runner_state &state = now.runners[at];
         if (spec.pool != pool.id)
             continue;
-        // An engine that crashed in its change is lost, not under way: if it counted, it would keep
-        // the pool from any change until somebody repairs it.
+        // An engine that crashed during its change must not count as in flight: it would block all
+        // changes of the pool until it is repaired.
         if (state.health == runner_health::Down)
             continue;
         if (state.isReserved || state.report.isChanging) {
             ++engines.inFlight;
             continue;
         }
-        // What an engine does now must be known before it is told to do something else.
+        // The current state of an engine must be known before it is given an order.
         if (!isOpenForWork(now, {at}) || !isFreshReport(state, time))
             continue;
         const bool isServing = servesAny(state.report, pool);
@@ -82,14 +82,14 @@
     return std::clamp(passed, 0.0, config::maxLookSeconds);
 }
 
-/// Moves an average and its spread towards what was seen.
-void average(double &mean, double &spread, double seen, double seenSpread, double weight)
+/// Updates an exponentially weighted mean and standard deviation with a sample.
+void updateAverage(double &mean, double &stdDev, double seen, double seenStdDev, double weight)
 {
-    const double off = seen - mean;
-    mean += weight * off;
-    const double variance = (1 - weight) * (spread * spread + weight * off * off)
-            + weight * seenSpread * seenSpread;
-    spread = std::sqrt(variance);
+    const double deviation = seen - mean;
+    mean += weight * deviation;
+    const double variance = (1 - weight) * (stdDev * stdDev + weight * deviation * deviation)
+            + weight * seenStdDev * seenStdDev;
+    stdDev = std::sqrt(variance);
 }
 
 demand_estimate averageDemand(const plan_memory &memory, const demand_estimate &seen, double passed)
@@ -98,27 +98,28 @@
         return seen;
     const double weight = 1 - std::exp(-passed / config::demandSeconds);
     demand_estimate demand = memory.demand;
-    average(demand.prefillSeconds, demand.prefillSpread, seen.prefillSeconds, seen.prefillSpread,
-            weight);
-    average(demand.decodeSeconds, demand.decodeSpread, seen.decodeSeconds, seen.decodeSpread,
-            weight);
+    updateAverage(demand.prefillSeconds, demand.prefillSpread, seen.prefillSeconds,
+                  seen.prefillSpread, weight);
+    updateAverage(demand.decodeSeconds, demand.decodeSpread, seen.decodeSeconds, seen.decodeSpread,
+                  weight);
     return demand;
 }
 
-/// @returns The demand with the uncertainty of its averages: far less than that of single looks,
-///          whose ups and downs the engines' queues absorb. Planning for the latter hedges against
-///          swings that are none, at the price of role changes.
-demand_estimate withAverageSpread(demand_estimate demand)
+/// @returns The demand with the standard deviation of its averages. It is far lower than that of
+/// single
+///          iterations, whose fluctuations the engines' queues absorb; planning for those would
+///          cause unnecessary role changes.
+demand_estimate withStdDevOfMean(demand_estimate demand)
 {
-    const double lookSeconds = std::chrono::duration<double>(config::planTime).count();
-    const double weight = 1 - std::exp(-lookSeconds / config::demandSeconds);
+    const double intervalSeconds = std::chrono::duration<double>(config::planTime).count();
+    const double weight = 1 - std::exp(-intervalSeconds / config::demandSeconds);
     const double share = std::sqrt(weight / (2 - weight));
     demand.prefillSpread *= share;
     demand.decodeSpread *= share;
     return demand;
 }
 
-/// Hands out changes within the pool's limits.
+/// Grants changes within the pool's limits.
 class change_budget
 {
 public:
@@ -129,7 +130,8 @@
           spare(engines.serving > rule.minEngines ? engines.serving - rule.minEngines : 0)
     { }
 
-    /// @returns Whether the engine may go; takes it off the budget.
+    /// Takes the engine's change from the budget.
+    /// @returns False if the budget does not allow it.
     bool tryTake(const pool_engine &engine)
     {
         if (left == 0 || (engine.isServing && spare == 0))
@@ -141,11 +143,11 @@
 
 private:
     std::uint32_t left;
-    std::uint32_t spare; ///< Serving engines beyond those that must stay.
+    std::uint32_t spare; ///< Serving engines above the required minimum.
 };
 
-/// @returns The role that an engine has before any plan, or keeps beside one.
-engine_role basicRole(const pool_engine &engine, const pool_spec &pool, const plan_rule &rule)
+/// @returns The role that an engine should have if no role change is planned.
+engine_role baseRole(const pool_engine &engine, const pool_spec &pool, const plan_rule &rule)
 {
     return rule.enabled && engine.isServing ? engine.report->role : pool.startRole;
 }
@@ -158,16 +160,17 @@
     return hasAll && engine.report->role == role;
 }
 
-/// Engines that lack a model of their pool, or the role that they start with.
-/// @returns Whether there are any, started now or not.
-bool planBasics(const pool_engines &engines, const pool_spec &pool, const plan_rule &rule,
-                change_budget &budget, plan_step &step)
+/// Plans changes of engines that lack a model of their pool or their base role.
+/// @returns Whether there are any, including those whose change can't start now.
+bool planBaseState(const pool_engines &engines, const pool_spec &pool, const plan_rule &rule,
+                   change_budget &budget, plan_step &step)
 {
     bool isAnyMissing = false;
-    for (const bool servingToo : {false, true})
+    for (const bool isServingPass : {false, true})
         for (const pool_engine &engine : engines.idle) {
-            const engine_role role = basicRole(engine, pool, rule);
-            if (engine.isServing != servingToo || engine.wanted.empty() || isAsWanted(engine, role))
+            const engine_role role = baseRole(engine, pool, rule);
+            if (engine.isServing != isServingPass || engine.wanted.empty()
+                || isAsWanted(engine, role))
                 continue;
             isAnyMissing = true;
             if (budget.tryTake(engine))
@@ -185,7 +188,7 @@
     return split;
 }
 
-/// @returns +1 where moves lead towards prefill, -1 where they lead towards decode.
+/// @returns +1 if the moves shift engines towards prefill, -1 if towards decode.
 double directionOf(const std::vector<role_move> &moves)
 {
     int towards = 0;
@@ -196,10 +199,11 @@
     return towards >= 0 ? 1 : -1;
 }
 
-/// Regret towards one side gathers; it fades while the present split is good enough, and faster
-/// while the other side would be better. Without the fading, noise around the best split would
-/// add up to a change now and then, and one swing to and fro to two.
-double gatherRegret(double regret, const split_advice &advice, std::uint32_t engines, double passed)
+/// Accumulates regret in one direction. It decays while the current split is good enough, and also
+/// while the opposite direction would be better. Without decay, noise around the best split would
+/// occasionally add up to a change, and one fluctuation back and forth would cause two.
+double accumulateRegret(double regret, const split_advice &advice, std::uint32_t engines,
+                        double passed)
 {
     const bool isBetter = advice.gain > config::minPlanGain * engines;
     const double direction = directionOf(advice.moves);
@@ -208,22 +212,24 @@
     return isBetter ? regret + direction * advice.gain * passed : regret;
 }
 
-/// @returns Engine seconds that a role change of this engine costs.
-double priceOf(const pool_engine &engine)
+/// @returns Cost of a role change of this engine, in engine seconds.
+double changeCost(const pool_engine &engine)
 {
     const double drained = engine.report->running * config::typicalOutputTokens
             / std::max(1.0, engine.spec->decodeTokensPerSecond);
-    // While it drains, an engine is still half used.
+    // A draining engine is half used on average.
     return config::roleChangeSeconds + drained / 2;
 }
 
-/// @returns How many times its price a change must have been worth.
-double priceFactor(const plan_rule &rule)
+/// @returns Factor by which the regret must exceed the cost of a change.
+double costFactor(const plan_rule &rule)
 {
     return std::pow(config::mostPriceFactor, 1 - std::clamp(rule.goodputWeight, 0.0, 1.0));
 }
 
-/// @returns The engine of that role that is drained soonest and is not taken yet.
+/// @returns The serving engine of that role with the fewest running requests, which drains soonest,
+/// and
+///          without a planned change.
 const pool_engine *cheapest(const pool_engines &engines, engine_role role, const plan_step &step)
 {
     const pool_engine *best = nullptr;
@@ -239,21 +245,22 @@
     return best;
 }
 
-/// Rent or buy: a change is made when not making it has cost as much as it would, so that without
-/// knowing the future at most about twice the best plan's price is paid.
+/// Plans role changes by the rent-or-buy rule: a change is made once not making it has cost as much
+/// as the change itself. Without knowledge of future demand, the total cost is then at most about
+/// twice that of the optimal plan.
 void planRoles(const pool_engines &engines, const plan_rule &rule, const split_advice &advice,
                change_budget &budget, plan_step &step)
 {
-    const double factor = priceFactor(rule);
-    double worth = std::abs(step.memory.regretSeconds);
+    const double factor = costFactor(rule);
+    double remainingRegret = std::abs(step.memory.regretSeconds);
     if (step.memory.regretSeconds * directionOf(advice.moves) <= 0)
         return;
     for (const role_move &move : advice.moves) {
         const pool_engine *engine = cheapest(engines, move.from, step);
         if (!engine)
             return;
-        worth -= priceOf(*engine) * factor;
-        if (worth < 0 || !budget.tryTake(*engine))
+        remainingRegret -= changeCost(*engine) * factor;
+        if (remainingRegret < 0 || !budget.tryTake(*engine))
             return;
         step.changes.push_back({engine->runner, {move.to, engine->wanted}});
         step.memory.regretSeconds = 0;
@@ -274,14 +281,15 @@
     step.memory.lookedAt = time;
     const pool_engines engines = enginesOf(now, *spec, time);
     change_budget budget(rule, engines);
-    const bool isAnyMissing = planBasics(engines, *spec, rule, budget, step);
-    // With a change in flight the split that would be judged is about to be another one.
+    const bool isAnyMissing = planBaseState(engines, *spec, rule, budget, step);
+    // A change in flight is about to alter the split, so it can't be evaluated now.
     if (isAnyMissing || engines.inFlight > 0 || !rule.enabled)
         return step;
     const role_split split = splitOf(engines);
     const split_advice advice =
-            adviseSplit(split, withAverageSpread(step.memory.demand), serving_mode::Whole);
-    step.memory.regretSeconds = gatherRegret(memory.regretSeconds, advice, split.total(), passed);
+            adviseSplit(split, withStdDevOfMean(step.memory.demand), serving_mode::Whole);
+    step.memory.regretSeconds =
+            accumulateRegret(memory.regretSeconds, advice, split.total(), passed);
     if (advice.gain > config::minPlanGain * split.total())
         planRoles(engines, rule, advice, budget, step);
     return step;
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr std::int64_t oneRetry = 1000; ///< In the budget's unit.
+constexpr std::int64_t oneRetry = 1000; ///< The budget counts thousandths of a retry.
 
 std::int64_t thousandthsOf(double retries)
 {
     return std::llround(std::max(retries, 0.0) * static_cast<double>(oneRetry));
 }
 
-/// @returns Whether another runner could do better than the one that failed so.
-bool mayDifferElsewhere(error_code code)
+/// @returns Whether another runner may succeed after this failure.
+bool maySucceedElsewhere(error_code code)
 {
     switch (code) {
     case error_code::Overloaded:
@@ -78,7 +78,7 @@
 {
     if (timeLeft <= milliseconds::zero() || triesMade >= config::maxTries)
         return false;
-    if (!mayDifferElsewhere(failure.code))
+    if (!maySucceedElsewhere(failure.code))
         return false;
     return failure.ran == verdict::NotRun || isRepeatable;
 }
--- a/src/policy/role_split.cpp
+++ b/src/policy/role_split.cpp
@@ -11,15 +11,16 @@
 
 constexpr std::array roles{engine_role::Mixed, engine_role::Prefill, engine_role::Decode};
 
-/// Wanted work in seconds of an engine in mixed role, a second.
+/// Demand in engine seconds per second, for an engine in the mixed role.
 struct work_rate
 {
     double prefill = 0;
     double decode = 0;
 };
 
-/// Engines that do whole requests do so many times the demand as their time allows.
-double lossWhole(const role_split &split, const work_rate &work)
+/// Loss if each request is served by a single engine: capacity is the multiple of the demand that
+/// the engines can serve.
+double lossSingleEngine(const role_split &split, const work_rate &work)
 {
     const auto servedBy = [&](double engines, engine_role role) {
         const role_speed speed = speedOf(role);
@@ -31,9 +32,9 @@
     return std::max(0.0, 1 - served) * (work.prefill + work.decode);
 }
 
-/// Engines do first what their role is made for, mixed ones fill up either side, and what is left
-/// falls back to engines of the wrong role that have time.
-double lossHandedOver(const role_split &split, const work_rate &work)
+/// Loss with prefill handoff: engines first serve the phase of their role, mixed engines serve
+/// either phase, and the rest falls back to idle engines of the other role.
+double lossWithHandoff(const role_split &split, const work_rate &work)
 {
     const double prefillRoom = split.prefill * config::ownRoleSpeed;
     const double decodeRoom = split.decode * config::ownRoleSpeed;
@@ -51,25 +52,27 @@
 {
     if (work.prefill + work.decode <= 0)
         return 0;
-    // No split brings back a demand beyond the engines' time; what counts is the difference.
+    // Demand beyond the capacity of all engines is lost with every split; only the difference
+    // between splits matters.
     const work_rate needed{work.prefill / config::usableEngineShare,
                            work.decode / config::usableEngineShare};
-    return mode == serving_mode::Whole ? lossWhole(split, needed) : lossHandedOver(split, needed);
+    return mode == serving_mode::Whole ? lossSingleEngine(split, needed)
+                                       : lossWithHandoff(split, needed);
 }
 
 bool isPlannable(engine_role role, serving_mode mode)
 {
-    // Routing gives whole requests to decode engines only when nobody else is there: planned
-    // before KV memory is handed over, such an engine would stand idle.
+    // Routing gives whole requests to decode engines only if there are no other engines. Without
+    // prefill handoff an engine planned for decode would be idle.
     return mode == serving_mode::HandedOver || role != engine_role::Decode;
 }
 
-/// @returns The best change of one engine's role, if any lessens the loss.
+/// @returns The best role change of one engine; none if no change reduces the loss.
 std::optional<role_move> bestMove(const role_split &split, const demand_estimate &demand,
                                   serving_mode mode)
 {
-    constexpr double leastBetter = 1e-6;
-    double least = expectedLoss(split, demand, mode) - leastBetter;
+    constexpr double minImprovement = 1e-6;
+    double lowest = expectedLoss(split, demand, mode) - minImprovement;
     std::optional<role_move> best;
     for (const engine_role from : roles)
         for (const engine_role to : roles) {
@@ -79,8 +82,8 @@
             --countOf(next, from);
             ++countOf(next, to);
             const double loss = expectedLoss(next, demand, mode);
-            if (loss < least) {
-                least = loss;
+            if (loss < lowest) {
+                lowest = loss;
                 best = role_move{from, to};
             }
         }
@@ -98,7 +101,7 @@
 
 double expectedLoss(const role_split &split, const demand_estimate &demand, serving_mode mode)
 {
-    // Gauss-Hermite points of a normal distribution, three for each of the two estimates.
+    // Gauss-Hermite quadrature of a normal distribution, with three points for each estimate.
     constexpr std::array<double, 3> points{-1.7320508, 0, 1.7320508};
     constexpr std::array<double, 3> weights{1.0 / 6, 2.0 / 3, 1.0 / 6};
     double loss = 0;
@@ -117,8 +120,8 @@
 {
     split_advice advice;
     role_split split = present;
-    // The loss is convex in the counts but for rounding, so one move after the other leads to the
-    // best split; each engine changes once at most.
+    // Apart from rounding, the loss is convex in the counts, so a greedy search finds the best
+    // split. Each engine changes its role at most once.
     while (advice.moves.size() < present.total()) {
         const auto move = bestMove(split, demand, mode);
         if (!move)
--- a/src/policy/role_split.h
+++ b/src/policy/role_split.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <vector>
 
-/// Which roles the engines of a pool should have for a given demand.
+/// Finds the best split of a pool's engines into roles for a given demand.
 namespace poplarspool::policy {
 
 /// Engines in service, by role.
@@ -21,10 +21,10 @@
 
 std::uint32_t &countOf(role_split &split, engine_role role);
 
-/// Whether a request may change engines between prefill and decode.
+/// Whether a request can move to another engine between prefill and decode.
 enum class serving_mode {
-    Whole, ///< One engine does both.
-    HandedOver, ///< KV memory is exported and imported in between.
+    Whole, ///< One engine does both phases.
+    HandedOver, ///< The KV cache is exported after prefill and imported by the decode engine.
 };
 
 struct role_move
@@ -35,14 +35,16 @@
     bool operator==(const role_move &) const = default;
 };
 
-/// @returns Engine seconds of wanted work a second that the split can't do in time, expected over
-///          the uncertainty of the demand.
+/// @returns Demand in engine seconds per second that the split can't serve in time, averaged over
+/// the
+///          uncertainty of the demand.
 double expectedLoss(const role_split &split, const demand_estimate &demand, serving_mode mode);
 
 struct split_advice
 {
-    double gain = 0; ///< Engine seconds a second that the present split loses against the best.
-    std::vector<role_move> moves; ///< To the best split, the most useful one first.
+    double gain =
+            0; ///< Engine seconds per second lost by the current split compared with the best.
+    std::vector<role_move> moves; ///< Moves to the best split, with the most effective first.
 
     bool operator==(const split_advice &) const = default;
 };
--- a/src/policy/routing.cpp
+++ b/src/policy/routing.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// One decision's inputs, and what is the same for all its candidates.
+/// Inputs of one routing decision, and values shared by all its candidates.
 struct routing_task
 {
     const view &now;
@@ -33,7 +33,7 @@
     double ahead = 0;
 };
 
-/// Candidates that can do it in time, and what is to be said if there are none.
+/// Candidates that can serve the request in time, and data for the refusal if there are none.
 struct shortlist
 {
     std::array<scored_runner, config::maxScoredRunners> runners;
@@ -41,10 +41,10 @@
     std::size_t count = 0;
     std::size_t tried = 0;
     bool hasFitting = false;
-    double leastEnd = std::numeric_limits<double>::infinity();
+    double earliestEnd = std::numeric_limits<double>::infinity();
     double aheadSum = 0;
     double openSum = 0;
-    double ageSum = 0; ///< Of the reports, in seconds.
+    double ageSum = 0; ///< Age of the reports, in seconds.
     double endSum = 0;
 };
 
@@ -59,9 +59,10 @@
     return std::find(wanted.avoid.begin(), wanted.avoid.end(), runner) != wanted.avoid.end();
 }
 
-/// @returns Whether the engine has the model loaded. Before the first report it is taken to have
-///          what its pool wants; after that, what it said last, however old: models only change by
-///          order.
+/// @returns Whether the engine has the model loaded. Before its first report it is assumed to have
+/// the
+///          models of its pool; after that the last report counts, regardless of its age, since
+///          models change by order only.
 bool hasModel(const routing_task &task, const indexed_candidate &candidate)
 {
     const runner_state &state = task.now.runners[candidate.runner.index];
@@ -78,7 +79,7 @@
     return state.reportedAt == mono_time{} ? candidate.facts.startRole : state.report.role;
 }
 
-bool isInReach(const routing_task &task, const indexed_candidate &candidate)
+bool isAvailable(const routing_task &task, const indexed_candidate &candidate)
 {
     if (!isOpenForWork(task.now.runners[candidate.runner.index])
         || isAvoided(task.wanted, candidate.runner))
@@ -103,7 +104,7 @@
     return scored;
 }
 
-bool canDo(const routing_task &task, const scored_runner &scored)
+bool canFinishInTime(const routing_task &task, const scored_runner &scored)
 {
     return scored.estimate.fits && scored.estimate.endSeconds <= task.secondsLeft;
 }
@@ -116,15 +117,15 @@
     return std::chrono::duration<double>(age).count();
 }
 
-void consider(const routing_task &task, const indexed_candidate &candidate, shortlist &found)
+void addIfSuitable(const routing_task &task, const indexed_candidate &candidate, shortlist &found)
 {
     const scored_runner scored = scoreOf(task, candidate);
     ++found.tried;
     if (!scored.estimate.fits)
         return;
     found.hasFitting = true;
-    found.leastEnd = std::min(found.leastEnd, scored.estimate.endSeconds);
-    if (!canDo(task, scored))
+    found.earliestEnd = std::min(found.earliestEnd, scored.estimate.endSeconds);
+    if (!canFinishInTime(task, scored))
         return;
     found.runners[found.count] = scored;
     found.scores[found.count] = scored.estimate.score;
@@ -135,9 +136,9 @@
     found.endSum += scored.estimate.endSeconds;
 }
 
-/// Scores candidates from a random place on, until the shortlist is full or enough were tried in
-/// vain. A short list is scored whole; of a long one each decision sees another part, so that its
-/// cost stays bounded, above all when everything is full.
+/// Scores candidates, starting at a random index, until the shortlist is full or the maximum number
+/// of candidates has been tried. Each decision scores a different part of a long list, so its cost
+/// is bounded even if no runner can take the request.
 void scan(const routing_task &task, const candidate_list &list, bool decodeRole, shortlist &found)
 {
     const std::vector<indexed_candidate> &runners = list.runners;
@@ -149,12 +150,13 @@
         at = at + 1 < runners.size() ? at + 1 : 0;
         if ((roleOf(task, candidate) == engine_role::Decode) != decodeRole)
             continue;
-        if (isInReach(task, candidate))
-            consider(task, candidate, found);
+        if (isAvailable(task, candidate))
+            addIfSuitable(task, candidate, found);
     }
 }
 
-/// The two candidates that have the highest rendezvous weight for the prefix, in this order.
+/// @returns The two candidates with the highest rendezvous weights for the prefix, in descending
+/// order.
 std::array<const indexed_candidate *, 2> preferredOf(std::uint64_t prefixHash,
                                                      const candidate_list &list)
 {
@@ -174,19 +176,21 @@
     return best;
 }
 
-/// @returns Whether the likely cache hit is worth the preferred engine's load. Without the bounds a
-///          prefix that everybody uses would fill one engine while the others stand idle.
-bool isWorthIt(const routing_task &task, const scored_runner &preferred, const shortlist &found)
+/// @returns Whether the expected cache hit outweighs the load of the preferred engine. Without
+/// these
+///          bounds a prefix that all callers use would overload one engine while the others are
+///          idle.
+bool outweighsLoad(const routing_task &task, const scored_runner &preferred, const shortlist &found)
 {
     const double mean = found.aheadSum / static_cast<double>(found.count);
     if (preferred.ahead > mean * config::affinityLoadFactor + config::affinityLoadSlack)
         return false;
-    double leastStart = preferred.estimate.startSeconds;
+    double earliestStart = preferred.estimate.startSeconds;
     for (std::size_t at = 0; at < found.count; ++at)
-        leastStart = std::min(leastStart, found.runners[at].estimate.startSeconds);
+        earliestStart = std::min(earliestStart, found.runners[at].estimate.startSeconds);
     const double saved =
             task.wanted.promptTokens * preferred.candidate->facts.rates.prefillTokenSeconds;
-    return preferred.estimate.startSeconds <= leastStart + saved * config::affinityWaitShare;
+    return preferred.estimate.startSeconds <= earliestStart + saved * config::affinityWaitShare;
 }
 
 std::optional<scored_runner> chooseByPrefix(const routing_task &task, const candidate_list &list,
@@ -195,17 +199,17 @@
     if (task.wanted.prefixHash == 0)
         return std::nullopt;
     for (const indexed_candidate *candidate : preferredOf(task.wanted.prefixHash, list)) {
-        if (!candidate || !isInReach(task, *candidate)
+        if (!candidate || !isAvailable(task, *candidate)
             || roleOf(task, *candidate) == engine_role::Decode)
             continue;
         const scored_runner scored = scoreOf(task, *candidate);
-        if (canDo(task, scored) && isWorthIt(task, scored, found))
+        if (canFinishInTime(task, scored) && outweighsLoad(task, scored, found))
             return scored;
     }
     return std::nullopt;
 }
 
-/// @returns Seconds that one more request such as this one adds to a runner's score.
+/// @returns Seconds by which one more request of this kind raises a runner's score.
 double costOf(const routing_task &task, const runner_rates &rates)
 {
     if (!task.wanted.service.empty())
@@ -214,14 +218,16 @@
             + task.wanted.outputTokens * rates.decodeTokenSeconds;
 }
 
-/// @returns Requests that other instances are taken to have sent since the reports. Each has as
-///          many open as this one, and a little more, since one that sends rarely mostly has none;
-///          by Little's law they begin at a rate of the open ones by their duration.
+/// @returns Estimated number of requests that other instances have sent since the reports. Each
+/// instance
+///          is assumed to have as many open requests as this one, plus a small constant, since an
+///          instance that sends rarely has none most of the time. By Little's law their rate is the
+///          number of open requests divided by their duration.
 double unseenRequests(const routing_task &task, const shortlist &found)
 {
     const auto alive =
             std::count_if(task.now.members.begin(), task.now.members.end(),
-                          [](const member &who) { return who.state == member_state::Alive; });
+                          [](const member &peer) { return peer.state == member_state::Alive; });
     const double peers = std::max<double>(0, static_cast<double>(alive) - 1);
     const double open = peers * (found.openSum + config::unseenPeerRequests);
     return open * found.ageSum / std::max(found.endSum, config::minTokenSeconds);
@@ -242,8 +248,8 @@
 
 milliseconds retryAfterOf(double seconds)
 {
-    const double most = std::chrono::duration<double>(config::maxRetryAfter).count();
-    return std::clamp(millisecondsOf(std::min(seconds, most)), config::minRetryAfter,
+    const double limit = std::chrono::duration<double>(config::maxRetryAfter).count();
+    return std::clamp(millisecondsOf(std::min(seconds, limit)), config::minRetryAfter,
                       config::maxRetryAfter);
 }
 
@@ -255,7 +261,7 @@
     if (!found.hasFitting)
         return notRun(error_code::TooLarge, "prompt and output exceed the KV memory of an engine");
     return notRun(error_code::Overloaded, "can't be done within the time limit",
-                  retryAfterOf(found.leastEnd - task.secondsLeft));
+                  retryAfterOf(found.earliestEnd - task.secondsLeft));
 }
 
 result<route_choice> choose(const routing_task &task, const candidate_list &list)
--- a/src/policy/rules.cpp
+++ b/src/policy/rules.cpp
@@ -29,43 +29,44 @@
             && matchesText(rule.method, facts.method) && facts.path.starts_with(rule.pathPrefix);
 }
 
-const caller_rule *findCaller(const rules &book, const caller_id &caller)
+const caller_rule *findCaller(const rules &ruleSet, const caller_id &caller)
 {
-    const auto at = std::find_if(book.callers.begin(), book.callers.end(),
+    const auto at = std::find_if(ruleSet.callers.begin(), ruleSet.callers.end(),
                                  [&](const caller_rule &rule) { return rule.id == caller; });
-    return at == book.callers.end() ? nullptr : &*at;
+    return at == ruleSet.callers.end() ? nullptr : &*at;
 }
 
-const request_rule *findRule(const rules &book, const request_facts &facts)
+const request_rule *findRule(const rules &ruleSet, const request_facts &facts)
 {
-    const auto at = std::find_if(book.requests.begin(), book.requests.end(),
+    const auto at = std::find_if(ruleSet.requests.begin(), ruleSet.requests.end(),
                                  [&](const request_rule &rule) { return matches(rule, facts); });
-    return at == book.requests.end() ? nullptr : &*at;
+    return at == ruleSet.requests.end() ? nullptr : &*at;
 }
 
-const priority_class *findClass(const rules &book, std::string_view name)
+const priority_class *findClass(const rules &ruleSet, std::string_view name)
 {
-    const auto at = std::find_if(book.classes.begin(), book.classes.end(),
+    const auto at = std::find_if(ruleSet.classes.begin(), ruleSet.classes.end(),
                                  [&](const priority_class &known) { return known.name == name; });
-    return at == book.classes.end() ? nullptr : &*at;
+    return at == ruleSet.classes.end() ? nullptr : &*at;
 }
 
-/// @returns The most particular class that is named and known.
-const priority_class *classOf(const rules &book, const request_rule *rule,
+/// @returns The class set by the rule, else by the caller, else the default. Unknown classes are
+/// ignored.
+const priority_class *classOf(const rules &ruleSet, const request_rule *rule,
                               const caller_rule *caller)
 {
     if (rule)
-        if (const auto *found = findClass(book, rule->priorityClass))
+        if (const auto *found = findClass(ruleSet, rule->priorityClass))
             return found;
     if (caller)
-        if (const auto *found = findClass(book, caller->priorityClass))
+        if (const auto *found = findClass(ruleSet, caller->priorityClass))
             return found;
-    return book.classes.empty() ? nullptr : &book.classes.back();
+    return ruleSet.classes.empty() ? nullptr : &ruleSet.classes.back();
 }
 
-/// What holds where no rule matches: a plain service's call may be repeated only if HTTP calls its
-/// method idempotent. Otherwise a POST that the operators forgot to name, such as an order, would
-/// be sent out twice after a broken connection.
+/// Default if no rule matches: a call of a plain service may be repeated only if HTTP defines its
+/// method as idempotent. Otherwise a POST without a rule, such as an order, would be sent twice
+/// after a connection failure.
 repeat_rule defaultRepeat(const request_facts &facts)
 {
     constexpr std::array<std::string_view, 6> idempotent{"GET",    "HEAD",    "PUT",
@@ -79,10 +80,10 @@
 
 } // namespace
 
-request_ruling rulingOf(const rules &book, const request_facts &facts)
+request_ruling rulingOf(const rules &ruleSet, const request_facts &facts)
 {
-    const request_rule *rule = findRule(book, facts);
-    const priority_class *found = classOf(book, rule, findCaller(book, facts.caller));
+    const request_rule *rule = findRule(ruleSet, facts);
+    const priority_class *found = classOf(ruleSet, rule, findCaller(ruleSet, facts.caller));
     request_ruling ruling;
     if (found) {
         ruling.priorityClass = found->name;
@@ -94,18 +95,18 @@
     return ruling;
 }
 
-result<caller_id> admitCaller(const rules &book, std::string_view bearerKey)
+result<caller_id> admitCaller(const rules &ruleSet, std::string_view bearerKey)
 {
-    if (book.callers.empty())
+    if (ruleSet.callers.empty())
         return caller_id{};
     const std::string digest = sha256Hex(bearerKey);
     const caller_rule *found = nullptr;
-    // Compares with each caller to the last byte: a comparison that stops early tells by its time
-    // how much of a digest is right.
-    for (const caller_rule &rule : book.callers) {
+    // Compares all bytes with every caller: the duration of a comparison that stops early would
+    // reveal how much of a digest is correct.
+    for (const caller_rule &rule : ruleSet.callers) {
         const bool isSameSize = rule.keySha256.size() == digest.size();
-        const std::string &other = isSameSize ? rule.keySha256 : digest;
-        const bool isEqual = CRYPTO_memcmp(other.data(), digest.data(), digest.size()) == 0;
+        const std::string &compared = isSameSize ? rule.keySha256 : digest;
+        const bool isEqual = CRYPTO_memcmp(compared.data(), digest.data(), digest.size()) == 0;
         if (isSameSize && isEqual)
             found = &rule;
     }
@@ -114,11 +115,11 @@
     return found->id;
 }
 
-bool mayUse(const rules &book, const caller_id &caller, const workspace_id &workspace)
+bool mayUse(const rules &ruleSet, const caller_id &caller, const workspace_id &workspace)
 {
-    if (book.callers.empty())
+    if (ruleSet.callers.empty())
         return true;
-    const caller_rule *rule = findCaller(book, caller);
+    const caller_rule *rule = findCaller(ruleSet, caller);
     if (!rule)
         return false;
     return rule->workspaces.empty()
--- a/src/policy/spread.cpp
+++ b/src/policy/spread.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// @returns The level that the water reaches: it rises past one runner after the other until the
-///          runners below it hold all of it.
-double levelOf(std::span<const double> scores, double water)
+/// @returns The level up to which the scores below it can be raised with the given amount of work
+///          (water-filling).
+double fillLevel(std::span<const double> scores, double work)
 {
-    double level = *std::max_element(scores.begin(), scores.end()) + water;
+    double level = *std::max_element(scores.begin(), scores.end()) + work;
     std::size_t before = 0;
     for (;;) {
         double sum = 0;
@@ -23,7 +23,7 @@
         if (below == 0 || below == before)
             return level;
         before = below;
-        level = (sum + water) / static_cast<double>(below);
+        level = (sum + work) / static_cast<double>(below);
     }
 }
 
@@ -31,7 +31,7 @@
 
 std::uint64_t mixBits(std::uint64_t number)
 {
-    // Odd multiplier and shifts, so that no two numbers get the same result.
+    // Xor-shifts and an odd multiplier are bijective, so distinct inputs have distinct results.
     number ^= number >> 31;
     number *= 0xd6e8feb86659fd93u;
     number ^= number >> 32;
@@ -41,19 +41,19 @@
 
 std::size_t drawByLevel(std::span<const double> scores, double unseenSeconds, std::uint64_t draw)
 {
-    // Equal runners share evenly even if nothing else is under way.
-    constexpr double leastWater = 1e-6;
-    const double water = std::max(unseenSeconds, leastWater);
-    const double level = levelOf(scores, water);
+    // With a minimum amount, runners with equal scores are drawn evenly even without unseen work.
+    constexpr double minWork = 1e-6;
+    const double work = std::max(unseenSeconds, minWork);
+    const double level = fillLevel(scores, work);
     constexpr double drawRange = 18446744073709551616.0; // 2^64
-    double left = static_cast<double>(mixBits(draw)) / drawRange * water;
+    double remaining = static_cast<double>(mixBits(draw)) / drawRange * work;
     std::size_t last = 0;
     for (std::size_t at = 0; at < scores.size(); ++at) {
         if (scores[at] >= level)
             continue;
         last = at;
-        left -= level - scores[at];
-        if (left < 0)
+        remaining -= level - scores[at];
+        if (remaining < 0)
             break;
     }
     return last;
--- a/src/policy/spread.h
+++ b/src/policy/spread.h
@@ -3,23 +3,25 @@
 #include <cstdint>
 #include <span>
 
-/// Spreads requests over runners so that instances which hold the same old reports don't all send
-/// to the runner that was the emptiest then.
+/// Spreads requests over runners so that instances with the same outdated reports don't all choose
+/// the runner that was the least loaded at that time.
 namespace poplarspool::policy {
 
-/// Fills the runners up to one level, as water would, with the work that all instances are taken
-/// to have sent since the reports; then draws a runner by how much of it would have gone there.
-/// Little unseen work draws the best runner, much of it spreads over all.
-/// @param scores Seconds; the least is the best. At least one.
-/// @param unseenSeconds Work that the scores don't show, in the scores' unit.
-/// @param draw Any number.
+/// Distributes the work that all instances are assumed to have sent since the reports by
+/// water-filling, and draws a runner with a probability proportional to its share of that work.
+/// With little unseen work the best runner is drawn, with much unseen work the draws spread over
+/// all runners.
+/// @param scores In seconds; the lowest is the best. Not empty.
+/// @param unseenSeconds Work that the scores don't include yet, in the unit of the scores.
+/// @param draw Any number; seeds the draw.
 /// @returns Index into scores.
 std::size_t drawByLevel(std::span<const double> scores, double unseenSeconds, std::uint64_t draw);
 
-/// Spreads the bits of a number that may be as plain as a count.
+/// Mixes the bits of a number, which may be a plain counter.
 std::uint64_t mixBits(std::uint64_t number);
 
-/// As mixBits(), cheaper, for what is a hash already; good for comparing only.
+/// Cheaper variant of mixBits() for numbers that are hashes already. Use the result for comparisons
+/// only.
 inline std::uint64_t spreadBits(std::uint64_t hash)
 {
     return (hash ^ (hash >> 32)) * 0xd6e8feb86659fd93u;
--- a/src/policy/view.cpp
+++ b/src/policy/view.cpp
@@ -22,7 +22,7 @@
     std::vector<runner_state> runners(fleet->runners.size());
     for (std::size_t at = 0; at < runners.size() && now.fleet; ++at) {
         const runner_handle before = findRunner(*now.fleet, fleet->runners[at].id);
-        // Another address is another process: what its predecessor reported says nothing of it.
+        // A runner with another address is another process, for which earlier reports don't apply.
         if (before.isValid() && before.index < now.runners.size()
             && now.fleet->runners[before.index].address == fleet->runners[at].address)
             runners[at] = now.runners[before.index];
