--- a/include/poplarspool/duties/usage.h
+++ b/include/poplarspool/duties/usage.h
@@ -18,7 +18,7 @@
 
 using window_number = std::uint64_t; ///< Counted from the Unix epoch (1970).
 
-/// @returns The window that contains `at`; the first window for times before 1970-01-01.
+/// @returns The window that contains `at`; the first window for times before 1970.
 window_number windowAt(wall_time at, milliseconds length);
 /// @returns End of the window, which is the start of the next one.
 wall_time endOf(window_number window, milliseconds length);
--- a/include/poplarspool/scaling/fleet_plan.h
+++ b/include/poplarspool/scaling/fleet_plan.h
@@ -10,25 +10,26 @@
 #include <string_view>
 #include <vector>
 
-/// How many runners of a service to order where, and of which kind. Pure functions over plain
-/// values: no I/O, no clock, no threads.
+/// Decides how many runners of a service to order in each zone, and of which kind. Pure functions
+/// over plain values: no I/O, no clock, no threads.
 namespace poplarspool::scaling {
 
-/// Runners of one service in one availability zone. Those that leave don't count.
+/// Runners of one service in one availability zone, without those that are leaving.
 struct zone_fleet
 {
     zone_id zone;
-    std::uint32_t size = 0; ///< Wanted, of both kinds together.
+    std::uint32_t size = 0; ///< Wanted number of runners, both kinds together.
     std::uint32_t regular = 0; ///< In service.
-    std::uint32_t spot = 0; ///< In service; cheaper, and taken away a whole zone at once.
-    std::optional<std::uint32_t> regularOrdered; ///< None: nobody has ordered any.
+    std::uint32_t spot =
+            0; ///< In service. Cheaper, but may be reclaimed, for a whole zone at once.
+    std::optional<std::uint32_t> regularOrdered; ///< None: no order has been issued.
     std::optional<std::uint32_t> spotOrdered;
-    bool isSpotDry = false; ///< None are to be had for now.
+    bool isSpotDry = false; ///< The platform has no spot capacity for now.
 
     bool operator==(const zone_fleet &) const = default;
 };
 
-/// From now on that many runners of the kind.
+/// Sets the number of runners of one kind in one zone.
 struct fleet_order
 {
     zone_id zone;
@@ -38,11 +39,11 @@
     bool operator==(const fleet_order &) const = default;
 };
 
-/// @returns What to order now. Spot runners take the place of regular ones: these leave once the
-///          spot ones are there, and come back where too many of those are taken away.
+/// @returns Orders to issue now. Spot runners replace regular ones, which are removed once the spot
+///          runners are in service and ordered again if too many of these are reclaimed.
 std::vector<fleet_order> planFleet(const fleet_traits &traits, std::span<const zone_fleet> zones);
 
-/// An order as it was given, or may have been.
+/// An order that was issued, or may have been.
 struct given_order
 {
     std::string service;
@@ -51,18 +52,18 @@
     bool operator==(const given_order &) const = default;
 };
 
-/// What holders of the duty leave to each other.
+/// State that a holder of the duty leaves to the next one.
 struct fleet_note
 {
-    std::vector<given_order> given; ///< The last one of each service, zone and kind.
-    /// Runners wanted in a zone: as `wanted` of an order, whose kind says nothing.
+    std::vector<given_order> given; ///< Last order of each service, zone and kind.
+    /// Wanted number of runners in each zone, as `wanted` of an order; its kind is ignored.
     std::vector<given_order> sizes;
 
     bool operator==(const fleet_note &) const = default;
 };
 
-std::string encode(const fleet_note &note);
-/// @returns None where the text is no such note.
+std::string encode(const fleet_note &checkpoint);
+/// @returns None if the text is not a valid checkpoint.
 std::optional<fleet_note> decodeFleetNote(std::string_view text);
 
 } // namespace poplarspool::scaling
--- a/include/poplarspool/scaling/limits.h
+++ b/include/poplarspool/scaling/limits.h
@@ -2,23 +2,25 @@
 
 #include <chrono>
 
-/// Limits of orders of runners.
+/// Limits for ordering runners.
 namespace poplarspool::config {
 
 using namespace std::chrono_literals;
 
-/// Between two looks at the fleet.
+/// Interval between two iterations.
 inline constexpr std::chrono::milliseconds fleetLookTime = 1s;
-/// Time for which the number of runners must have stayed the same before the first order.
+/// Time for which the number of runners must have been stable before the first order.
 inline constexpr std::chrono::milliseconds fleetSettleTime = 1500ms;
-/// Time for which a kind that was not to be had is not asked for again.
+/// Time for which a kind without available capacity isn't ordered again.
 inline constexpr std::chrono::milliseconds fleetDryTime = 2s;
-/// Time beyond a boot after which an order whose runners aren't there is given again.
+/// Time after the expected boot time after which an order whose runners haven't appeared is issued
+/// again.
 inline constexpr std::chrono::milliseconds fleetPatience = 4s;
-/// Share of the wanted runners below which regular ones are ordered in place of spot ones that were
-/// taken away: with one of four zones gone, the others suffice until they are back.
+/// Minimum share of the wanted runners. Below it, regular runners are ordered to replace reclaimed
+/// spot runners. If one of four zones is reclaimed, the others suffice until its spot runners are
+/// back.
 inline constexpr double fleetLeastShare = 0.7;
-/// Price of a spot runner, against a regular one, up to which it is worth the change.
+/// Maximum price of a spot runner, relative to a regular one, at which replacement pays off.
 inline constexpr double spotPriceMost = 0.8;
 
 } // namespace poplarspool::config
--- a/include/poplarspool/scaling/traits.h
+++ b/include/poplarspool/scaling/traits.h
@@ -6,13 +6,13 @@
 
 namespace poplarspool::scaling {
 
-/// Of services whose runners can be ordered.
+/// Properties of a service whose runners can be ordered.
 struct fleet_traits
 {
-    std::uint32_t least = 0; ///< Runners in a zone, of both kinds together.
+    std::uint32_t least = 0; ///< Per zone, both kinds together.
     std::uint32_t most = 0;
-    milliseconds bootTime{0}; ///< From an order until its runners serve.
-    double spotPrice = 1; ///< Against a regular one; 1: there are none, or they save nothing.
+    milliseconds bootTime{0}; ///< Time from an order until its runners are in service.
+    double spotPrice = 1; ///< Relative to a regular runner; 1: no spot runners, or no savings.
 
     bool operator==(const fleet_traits &) const = default;
 };
--- a/include/poplarspool/workspaces/limits.h
+++ b/include/poplarspool/workspaces/limits.h
@@ -3,10 +3,10 @@
 #include <chrono>
 #include <cstddef>
 
-/// Limits of what is known of workspaces.
+/// Limits for workspaces.
 namespace poplarspool::config {
 
-/// Bytes of a key that is looked up; none that an operator hands out is longer.
+/// Maximum size in bytes of a key to look up; operators issue no longer keys.
 inline constexpr std::size_t maxWorkspaceKeyBytes = 512;
 
 } // namespace poplarspool::config
--- a/include/poplarspool/workspaces/workspaces.h
+++ b/include/poplarspool/workspaces/workspaces.h
@@ -10,19 +10,20 @@
 #include <unordered_map>
 #include <vector>
 
-/// Customers, and the keys by which their callers are known. Plain immutable values; a key itself
-/// is never kept, only its digest.
+/// Workspaces of customers, and the keys that identify their callers. Plain immutable values; only
+/// the digest of a key is stored, never the key itself.
 namespace poplarspool::workspaces {
 
-/// What stands for a key. Of a cryptographic hash: nobody can make another key with the same one,
-/// and how long a lookup takes says nothing of any key.
+/// Digest of a key. The hash is cryptographic, so that another key with the same digest can't be
+/// found and the duration of a lookup reveals nothing about a key.
 using key_digest = digest_128;
 
 struct workspace
 {
     workspace_id id;
     std::vector<key_digest> keys;
-    std::optional<std::uint32_t> rank; ///< Of its requests; none: each route's own. 0 goes first.
+    std::optional<std::uint32_t>
+            rank; ///< Priority of its requests; 0 is served first. None: rank of the route.
 
     bool operator==(const workspace &) const = default;
 };
@@ -35,15 +36,15 @@
     }
 };
 
-/// Place of the workspace that holds a key; made once of all workspaces, never changed.
+/// Maps a key to the index of its workspace. Built once from all workspaces and never modified.
 using key_index = std::unordered_map<key_digest, std::uint32_t, key_digest_hash>;
 
-/// Of several workspaces with one key, the first holds it.
+/// If several workspaces have the same key, it belongs to the first one.
 key_index indexOf(const std::vector<workspace> &all);
 
-/// @param scheme Such as "Bearer"; its letters may be of either case.
-/// @param value Of the header that carries a key: the scheme, blanks, the key.
-/// @returns None where that is no key of that scheme, or one too long to be any.
+/// @param scheme Such as "Bearer"; compared case-insensitively.
+/// @param value Value of the header that contains the key: scheme, spaces, key.
+/// @returns None if the value has another scheme or no key, or if the key is too long.
 std::optional<key_digest> readKey(std::string_view scheme, std::string_view value);
 
 } // namespace poplarspool::workspaces
--- a/src/scaling/fleet_plan.cpp
+++ b/src/scaling/fleet_plan.cpp
@@ -12,31 +12,34 @@
 
 using nlohmann::json;
 
-constexpr char noteGiven[] = "given";
-constexpr char noteSizes[] = "sizes";
-constexpr char noteService[] = "service";
-constexpr char noteZone[] = "zone";
-constexpr char noteSpot[] = "spot";
-constexpr char noteWanted[] = "wanted";
-
-/// With all spot runners of one zone taken away, the others are to be as many as are wanted.
+constexpr char issuedKey[] = "given";
+constexpr char sizesKey[] = "sizes";
+constexpr char serviceKey[] = "service";
+constexpr char zoneKey[] = "zone";
+constexpr char spotKey[] = "spot";
+constexpr char wantedKey[] = "wanted";
+
+/// @returns Size per zone at which the other zones still have all wanted runners after the spot
+/// runners
+///          of one zone are reclaimed.
 std::uint32_t sizeWithSpare(std::uint32_t size, std::size_t zones)
 {
     const auto others = static_cast<std::uint32_t>(std::max<std::size_t>(zones, 2) - 1);
     return zones < 2 ? size : size + (size + others - 1) / others;
 }
 
-/// Spot runners of a zone, beside the regular ones that are still there or must stay.
+/// @returns Spot runners to order in a zone, in addition to the regular runners that are still in
+///          service or must stay.
 std::uint32_t spotWanted(const fleet_traits &traits, const zone_fleet &zone, std::size_t zones)
 {
-    const std::uint32_t staying = std::max(traits.least, zone.regular);
-    const std::uint32_t room = traits.most - std::min(traits.most, staying);
+    const std::uint32_t retained = std::max(traits.least, zone.regular);
+    const std::uint32_t room = traits.most - std::min(traits.most, retained);
     const std::uint32_t size = sizeWithSpare(zone.size, zones);
     const std::uint32_t replaced = size - std::min(size, traits.least);
     return std::min(replaced, room);
 }
 
-/// @returns Whether so many are gone that the others don't suffice until they are back.
+/// @returns Whether too few runners are left to wait until the reclaimed ones are back.
 bool isShort(std::span<const zone_fleet> zones)
 {
     double wanted = 0;
@@ -48,8 +51,10 @@
     return present < wanted * config::fleetLeastShare;
 }
 
-/// Regular runners leave one for one as spot ones begin to serve. One by one, they don't come back:
-/// spot ones do, and cheaper.
+/// @returns Regular runners to order in a zone. Each spot runner that starts to serve replaces a
+/// regular
+///          one. For single reclaimed spot runners no regular ones are ordered, since replacement
+///          spot runners are cheaper.
 std::uint32_t regularWanted(const fleet_traits &traits, const zone_fleet &zone, bool areShort)
 {
     const std::uint32_t present = zone.regularOrdered.value_or(zone.regular);
@@ -62,10 +67,10 @@
 {
     json made = json::array();
     for (const given_order &one : orders)
-        made.push_back({{noteService, one.service},
-                        {noteZone, one.order.zone.text},
-                        {noteSpot, one.order.isSpot},
-                        {noteWanted, one.order.wanted}});
+        made.push_back({{serviceKey, one.service},
+                        {zoneKey, one.order.zone.text},
+                        {spotKey, one.order.isSpot},
+                        {wantedKey, one.order.wanted}});
     return made;
 }
 
@@ -73,10 +78,10 @@
 {
     std::vector<given_order> made;
     for (const json &entry : entries)
-        made.push_back({entry.at(noteService).get<std::string>(),
-                        {{entry.at(noteZone).get<std::string>()},
-                         entry.at(noteSpot).get<bool>(),
-                         entry.at(noteWanted).get<std::uint32_t>()}});
+        made.push_back({entry.at(serviceKey).get<std::string>(),
+                        {{entry.at(zoneKey).get<std::string>()},
+                         entry.at(spotKey).get<bool>(),
+                         entry.at(wantedKey).get<std::uint32_t>()}});
     return made;
 }
 
@@ -90,7 +95,7 @@
     const bool areShort = isShort(zones);
     for (const zone_fleet &zone : zones) {
         const std::uint32_t spot = spotWanted(traits, zone, zones.size());
-        // An order for fewer would send away runners that serve.
+        // An order with a lower number would remove runners that are in service.
         const bool wantsMore = spot > zone.spotOrdered.value_or(0);
         if (wantsMore && !zone.isSpotDry)
             orders.push_back({zone.zone, true, spot});
@@ -101,9 +106,10 @@
     return orders;
 }
 
-std::string encode(const fleet_note &note)
+std::string encode(const fleet_note &checkpoint)
 {
-    return json{{noteGiven, encodeOrders(note.given)}, {noteSizes, encodeOrders(note.sizes)}}
+    return json{{issuedKey, encodeOrders(checkpoint.given)},
+                {sizesKey, encodeOrders(checkpoint.sizes)}}
             .dump();
 }
 
@@ -111,7 +117,7 @@
 {
     try {
         const json read = parseJsonOrThrow(text);
-        return fleet_note{decodeOrders(read.at(noteGiven)), decodeOrders(read.at(noteSizes))};
+        return fleet_note{decodeOrders(read.at(issuedKey)), decodeOrders(read.at(sizesKey))};
     } catch (const json::exception &) {
         return std::nullopt;
     }
--- a/src/workspaces/workspaces.cpp
+++ b/src/workspaces/workspaces.cpp
@@ -8,9 +8,9 @@
 key_index indexOf(const std::vector<workspace> &all)
 {
     key_index made;
-    for (std::uint32_t place = 0; place < all.size(); ++place) {
-        for (const key_digest &key : all[place].keys)
-            made.try_emplace(key, place);
+    for (std::uint32_t position = 0; position < all.size(); ++position) {
+        for (const key_digest &key : all[position].keys)
+            made.try_emplace(key, position);
     }
     return made;
 }
--- a/tests/policy/addresses_test.cpp
+++ b/tests/policy/addresses_test.cpp
@@ -12,10 +12,10 @@
 class addresses_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(addresses_test);
-    CPPUNIT_TEST(zoneThenStateThenLoad);
-    CPPUNIT_TEST(spreadsOverAZone);
-    CPPUNIT_TEST(shortListsKeepAWayOut);
-    CPPUNIT_TEST(inventoryKeepsWhatIsKnown);
+    CPPUNIT_TEST(ordersByStateThenLoadThenZone);
+    CPPUNIT_TEST(callersAreSpreadWithinZone);
+    CPPUNIT_TEST(truncatedListContainsOtherZones);
+    CPPUNIT_TEST(replacedInventoryKeepsRunnerState);
     CPPUNIT_TEST_SUITE_END();
 
     static std::vector<std::uint16_t> ports(const view &now, std::uint64_t tieBreak)
@@ -27,7 +27,7 @@
     }
 
 public:
-    void zoneThenStateThenLoad()
+    void ordersByStateThenLoadThenZone()
     {
         view now;
         now.members = makeMembers(8);
@@ -35,7 +35,7 @@
         now.members[2].state = member_state::Suspect; // a
         now.members[4].state = member_state::Leaving; // a
         now.members[3].state = member_state::Dead; // b
-        now.members[7].callerAddress = {}; // b, not told yet
+        now.members[7].callerAddress = {}; // b, not received yet
         for (std::uint64_t tieBreak = 0; tieBreak < 20; ++tieBreak) {
             const auto ranked = ports(now, tieBreak);
             CPPUNIT_ASSERT_EQUAL(std::size_t{5}, ranked.size());
@@ -46,7 +46,7 @@
         }
     }
 
-    void spreadsOverAZone()
+    void callersAreSpreadWithinZone()
     {
         view now;
         now.members = makeMembers(8);
@@ -56,9 +56,9 @@
         CPPUNIT_ASSERT(first == std::set<std::uint16_t>({8000, 8002, 8004, 8006}));
     }
 
-    /// A zone is lost, and its callers find no instance although others are alive: the list that
-    /// they keep named instances of that zone only.
-    void shortListsKeepAWayOut()
+    /// Guards against callers that can't reach any instance after their zone has failed, because
+    /// the address list they keep contains instances of that zone only.
+    void truncatedListContainsOtherZones()
     {
         view now;
         now.members = makeMembers(100);
@@ -70,7 +70,7 @@
         CPPUNIT_ASSERT_EQUAL(1, ranked.back() % 2);
     }
 
-    void inventoryKeepsWhatIsKnown()
+    void replacedInventoryKeepsRunnerState()
     {
         view now = makeView(makeFleet(3));
         setStreams(now.runners[1], 7);
--- a/tests/policy/fixture.h
+++ b/tests/policy/fixture.h
@@ -12,8 +12,8 @@
 inline const model_version reader{"reader", "1"};
 inline const pool_id llmPool{"llm"};
 
-/// Engines e10, e11, … in zones a and b in turn, all with the reader model, and one plain service
-/// "portal".
+/// Engines e10, e11, … that alternate between zones a and b, all with the reader model, and one
+/// runner of the plain service "portal".
 inline std::shared_ptr<inventory> makeFleet(std::uint32_t engines)
 {
     auto fleet = std::make_shared<inventory>();
@@ -42,11 +42,11 @@
 {
     std::vector<member> members;
     for (std::uint32_t i = 0; i < count; ++i) {
-        member who;
-        who.id = {"i" + std::to_string(100 + i)};
-        who.zone = {i % 2 == 0 ? "a" : "b"};
-        who.callerAddress = {"127.0.0.1", static_cast<std::uint16_t>(8000 + i)};
-        members.push_back(who);
+        member instance;
+        instance.id = {"i" + std::to_string(100 + i)};
+        instance.zone = {i % 2 == 0 ? "a" : "b"};
+        instance.callerAddress = {"127.0.0.1", static_cast<std::uint16_t>(8000 + i)};
+        members.push_back(instance);
     }
     return members;
 }
@@ -72,7 +72,7 @@
     runner.report.kvPiecesUsed = running * 10;
 }
 
-inline route_request wantReader()
+inline route_request readerRequest()
 {
     route_request wanted;
     wanted.model = reader.model;
--- a/tests/policy/plan_test.cpp
+++ b/tests/policy/plan_test.cpp
@@ -12,16 +12,16 @@
 class plan_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(plan_test);
-    CPPUNIT_TEST(modelsFirstWithinTheLimits);
-    CPPUNIT_TEST(servingEnginesStay);
-    CPPUNIT_TEST(withoutAPlanTheStartRoleHolds);
-    CPPUNIT_TEST(lastingShiftChangesRoles);
-    CPPUNIT_TEST(weightSetsThePrice);
-    CPPUNIT_TEST(shortSwingsChangeNothing);
-    CPPUNIT_TEST(waitsForChangesInFlight);
-    CPPUNIT_TEST(crashedChangeHoldsNobodyUp);
-    CPPUNIT_TEST(enoughTimeMeansNoChange);
-    CPPUNIT_TEST(handedOverWorkWantsBothRoles);
+    CPPUNIT_TEST(modelsAreLoadedFirstWithinLimits);
+    CPPUNIT_TEST(minimumOfServingEnginesIsKept);
+    CPPUNIT_TEST(disabledPlanRestoresStartRole);
+    CPPUNIT_TEST(lastingShiftOfDemandChangesRoles);
+    CPPUNIT_TEST(goodputWeightSetsCostFactor);
+    CPPUNIT_TEST(shortFluctuationsChangeNothing);
+    CPPUNIT_TEST(noRoleChangeDuringChangeInFlight);
+    CPPUNIT_TEST(crashedChangeDoesNotBlockOthers);
+    CPPUNIT_TEST(sufficientCapacityMeansNoChange);
+    CPPUNIT_TEST(prefillHandoffUsesBothRoles);
     CPPUNIT_TEST_SUITE_END();
 
     using demand_function = std::function<demand_estimate(double second)>;
@@ -32,13 +32,13 @@
     plan_rule rule;
     plan_memory memory;
 
-    plan_step look(const view &now, const demand_estimate &seen = {}) const
+    plan_step runOnce(const view &now, const demand_estimate &seen = {}) const
     {
         return planPool(now, llmPool, rule, memory, seen, startTime);
     }
 
-    /// Looks every half second, changes roles at once, and counts them.
-    /// @returns Seconds of the first change; none: the whole time.
+    /// Runs an iteration every 0.5 s, applies role changes immediately and counts them.
+    /// @returns Time of the first change in seconds; `seconds` if there was none.
     double run(view now, double seconds, const demand_function &demand, int &changes)
     {
         double first = seconds;
@@ -67,23 +67,23 @@
         memory = {};
     }
 
-    void modelsFirstWithinTheLimits()
+    void modelsAreLoadedFirstWithinLimits()
     {
         view now = makeView(makeFleet(5));
         for (runner_state &runner : now.runners)
             runner.report.models.clear();
         now.runners[0].reportedAt = {};
         rule.maxChangesInFlight = 2;
-        const plan_step step = look(now, longPrompts);
+        const plan_step step = runOnce(now, longPrompts);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, step.changes.size());
         CPPUNIT_ASSERT(step.changes[0] == planned_change({{1}, {engine_role::Mixed, {reader}}}));
         now.runners[1].isReserved = true;
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, look(now).changes.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runOnce(now).changes.size());
         now.runners[2].report.isChanging = true;
-        CPPUNIT_ASSERT(look(now).changes.empty());
+        CPPUNIT_ASSERT(runOnce(now).changes.empty());
     }
 
-    void servingEnginesStay()
+    void minimumOfServingEnginesIsKept()
     {
         const auto fleet = makeFleet(3);
         const model_version next{reader.model, "2"};
@@ -95,24 +95,24 @@
             now.runners[i].report.models = {reader};
         rule.maxChangesInFlight = 3;
         rule.minEngines = 2;
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, look(now).changes.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runOnce(now).changes.size());
         rule.minEngines = 3;
-        CPPUNIT_ASSERT(look(now).changes.empty());
-        now.runners[2].report.models.clear(); // Not in service: nothing is lost by changing it.
-        CPPUNIT_ASSERT_EQUAL(2u, look(now).changes.at(0).runner.index);
+        CPPUNIT_ASSERT(runOnce(now).changes.empty());
+        now.runners[2].report.models.clear(); // Not in service: changing it loses no capacity.
+        CPPUNIT_ASSERT_EQUAL(2u, runOnce(now).changes.at(0).runner.index);
     }
 
-    void withoutAPlanTheStartRoleHolds()
+    void disabledPlanRestoresStartRole()
     {
         const auto fleet = makeFleet(3);
         fleet->pools[0].startRole = engine_role::Prefill;
         const view now = makeView(fleet);
-        CPPUNIT_ASSERT(look(now).changes.empty());
+        CPPUNIT_ASSERT(runOnce(now).changes.empty());
         rule.enabled = false;
-        CPPUNIT_ASSERT(look(now).changes.at(0).wanted.role == engine_role::Prefill);
+        CPPUNIT_ASSERT(runOnce(now).changes.at(0).wanted.role == engine_role::Prefill);
     }
 
-    void lastingShiftChangesRoles()
+    void lastingShiftOfDemandChangesRoles()
     {
         const view now = makeView(makeFleet(9));
         rule.goodputWeight = 1;
@@ -125,7 +125,8 @@
         run(
                 now, 120, [](double) { return longPrompts; }, again);
         CPPUNIT_ASSERT_EQUAL(changes, again);
-        // After the shift back engines that only prefill well are too many, and then all is quiet.
+        // After demand has shifted back, surplus prefill engines change their role once; then the
+        // split is stable.
         const auto back = [](double second) { return second < 120 ? longPrompts : evenMix; };
         run(now, 240, back, changes);
         run(now, 400, back, again);
@@ -133,7 +134,7 @@
         CPPUNIT_ASSERT_EQUAL(changes, again);
     }
 
-    void weightSetsThePrice()
+    void goodputWeightSetsCostFactor()
     {
         const view now = makeView(makeFleet(9));
         const auto shift = [](double) { return longPrompts; };
@@ -147,20 +148,20 @@
         CPPUNIT_ASSERT(few <= many);
     }
 
-    /// Half of the engines are away again and again, and callers are late in every swing: a plan
-    /// that follows each swing pays for a change when the swing is already over.
-    void shortSwingsChangeNothing()
+    /// Guards against a plan that follows each short fluctuation of demand: its changes take effect
+    /// when the fluctuation is over, and engines are repeatedly out of service.
+    void shortFluctuationsChangeNothing()
     {
         rule.goodputWeight = 0.5;
         int changes = 0;
-        const auto swing = [](double second) {
+        const auto fluctuation = [](double second) {
             return int(second / 4) % 2 == 0 ? longPrompts : evenMix;
         };
-        run(makeView(makeFleet(9)), 600, swing, changes);
+        run(makeView(makeFleet(9)), 600, fluctuation, changes);
         CPPUNIT_ASSERT_EQUAL(0, changes);
     }
 
-    void waitsForChangesInFlight()
+    void noRoleChangeDuringChangeInFlight()
     {
         view now = makeView(makeFleet(9));
         rule.goodputWeight = 1;
@@ -173,9 +174,10 @@
         CPPUNIT_ASSERT_EQUAL(0.0, memory.regretSeconds);
     }
 
-    /// Callers are late for hours after one engine crashed in the middle of its change: if its
-    /// open order counted as under way, the pool's limit would be used up until it comes back.
-    void crashedChangeHoldsNobodyUp()
+    /// Guards against hours of high latency after an engine crashed during its change: if its open
+    /// order counted as in flight, the pool's limit would block all changes until the engine is
+    /// back.
+    void crashedChangeDoesNotBlockOthers()
     {
         view now = makeView(makeFleet(9));
         rule.goodputWeight = 1;
@@ -187,7 +189,7 @@
         CPPUNIT_ASSERT(changes > 0);
     }
 
-    void enoughTimeMeansNoChange()
+    void sufficientCapacityMeansNoChange()
     {
         rule.goodputWeight = 1;
         int changes = 0;
@@ -200,7 +202,7 @@
         CPPUNIT_ASSERT_EQUAL(0, changes);
     }
 
-    void handedOverWorkWantsBothRoles()
+    void prefillHandoffUsesBothRoles()
     {
         const role_split present{10, 0, 0};
         const demand_estimate demand{6, 5, 0.5, 0.5};
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -11,14 +11,14 @@
 {
     CPPUNIT_TEST_SUITE(retry_test);
     CPPUNIT_TEST(retriesAreAShareOfRequests);
-    CPPUNIT_TEST(anOverdrawnBudgetHasNoRoom);
+    CPPUNIT_TEST(overdrawnBudgetHasNoRoom);
     CPPUNIT_TEST(threadsShareOneBudget);
-    CPPUNIT_TEST(onlyWhatMayAndCanStillWork);
+    CPPUNIT_TEST(onlyRetryableFailuresAreRetried);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// A third of the engines vanish, every request fails once, and each failure is tried again:
-    /// without a budget the rest of the fleet gets half as much again as it can do.
+    /// A third of the engines fail, every request fails once, and each failure is retried: without
+    /// a budget the remaining engines receive half as much again as they can serve.
     void retriesAreAShareOfRequests()
     {
         retry_budget budget(0.1, 5);
@@ -27,12 +27,13 @@
             budget.onRequest();
             retries += budget.tryTake() ? 1 : 0;
         }
-        CPPUNIT_ASSERT_EQUAL(104, retries); // The first finds the budget full: its share is lost.
+        CPPUNIT_ASSERT_EQUAL(
+                104, retries); // The budget is full at the first request, so its share is lost.
     }
 
-    /// Engines break off while they read prompts for others. Each such call counts once it has
-    /// failed, whatever the budget holds; unnoticed, they exceeded the fleet's budget by a third.
-    void anOverdrawnBudgetHasNoRoom()
+    /// Engines fail during prefill for another engine. Each such failure is deducted regardless of
+    /// the balance; when they were not counted, retries exceeded the fleet's budget by a third.
+    void overdrawnBudgetHasNoRoom()
     {
         retry_budget budget(0.5, 1);
         CPPUNIT_ASSERT(budget.hasRoom());
@@ -64,7 +65,7 @@
         CPPUNIT_ASSERT_EQUAL(20, taken[0] + taken[1] + taken[2] + taken[3]);
     }
 
-    void onlyWhatMayAndCanStillWork()
+    void onlyRetryableFailuresAreRetried()
     {
         const milliseconds left(100);
         const error refused = notRun(error_code::Unavailable, "");
--- a/tests/policy/routing_test.cpp
+++ b/tests/policy/routing_test.cpp
@@ -12,23 +12,23 @@
 class routing_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(routing_test);
-    CPPUNIT_TEST(refusesWhatNobodyCarries);
-    CPPUNIT_TEST(saysThatAllAreAway);
-    CPPUNIT_TEST(refusesEarlyWhatWouldBeLate);
-    CPPUNIT_TEST(refusesWhatNoEngineCanHold);
-    CPPUNIT_TEST(oneInstanceTakesTheEmptiest);
-    CPPUNIT_TEST(manyInstancesDontHerd);
-    CPPUNIT_TEST(staleIsNotEmpty);
-    CPPUNIT_TEST(burstSpreadsBetweenReports);
+    CPPUNIT_TEST(unknownModelIsNotFound);
+    CPPUNIT_TEST(unavailableRunnersAreReported);
+    CPPUNIT_TEST(requestThatWouldBeLateIsRefused);
+    CPPUNIT_TEST(requestBeyondKvMemoryIsRefused);
+    CPPUNIT_TEST(singleInstanceChoosesLeastLoaded);
+    CPPUNIT_TEST(manyInstancesDoNotHerd);
+    CPPUNIT_TEST(staleReportIsNotIdle);
+    CPPUNIT_TEST(burstIsSpreadBetweenReports);
     CPPUNIT_TEST(reportedWorkIsNotCountedTwice);
-    CPPUNIT_TEST(fullKvMemoryMeansWaiting);
-    CPPUNIT_TEST(lowQueueDoesNotKeepTheFirstClassOut);
-    CPPUNIT_TEST(samePrefixGoesToSameEngine);
-    CPPUNIT_TEST(prefixLeavesAFullEngine);
-    CPPUNIT_TEST(ownZoneFirstUnlessFuller);
-    CPPUNIT_TEST(rolesGetWhatTheyAreMadeFor);
-    CPPUNIT_TEST(foreignIndexIsNotUsed);
-    CPPUNIT_TEST(longListsAreScoredInPart);
+    CPPUNIT_TEST(fullKvMemoryDelaysRequests);
+    CPPUNIT_TEST(lowPriorityQueueDoesNotBlockHighPriority);
+    CPPUNIT_TEST(samePrefixIsRoutedToSameEngine);
+    CPPUNIT_TEST(prefixAffinityYieldsToLoad);
+    CPPUNIT_TEST(ownZoneIsPreferredUnlessMoreLoaded);
+    CPPUNIT_TEST(requestsMatchEngineRoles);
+    CPPUNIT_TEST(indexOfOtherInventoryIsIgnored);
+    CPPUNIT_TEST(longListsAreScoredPartially);
     CPPUNIT_TEST(servicesAreRouted);
     CPPUNIT_TEST_SUITE_END();
 
@@ -63,14 +63,14 @@
     }
 
 public:
-    void refusesWhatNobodyCarries()
+    void unknownModelIsNotFound()
     {
-        route_request wanted = wantReader();
-        wanted.model = "nobody's";
+        route_request wanted = readerRequest();
+        wanted.model = "unknown";
         CPPUNIT_ASSERT(refusal(makeView(makeFleet(2)), wanted).code == error_code::NotFound);
     }
 
-    void saysThatAllAreAway()
+    void unavailableRunnersAreReported()
     {
         const auto fleet = makeFleet(6);
         fleet->runners[0].isDraining = true;
@@ -79,7 +79,7 @@
         now.runners[2].report.isChanging = true;
         now.runners[3].health = runner_health::Down;
         now.runners[4].report.models.clear();
-        route_request wanted = wantReader();
+        route_request wanted = readerRequest();
         CPPUNIT_ASSERT_EQUAL(5u, chosen(now, wanted));
         wanted.avoid = {runner_handle{5}};
         const error refused = refusal(now, wanted);
@@ -87,12 +87,12 @@
         CPPUNIT_ASSERT(refused.retryAfter == config::awayRetryAfter);
     }
 
-    void refusesEarlyWhatWouldBeLate()
+    void requestThatWouldBeLateIsRefused()
     {
         view now = makeView(makeFleet(2));
         for (auto &runner : now.runners)
             setStreams(runner, 60);
-        route_request wanted = wantReader();
+        route_request wanted = readerRequest();
         const milliseconds end = valueOf(tryRoute(now, wanted)).expectedEnd;
         wanted.timeLeft = end - milliseconds(500);
         const error refused = refusal(now, wanted);
@@ -100,26 +100,26 @@
         CPPUNIT_ASSERT(refused.retryAfter == milliseconds(500));
     }
 
-    void refusesWhatNoEngineCanHold()
+    void requestBeyondKvMemoryIsRefused()
     {
-        route_request wanted = wantReader();
+        route_request wanted = readerRequest();
         wanted.promptTokens = 16 * 1000;
         CPPUNIT_ASSERT(refusal(makeView(makeFleet(2)), wanted).code == error_code::TooLarge);
     }
 
-    void oneInstanceTakesTheEmptiest()
+    void singleInstanceChoosesLeastLoaded()
     {
         view now = makeView(makeFleet(9));
         for (std::uint32_t i = 0; i < 9; ++i)
             setStreams(now.runners[i], i == 4 ? 20 : 40);
-        CPPUNIT_ASSERT_EQUAL(1000, countChoices(now, wantReader(), 1000)[4]);
+        CPPUNIT_ASSERT_EQUAL(1000, countChoices(now, readerRequest(), 1000)[4]);
     }
 
-    /// An engine has just come back empty, and callers see the first token late after that.
-    /// All instances hold the same report of it for a while and each sends its next requests there;
-    /// before the next report it is the fullest. So the more instances there are, the more of them
-    /// must choose another engine, although none of them sees why.
-    void manyInstancesDontHerd()
+    /// Guards against late first tokens after an engine has become idle: until its next report all
+    /// instances have the same report of it, and if each sent its next requests there, it would be
+    /// the most loaded one. The more instances there are, the more of them must choose another
+    /// engine.
+    void manyInstancesDoNotHerd()
     {
         view now = makeView(makeFleet(9), 30);
         for (std::uint32_t i = 0; i < 9; ++i) {
@@ -127,32 +127,32 @@
             now.runners[i].reportedAt = startTime - milliseconds(500);
             sent[i].open = 1;
         }
-        const auto counts = countChoices(now, wantReader(), 1000);
+        const auto counts = countChoices(now, readerRequest(), 1000);
         CPPUNIT_ASSERT_EQUAL(std::size_t{9}, counts.size());
         CPPUNIT_ASSERT(counts.at(4) > 1000 / 9);
         CPPUNIT_ASSERT(counts.at(4) < 1000 / 2);
     }
 
-    /// Callers wait at one engine while others are idle. Its reports stopped when it was empty, and
-    /// an old report that is taken for the present sends everybody there.
-    void staleIsNotEmpty()
+    /// Guards against requests that queue at one engine while others are idle: its reports stopped
+    /// while it was idle, and a stale report taken as current attracts all requests.
+    void staleReportIsNotIdle()
     {
         view now = makeView(makeFleet(2));
         setStreams(now.runners[1], 20);
         now.runners[0].reportedAt = startTime - config::loadStaleTime - milliseconds(1);
-        CPPUNIT_ASSERT_EQUAL(1u, chosen(now, wantReader()));
+        CPPUNIT_ASSERT_EQUAL(1u, chosen(now, readerRequest()));
         setStreams(now.runners[1], 50);
-        CPPUNIT_ASSERT_EQUAL(0u, chosen(now, wantReader()));
+        CPPUNIT_ASSERT_EQUAL(0u, chosen(now, readerRequest()));
     }
 
-    void burstSpreadsBetweenReports()
+    void burstIsSpreadBetweenReports()
     {
         const view now = makeView(makeFleet(5));
         for (int i = 0; i < 50; ++i) {
-            sent_work &at = sent[chosen(now, wantReader(), i)];
+            sent_work &at = sent[chosen(now, readerRequest(), i)];
             ++at.open;
             ++at.openSinceReport;
-            at.prefillTokensSinceReport += wantReader().promptTokens;
+            at.prefillTokensSinceReport += readerRequest().promptTokens;
         }
         for (std::uint32_t i = 0; i < 5; ++i) {
             CPPUNIT_ASSERT(sent[i].open >= 8);
@@ -164,50 +164,50 @@
     {
         view now = makeView(makeFleet(1));
         setStreams(now.runners[0], 30);
-        const milliseconds alone = valueOf(tryRoute(now, wantReader())).expectedEnd;
+        const milliseconds alone = valueOf(tryRoute(now, readerRequest())).expectedEnd;
         sent[0] = {30, 0, 0};
-        CPPUNIT_ASSERT(valueOf(tryRoute(now, wantReader())).expectedEnd == alone);
+        CPPUNIT_ASSERT(valueOf(tryRoute(now, readerRequest())).expectedEnd == alone);
         sent[0] = {30, 10, 0};
-        CPPUNIT_ASSERT(valueOf(tryRoute(now, wantReader())).expectedEnd > alone);
+        CPPUNIT_ASSERT(valueOf(tryRoute(now, readerRequest())).expectedEnd > alone);
     }
 
-    void fullKvMemoryMeansWaiting()
+    void fullKvMemoryDelaysRequests()
     {
         view now = makeView(makeFleet(2));
         setStreams(now.runners[0], 20);
-        const milliseconds startWithRoom = valueOf(tryRoute(now, wantReader())).expectedStart;
+        const milliseconds startWithRoom = valueOf(tryRoute(now, readerRequest())).expectedStart;
         now.runners[0].report.kvPiecesUsed = 980;
         setStreams(now.runners[1], 21);
-        CPPUNIT_ASSERT_EQUAL(1u, chosen(now, wantReader()));
+        CPPUNIT_ASSERT_EQUAL(1u, chosen(now, readerRequest()));
         now.runners[1].isReserved = true;
-        CPPUNIT_ASSERT(valueOf(tryRoute(now, wantReader())).expectedStart > startWithRoom);
+        CPPUNIT_ASSERT(valueOf(tryRoute(now, readerRequest())).expectedStart > startWithRoom);
         now.runners[1].isReserved = false;
-        route_request small = wantReader();
+        route_request small = readerRequest();
         small.promptTokens = 50;
         small.outputTokens = 50;
         CPPUNIT_ASSERT_EQUAL(0u, chosen(now, small));
     }
 
-    /// A borrower at the portal is refused while summaries run. Summaries with minutes to spare
-    /// have filled the engines' queues; a portal request with seconds to spare would be served
-    /// before all of them, but by the length of the queue alone it can't be in time.
-    void lowQueueDoesNotKeepTheFirstClassOut()
+    /// Guards against refusing interactive requests while batch work runs: low-priority requests
+    /// with minutes left fill the engines' queues. A high-priority request with seconds left is
+    /// served before them, but by the length of the queue alone it would seem to be late.
+    void lowPriorityQueueDoesNotBlockHighPriority()
     {
         view now = makeView(makeFleet(1));
         setStreams(now.runners[0], 20);
         now.runners[0].report.queued = 200;
         now.runners[0].report.prefillTokensQueued = 200'000;
-        route_request wanted = wantReader();
+        route_request wanted = readerRequest();
         wanted.timeLeft = std::chrono::seconds(5);
         CPPUNIT_ASSERT(refusal(now, wanted).code == error_code::Overloaded);
         wanted.rank = 0;
         CPPUNIT_ASSERT_EQUAL(0u, chosen(now, wanted));
     }
 
-    void samePrefixGoesToSameEngine()
+    void samePrefixIsRoutedToSameEngine()
     {
         view now = makeView(makeFleet(9), 8);
-        route_request wanted = wantReader();
+        route_request wanted = readerRequest();
         wanted.prefixHash = 12345;
         const std::uint32_t home = chosen(now, wanted);
         CPPUNIT_ASSERT_EQUAL(1000, countChoices(now, wanted, 1000)[home]);
@@ -223,13 +223,13 @@
             CPPUNIT_ASSERT(prefixes > 50 && prefixes < 200);
     }
 
-    /// Everybody uses one prompt head, and all callers wait at one engine while eight are idle:
-    /// without a bound on its load, affinity sends every request to the engine that has the head
-    /// in its cache.
-    void prefixLeavesAFullEngine()
+    /// Guards against an overloaded engine while eight are idle: if all requests share one prompt
+    /// prefix and its load is not bounded, affinity sends them all to the engine that has the
+    /// prefix cached.
+    void prefixAffinityYieldsToLoad()
     {
         view now = makeView(makeFleet(9), 8);
-        route_request wanted = wantReader();
+        route_request wanted = readerRequest();
         wanted.prefixHash = 12345;
         const std::uint32_t home = chosen(now, wanted);
         setStreams(now.runners[home], 30);
@@ -240,12 +240,12 @@
         CPPUNIT_ASSERT(countChoices(now, wanted, 100).size() > 1);
     }
 
-    void ownZoneFirstUnlessFuller()
+    void ownZoneIsPreferredUnlessMoreLoaded()
     {
         view now = makeView(makeFleet(4));
         for (std::uint32_t i = 0; i < 4; ++i)
             setStreams(now.runners[i], 20);
-        route_request wanted = wantReader();
+        route_request wanted = readerRequest();
         wanted.zone = {"b"};
         for (const auto &[engine, count] : countChoices(now, wanted, 100))
             CPPUNIT_ASSERT(now.fleet->runners[engine].zone == wanted.zone);
@@ -255,14 +255,14 @@
             CPPUNIT_ASSERT(now.fleet->runners[engine].zone != wanted.zone);
     }
 
-    void rolesGetWhatTheyAreMadeFor()
+    void requestsMatchEngineRoles()
     {
         view now = makeView(makeFleet(3));
         for (std::uint32_t i = 0; i < 3; ++i)
             setStreams(now.runners[i], 15);
         now.runners[0].report.role = engine_role::Prefill;
         now.runners[1].report.role = engine_role::Decode;
-        route_request wanted = wantReader();
+        route_request wanted = readerRequest();
         wanted.promptTokens = 6000;
         wanted.outputTokens = 4;
         CPPUNIT_ASSERT_EQUAL(0u, chosen(now, wanted));
@@ -273,9 +273,9 @@
         CPPUNIT_ASSERT_EQUAL(1u, chosen(now, wanted));
     }
 
-    /// A request goes to a runner that never had its model. The inventory was replaced without its
-    /// index, and handles of the old one mean other runners in the new one.
-    void foreignIndexIsNotUsed()
+    /// Guards against requests sent to a runner without their model: if the inventory is replaced
+    /// without its index, handles from the old index refer to other runners.
+    void indexOfOtherInventoryIsIgnored()
     {
         view now = makeView(makeFleet(3));
         const auto smaller = makeFleet(3);
@@ -283,20 +283,20 @@
         now.fleet = smaller;
         now.runners.erase(now.runners.begin());
         setStreams(now.runners[0], 40);
-        const std::uint32_t without = chosen(now, wantReader());
+        const std::uint32_t without = chosen(now, readerRequest());
         CPPUNIT_ASSERT_EQUAL(1u, without);
         now.index = std::make_shared<const view_index>(indexOf(now.fleet));
-        CPPUNIT_ASSERT_EQUAL(without, chosen(now, wantReader()));
+        CPPUNIT_ASSERT_EQUAL(without, chosen(now, readerRequest()));
     }
 
-    void longListsAreScoredInPart()
+    void longListsAreScoredPartially()
     {
         view now = makeView(makeFleet(300), 1);
-        const auto counts = countChoices(now, wantReader(), 3000);
+        const auto counts = countChoices(now, readerRequest(), 3000);
         CPPUNIT_ASSERT(counts.size() > 200);
         for (std::uint32_t i = 0; i < 299; ++i)
             now.runners[i].isReserved = true;
-        CPPUNIT_ASSERT_EQUAL(299u, chosen(now, wantReader()));
+        CPPUNIT_ASSERT_EQUAL(299u, chosen(now, readerRequest()));
     }
 
     void servicesAreRouted()
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -9,14 +9,14 @@
 class rules_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(rules_test);
-    CPPUNIT_TEST(firstMatchWins);
+    CPPUNIT_TEST(firstMatchingRuleApplies);
     CPPUNIT_TEST(classComesFromRuleThenCallerThenDefault);
-    CPPUNIT_TEST(unnamedPostIsNotRepeated);
-    CPPUNIT_TEST(namedCallersOnly);
-    CPPUNIT_TEST(workspacesOfACaller);
+    CPPUNIT_TEST(postWithoutRuleIsNotRepeated);
+    CPPUNIT_TEST(onlyListedCallersHaveAccess);
+    CPPUNIT_TEST(callerMayUseOnlyItsWorkspaces);
     CPPUNIT_TEST_SUITE_END();
 
-    rules book;
+    rules ruleSet;
 
     static request_facts call(std::string method, std::string path)
     {
@@ -26,11 +26,12 @@
 public:
     void setUp() override
     {
-        book = {};
-        book.classes = {{"live", 0, std::chrono::seconds(2)}, {"rest", 5, std::chrono::minutes(2)}};
+        ruleSet = {};
+        ruleSet.classes = {{"live", 0, std::chrono::seconds(2)},
+                           {"rest", 5, std::chrono::minutes(2)}};
     }
 
-    void firstMatchWins()
+    void firstMatchingRuleApplies()
     {
         request_rule receipts;
         receipts.service = "portal";
@@ -39,57 +40,58 @@
         receipts.needsKey = true;
         request_rule all;
         all.service = "portal";
-        book.requests = {receipts, all};
-        CPPUNIT_ASSERT(rulingOf(book, call("POST", "/receipts/7")).needsKey);
-        CPPUNIT_ASSERT(rulingOf(book, call("GET", "/receipts")).repeat == repeat_rule::Never);
-        CPPUNIT_ASSERT(rulingOf(book, call("POST", "/balance")).repeat == repeat_rule::Allowed);
-        CPPUNIT_ASSERT(!rulingOf(book, call("POST", "/balance")).needsKey);
+        ruleSet.requests = {receipts, all};
+        CPPUNIT_ASSERT(rulingOf(ruleSet, call("POST", "/receipts/7")).needsKey);
+        CPPUNIT_ASSERT(rulingOf(ruleSet, call("GET", "/receipts")).repeat == repeat_rule::Never);
+        CPPUNIT_ASSERT(rulingOf(ruleSet, call("POST", "/balance")).repeat == repeat_rule::Allowed);
+        CPPUNIT_ASSERT(!rulingOf(ruleSet, call("POST", "/balance")).needsKey);
     }
 
     void classComesFromRuleThenCallerThenDefault()
     {
-        CPPUNIT_ASSERT_EQUAL(std::string("rest"), rulingOf(book, call("GET", "/")).priorityClass);
-        book.callers = {{{"desk"}, "", {}, "live"}};
-        CPPUNIT_ASSERT_EQUAL(0u, rulingOf(book, call("GET", "/")).rank);
+        CPPUNIT_ASSERT_EQUAL(std::string("rest"),
+                             rulingOf(ruleSet, call("GET", "/")).priorityClass);
+        ruleSet.callers = {{{"desk"}, "", {}, "live"}};
+        CPPUNIT_ASSERT_EQUAL(0u, rulingOf(ruleSet, call("GET", "/")).rank);
         request_rule slow;
         slow.pathPrefix = "/slow";
         slow.priorityClass = "rest";
-        book.requests = {slow};
-        CPPUNIT_ASSERT_EQUAL(5u, rulingOf(book, call("GET", "/slow")).rank);
-        CPPUNIT_ASSERT(rulingOf(book, call("GET", "/")).timeLimit == std::chrono::seconds(2));
+        ruleSet.requests = {slow};
+        CPPUNIT_ASSERT_EQUAL(5u, rulingOf(ruleSet, call("GET", "/slow")).rank);
+        CPPUNIT_ASSERT(rulingOf(ruleSet, call("GET", "/")).timeLimit == std::chrono::seconds(2));
     }
 
-    void unnamedPostIsNotRepeated()
+    void postWithoutRuleIsNotRepeated()
     {
-        CPPUNIT_ASSERT(rulingOf(book, call("POST", "/orders")).repeat == repeat_rule::Never);
-        CPPUNIT_ASSERT(rulingOf(book, call("GET", "/orders")).repeat == repeat_rule::Allowed);
+        CPPUNIT_ASSERT(rulingOf(ruleSet, call("POST", "/orders")).repeat == repeat_rule::Never);
+        CPPUNIT_ASSERT(rulingOf(ruleSet, call("GET", "/orders")).repeat == repeat_rule::Allowed);
         request_facts completion;
         completion.model = "reader";
         completion.method = "POST";
-        CPPUNIT_ASSERT(rulingOf(book, completion).repeat == repeat_rule::Allowed);
+        CPPUNIT_ASSERT(rulingOf(ruleSet, completion).repeat == repeat_rule::Allowed);
     }
 
-    void namedCallersOnly()
+    void onlyListedCallersHaveAccess()
     {
-        CPPUNIT_ASSERT(succeeded(admitCaller(book, "")));
-        CPPUNIT_ASSERT(!valueOf(admitCaller(book, "any")).isValid());
-        book.callers = {{{"desk"}, sha256Hex("secret"), {}, ""}, {{"none"}, "", {}, ""}};
-        CPPUNIT_ASSERT(valueOf(admitCaller(book, "secret")) == caller_id{"desk"});
+        CPPUNIT_ASSERT(succeeded(admitCaller(ruleSet, "")));
+        CPPUNIT_ASSERT(!valueOf(admitCaller(ruleSet, "any")).isValid());
+        ruleSet.callers = {{{"desk"}, sha256Hex("secret"), {}, ""}, {{"none"}, "", {}, ""}};
+        CPPUNIT_ASSERT(valueOf(admitCaller(ruleSet, "secret")) == caller_id{"desk"});
         for (const std::string_view key : {"", "Secret", "secret "}) {
-            const error refused = errorOf(admitCaller(book, key));
+            const error refused = errorOf(admitCaller(ruleSet, key));
             CPPUNIT_ASSERT(refused.code == error_code::Unauthorized);
             CPPUNIT_ASSERT(refused.ran == verdict::NotRun);
         }
     }
 
-    void workspacesOfACaller()
+    void callerMayUseOnlyItsWorkspaces()
     {
-        CPPUNIT_ASSERT(mayUse(book, {}, {"lanka"}));
-        book.callers = {{{"desk"}, "", {{"lanka"}}, ""}, {{"any"}, "", {}, ""}};
-        CPPUNIT_ASSERT(mayUse(book, {"desk"}, {"lanka"}));
-        CPPUNIT_ASSERT(!mayUse(book, {"desk"}, {"totara"}));
-        CPPUNIT_ASSERT(mayUse(book, {"any"}, {"totara"}));
-        CPPUNIT_ASSERT(!mayUse(book, {"stranger"}, {"lanka"}));
+        CPPUNIT_ASSERT(mayUse(ruleSet, {}, {"lanka"}));
+        ruleSet.callers = {{{"desk"}, "", {{"lanka"}}, ""}, {{"any"}, "", {}, ""}};
+        CPPUNIT_ASSERT(mayUse(ruleSet, {"desk"}, {"lanka"}));
+        CPPUNIT_ASSERT(!mayUse(ruleSet, {"desk"}, {"totara"}));
+        CPPUNIT_ASSERT(mayUse(ruleSet, {"any"}, {"totara"}));
+        CPPUNIT_ASSERT(!mayUse(ruleSet, {"stranger"}, {"lanka"}));
     }
 };
 
--- a/tests/scaling/fleet_plan_test.cpp
+++ b/tests/scaling/fleet_plan_test.cpp
@@ -23,7 +23,7 @@
     return made;
 }
 
-/// All spot runners of the zone are there, as ordered, beside one regular one.
+/// A zone with all ordered spot runners in service and one regular runner.
 zone_fleet replacedZone(const std::string &name)
 {
     zone_fleet made = zoneOf(name, 1, 34);
@@ -32,8 +32,8 @@
     return made;
 }
 
-/// With as many more as two zones need to lose one.
-zone_fleet sparedZone(const std::string &name)
+/// A zone with enough spare runners to compensate for the loss of one of two zones.
+zone_fleet zoneWithSpare(const std::string &name)
 {
     zone_fleet made = zoneOf(name, 1, 69);
     made.regularOrdered = 1;
@@ -52,26 +52,26 @@
 {
     CPPUNIT_TEST_SUITE(fleet_plan_test);
     CPPUNIT_TEST(spotRunnersAreOrderedFirst);
-    CPPUNIT_TEST(regularOnesLeaveAsTheOthersServe);
-    CPPUNIT_TEST(ofSeveralZonesOneMayBeLost);
-    CPPUNIT_TEST(aFleetAsPlannedStays);
-    CPPUNIT_TEST(bothKindsStayBelowTheBound);
-    CPPUNIT_TEST(whatIsDryIsNotAskedFor);
-    CPPUNIT_TEST(oneReclaimedZoneIsOnlyOrderedAgain);
-    CPPUNIT_TEST(twoReclaimedZonesBringRegularOnesBack);
-    CPPUNIT_TEST(spotRunnersThatSaveNothingAreNotOrdered);
-    CPPUNIT_TEST(notesSurviveTheStore);
+    CPPUNIT_TEST(regularRunnersAreReplacedAsSpotRunnersServe);
+    CPPUNIT_TEST(fleetToleratesLossOfOneZone);
+    CPPUNIT_TEST(fleetAsPlannedNeedsNoOrders);
+    CPPUNIT_TEST(bothKindsTogetherStayBelowMax);
+    CPPUNIT_TEST(unavailableKindIsNotOrdered);
+    CPPUNIT_TEST(reclaimedZoneIsOrderedAgain);
+    CPPUNIT_TEST(regularRunnersReplaceTwoReclaimedZones);
+    CPPUNIT_TEST(spotRunnersWithoutSavingsAreNotOrdered);
+    CPPUNIT_TEST(checkpointSurvivesEncoding);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Guards against seconds in which nobody serves.
+    /// Guards against seconds without any runner in service.
     void spotRunnersAreOrderedFirst()
     {
         CPPUNIT_ASSERT(planOf({zoneOf("a", 35, 0)})
                        == (std::vector<fleet_order>{{{"a"}, true, 34}}));
     }
 
-    void regularOnesLeaveAsTheOthersServe()
+    void regularRunnersAreReplacedAsSpotRunnersServe()
     {
         zone_fleet booting = zoneOf("a", 35, 30);
         booting.spotOrdered = 34;
@@ -82,8 +82,8 @@
         CPPUNIT_ASSERT(planOf({booting}) == (std::vector<fleet_order>{{{"a"}, false, 1}}));
     }
 
-    /// All spot runners of a zone go at once.
-    void ofSeveralZonesOneMayBeLost()
+    /// All spot runners of a zone are reclaimed at once.
+    void fleetToleratesLossOfOneZone()
     {
         const auto orders = planOf(
                 {replacedZone("a"), replacedZone("b"), replacedZone("c"), replacedZone("d")});
@@ -92,63 +92,63 @@
         CPPUNIT_ASSERT(3 * (orders[0].wanted + 1) >= 4 * 35);
     }
 
-    void aFleetAsPlannedStays()
+    void fleetAsPlannedNeedsNoOrders()
     {
         CPPUNIT_ASSERT(planOf({replacedZone("a")}).empty());
-        CPPUNIT_ASSERT(planOf({sparedZone("a"), sparedZone("b")}).empty());
+        CPPUNIT_ASSERT(planOf({zoneWithSpare("a"), zoneWithSpare("b")}).empty());
     }
 
-    void bothKindsStayBelowTheBound()
+    void bothKindsTogetherStayBelowMax()
     {
         zone_fleet full = zoneOf("a", 60, 0);
         full.size = 60;
         CPPUNIT_ASSERT(planOf({full}) == (std::vector<fleet_order>{{{"a"}, true, 10}}));
     }
 
-    void whatIsDryIsNotAskedFor()
+    void unavailableKindIsNotOrdered()
     {
-        zone_fleet dry = zoneOf("a", 35, 0);
-        dry.isSpotDry = true;
-        CPPUNIT_ASSERT(planOf({dry}).empty());
+        zone_fleet unavailable = zoneOf("a", 35, 0);
+        unavailable.isSpotDry = true;
+        CPPUNIT_ASSERT(planOf({unavailable}).empty());
     }
 
-    void oneReclaimedZoneIsOnlyOrderedAgain()
+    void reclaimedZoneIsOrderedAgain()
     {
-        zone_fleet taken = zoneOf("a", 1, 0);
-        taken.regularOrdered = 1;
+        zone_fleet reclaimed = zoneOf("a", 1, 0);
+        reclaimed.regularOrdered = 1;
         zone_fleet other = zoneOf("b", 1, 46);
         other.regularOrdered = 1;
         other.spotOrdered = 46;
-        CPPUNIT_ASSERT(planOf({taken, other, other, other})
+        CPPUNIT_ASSERT(planOf({reclaimed, other, other, other})
                        == (std::vector<fleet_order>{{{"a"}, true, 46}}));
     }
 
-    /// Half of the fleet is gone, and no spot runner is to be had.
-    void twoReclaimedZonesBringRegularOnesBack()
+    /// Half of the fleet is reclaimed, and there is no spot capacity.
+    void regularRunnersReplaceTwoReclaimedZones()
     {
-        zone_fleet taken = zoneOf("a", 1, 0);
-        taken.regularOrdered = 1;
-        taken.isSpotDry = true;
-        zone_fleet alsoTaken = taken;
-        alsoTaken.zone = {"b"};
-        CPPUNIT_ASSERT(planOf({taken, alsoTaken, sparedZone("c")})
+        zone_fleet reclaimed = zoneOf("a", 1, 0);
+        reclaimed.regularOrdered = 1;
+        reclaimed.isSpotDry = true;
+        zone_fleet alsoReclaimed = reclaimed;
+        alsoReclaimed.zone = {"b"};
+        CPPUNIT_ASSERT(planOf({reclaimed, alsoReclaimed, zoneWithSpare("c")})
                        == (std::vector<fleet_order>{{{"a"}, false, 35}, {{"b"}, false, 35}}));
-        taken.regularOrdered = alsoTaken.regularOrdered = 35;
-        CPPUNIT_ASSERT(planOf({taken, alsoTaken, sparedZone("c")}).empty());
+        reclaimed.regularOrdered = alsoReclaimed.regularOrdered = 35;
+        CPPUNIT_ASSERT(planOf({reclaimed, alsoReclaimed, zoneWithSpare("c")}).empty());
     }
 
-    void spotRunnersThatSaveNothingAreNotOrdered()
+    void spotRunnersWithoutSavingsAreNotOrdered()
     {
         fleet_traits traits = sampleTraits();
         traits.spotPrice = 1;
         CPPUNIT_ASSERT(planFleet(traits, std::vector{zoneOf("a", 35, 0)}).empty());
     }
 
-    void notesSurviveTheStore()
+    void checkpointSurvivesEncoding()
     {
-        const fleet_note note{{{"s", {{"a"}, true, 34}}, {"s", {{"b"}, false, 1}}},
-                              {{"s", {{"a"}, false, 35}}}};
-        CPPUNIT_ASSERT(decodeFleetNote(encode(note)) == note);
+        const fleet_note checkpoint{{{"s", {{"a"}, true, 34}}, {"s", {{"b"}, false, 1}}},
+                                    {{"s", {{"a"}, false, 35}}}};
+        CPPUNIT_ASSERT(decodeFleetNote(encode(checkpoint)) == checkpoint);
         for (const char *text : {"", "{", "[]", "{\"given\":[{}],\"sizes\":[]}"})
             CPPUNIT_ASSERT_MESSAGE(text, !decodeFleetNote(text));
     }
--- a/tests/workspaces/workspaces_test.cpp
+++ b/tests/workspaces/workspaces_test.cpp
@@ -10,21 +10,21 @@
 class workspaces_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(workspaces_test);
-    CPPUNIT_TEST(keysAreReadAsTheirSchemeSays);
-    CPPUNIT_TEST(whatIsNoKeyIsNone);
-    CPPUNIT_TEST(aKeyLeadsToItsWorkspace);
-    CPPUNIT_TEST(ofTwoHoldersTheFirstCounts);
+    CPPUNIT_TEST(keyOfExpectedSchemeIsRead);
+    CPPUNIT_TEST(malformedValueYieldsNoKey);
+    CPPUNIT_TEST(keyMapsToItsWorkspace);
+    CPPUNIT_TEST(sharedKeyBelongsToFirstWorkspace);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void keysAreReadAsTheirSchemeSays()
+    void keyOfExpectedSchemeIsRead()
     {
         const key_digest key = digest128Of("k-1");
         CPPUNIT_ASSERT(readKey("Token", "Token k-1") == key);
         CPPUNIT_ASSERT(readKey("Token", "  tOKEN   k-1 ") == key);
     }
 
-    void whatIsNoKeyIsNone()
+    void malformedValueYieldsNoKey()
     {
         const std::string huge(config::maxWorkspaceKeyBytes + 1, 'k');
         for (const std::string &value :
@@ -33,7 +33,7 @@
             CPPUNIT_ASSERT_MESSAGE(value, !readKey("Token", value));
     }
 
-    void aKeyLeadsToItsWorkspace()
+    void keyMapsToItsWorkspace()
     {
         const std::vector<workspace> all{{{"a"}, {digest128Of("k-1"), digest128Of("k-2")}, {}},
                                          {{"b"}, {digest128Of("k-3")}, 1}};
@@ -43,7 +43,7 @@
         CPPUNIT_ASSERT(!index.contains(digest128Of("k-4")));
     }
 
-    void ofTwoHoldersTheFirstCounts()
+    void sharedKeyBelongsToFirstWorkspace()
     {
         const key_digest key = digest128Of("k-1");
         CPPUNIT_ASSERT_EQUAL(0U, indexOf({{{"a"}, {key}, {}}, {{"b"}, {key}, {}}}).at(key));
