--- a/include/poplarspool/duties/fleet_clock.h
+++ b/include/poplarspool/duties/fleet_clock.h
@@ -34,8 +34,7 @@
     void noteEstimate(std::uint64_t sender, const fleet_time &received);
     fleet_time now() const;
     /// @returns The estimate to send to others, made only from the clocks received here. An
-    /// estimate
-    ///          that instances passed on to each other would never expire.
+    ///          estimate that instances passed on to each other would never expire.
     fleet_time heard() const;
 
 private:
--- a/include/poplarspool/duties/lease.h
+++ b/include/poplarspool/duties/lease.h
@@ -17,8 +17,7 @@
 struct lease_record
 {
     instance_id holder;
-    std::uint64_t fence =
-            0; ///< Fencing token: increases with each term and is sent with each call.
+    std::uint64_t fence = 0; ///< Fencing token; increases with each term, sent with each call.
     store_version version; ///< Of the object in the store; revision 0: not created yet.
     std::string note = {}; ///< State for later holders: the work of that term.
 
--- a/include/poplarspool/duties/limits.h
+++ b/include/poplarspool/duties/limits.h
@@ -16,7 +16,8 @@
 inline constexpr std::uint64_t storeEpochMost = 10'000'000'000'000;
 static_assert(storeEpochMost < UINT64_MAX / fencesPerEpoch);
 
-/// Interval at which the owner of a duty checks for due work, and the one at which it tries again.
+/// Interval at which the owner of a duty checks for due work, and at which it tries to become the
+/// holder.
 inline constexpr std::chrono::milliseconds dutyLookTime = 500ms;
 inline constexpr std::chrono::milliseconds dutyTryPause = 1s;
 /// Timeout of one call to the platform: a slow call takes 60 times the usual 4 ms.
--- a/include/poplarspool/duties/usage.h
+++ b/include/poplarspool/duties/usage.h
@@ -119,9 +119,8 @@
 /// @param before The previous checkpoint; none if there is none that can be decoded.
 /// @param totalOf Returns the counts of a window.
 /// @returns The next checkpoint, with earlier reports that may not have been sent and the reports
-/// of
-///          the windows that are due. Windows whose reports may have been lost in a store rollback
-///          are skipped.
+///          of the windows that are due. Windows whose reports may have been lost in a store
+///          rollback are skipped.
 usage_note nextNote(const std::optional<usage_note> &before, const usage_state &state,
                     const std::function<usage_counts(window_number)> &totalOf);
 
--- a/include/poplarspool/duties/usage_exchange.h
+++ b/include/poplarspool/duties/usage_exchange.h
@@ -30,7 +30,7 @@
     /// @param settings The other instances receive on the same port.
     /// @param incarnation The one that the table counts as local.
     /// @param members Returns all members, including this instance; called on the exchange's
-    /// thread.
+    ///                thread.
     usage_exchange(peer::datagram_settings settings, std::uint64_t incarnation, usage_parts context,
                    std::function<std::vector<policy::member>()> members, clock_source clock,
                    metrics_registry &metrics, journal &events);
--- a/include/poplarspool/duties/usage_keeper.h
+++ b/include/poplarspool/duties/usage_keeper.h
@@ -55,8 +55,7 @@
     counter &failed;
     counter &skipped;
     std::optional<window_number> done; ///< All windows up to it have been reported; none: unknown.
-    std::optional<window_number>
-            delivered; ///< Last window up to which this instance has sent all reports.
+    std::optional<window_number> delivered; ///< This instance has sent all reports up to it.
     mono_time nextTryAt{};
     look_thread thread; ///< Last member: stops before the state it uses is destroyed.
 };
--- a/include/poplarspool/policy/inventory.h
+++ b/include/poplarspool/policy/inventory.h
@@ -118,8 +118,7 @@
     runner_rates rates;
     std::uint32_t zone = UINT32_MAX; ///< Index into inventory::zones.
     engine_role startRole = engine_role::Mixed;
-    bool startsWithModel =
-            false; ///< Served by the runner's pool, so assumed to be loaded until the first report.
+    bool startsWithModel = false; ///< Served by its pool; assumed loaded before a report.
 
     bool operator==(const indexed_runner &) const = default;
 };
--- a/include/poplarspool/policy/plan.h
+++ b/include/poplarspool/policy/plan.h
@@ -32,8 +32,8 @@
 struct plan_memory
 {
     demand_estimate demand;
-    /// Accumulated cost of not changing roles, in engine seconds (rent-or-buy rule). Above 0
-    /// if changes towards prefill would avoid it, below 0 for changes towards decode.
+    /// Accumulated cost of not changing roles, in engine seconds (rent-or-buy rule). Above 0 if
+    /// changes towards prefill would avoid it, below 0 for changes towards decode.
     double regretSeconds = 0;
     mono_time lookedAt{};
 
--- a/include/poplarspool/policy/routing.h
+++ b/include/poplarspool/policy/routing.h
@@ -56,8 +56,7 @@
                            std::span<const sent_work> sent, mono_time time, std::uint64_t tieBreak);
 
 /// @returns Estimate of a prompt's tokens from its size in bytes, since the engine's own count is
-/// not
-///          known in advance.
+///          not known in advance.
 std::uint32_t estimateTokens(std::string_view prompt);
 
 /// @returns Hash of the prompt prefix that prefix affinity uses; 0 if the prompt is shorter.
--- a/include/poplarspool/policy/view.h
+++ b/include/poplarspool/policy/view.h
@@ -109,7 +109,7 @@
 }
 
 /// @returns Whether the runner may receive new work now: it isn't draining, reserved, down or
-/// changing.
+///          changing.
 bool isOpenForWork(const view &now, runner_handle runner);
 
 } // namespace poplarspool::policy
--- a/include/poplarspool/scaling/fleet_plan.h
+++ b/include/poplarspool/scaling/fleet_plan.h
@@ -20,8 +20,7 @@
     zone_id zone;
     std::uint32_t size = 0; ///< Wanted number of runners, both kinds together.
     std::uint32_t regular = 0; ///< In service.
-    std::uint32_t spot =
-            0; ///< In service. Cheaper, but may be reclaimed, for a whole zone at once.
+    std::uint32_t spot = 0; ///< In service. Cheaper; a whole zone may be reclaimed at once.
     std::optional<std::uint32_t> regularOrdered; ///< None: no order has been issued.
     std::optional<std::uint32_t> spotOrdered;
     bool isSpotDry = false; ///< The platform has no spot capacity for now.
--- a/include/poplarspool/workspaces/workspaces.h
+++ b/include/poplarspool/workspaces/workspaces.h
@@ -22,8 +22,7 @@
 {
     workspace_id id;
     std::vector<key_digest> keys;
-    std::optional<std::uint32_t>
-            rank; ///< Priority of its requests; 0 is served first. None: rank of the route.
+    std::optional<std::uint32_t> rank; ///< Priority; 0 is served first. None: rank of the route.
 
     bool operator==(const workspace &) const = default;
 };
--- a/src/policy/addresses.cpp
+++ b/src/policy/addresses.cpp
@@ -26,10 +26,9 @@
 }
 
 /// @returns Number of streams above which an instance counts as overloaded compared with the
-/// others.
-///          Callers keep an address for seconds and the counts are delayed, so a strict order by
-///          load would send all callers to the least loaded instance. A bound only spares the most
-///          loaded ones.
+///          others. Callers keep an address for seconds and the counts are delayed, so a strict
+///          order by load would send all callers to the least loaded instance. A bound only spares
+///          the most loaded ones.
 double loadBound(const view &now)
 {
     double streams = 0;
--- a/src/policy/plan.cpp
+++ b/src/policy/plan.cpp
@@ -106,9 +106,8 @@
 }
 
 /// @returns The demand with the standard deviation of its averages. It is far lower than that of
-/// single
-///          iterations, whose fluctuations the engines' queues absorb; planning for those would
-///          cause unnecessary role changes.
+///          single iterations, whose fluctuations the engines' queues absorb; planning for those
+///          would cause unnecessary role changes.
 demand_estimate withStdDevOfMean(demand_estimate demand)
 {
     const double intervalSeconds = std::chrono::duration<double>(config::planTime).count();
@@ -228,8 +227,7 @@
 }
 
 /// @returns The serving engine of that role with the fewest running requests, which drains soonest,
-/// and
-///          without a planned change.
+///          and without a planned change.
 const pool_engine *cheapest(const pool_engines &engines, engine_role role, const plan_step &step)
 {
     const pool_engine *best = nullptr;
--- a/src/policy/role_owner.cpp
+++ b/src/policy/role_owner.cpp
@@ -11,14 +11,14 @@
 const member *ownerOf(std::span<const member> members, std::string_view key, const zone_id &zone)
 {
     const auto isAlive = [](const member &other) { return other.state == member_state::Alive; };
-    const auto isNear = [&](const member &other) {
+    const auto isInZone = [&](const member &other) {
         return zone.isValid() && isAlive(other) && other.zone == zone;
     };
-    const bool hasNear = std::ranges::any_of(members, isNear);
+    const bool hasMemberInZone = std::ranges::any_of(members, isInZone);
     const member *best = nullptr;
     std::uint64_t bestWeight = 0;
     for (const member &other : members) {
-        if (hasNear ? !isNear(other) : !isAlive(other))
+        if (hasMemberInZone ? !isInZone(other) : !isAlive(other))
             continue;
         const std::uint64_t weight = rendezvousWeight(other.id.text, key);
         if (!best || weight > bestWeight) {
--- a/src/policy/role_split.h
+++ b/src/policy/role_split.h
@@ -36,14 +36,12 @@
 };
 
 /// @returns Demand in engine seconds per second that the split can't serve in time, averaged over
-/// the
-///          uncertainty of the demand.
+///          the uncertainty of the demand.
 double expectedLoss(const role_split &split, const demand_estimate &demand, serving_mode mode);
 
 struct split_advice
 {
-    double gain =
-            0; ///< Engine seconds per second lost by the current split compared with the best.
+    double gain = 0; ///< Engine seconds per second saved by the best split over the current one.
     std::vector<role_move> moves; ///< Moves to the best split, with the most effective first.
 
     bool operator==(const split_advice &) const = default;
--- a/src/policy/routing.cpp
+++ b/src/policy/routing.cpp
@@ -60,8 +60,7 @@
 }
 
 /// @returns Whether the engine has the model loaded. Before its first report it is assumed to have
-/// the
-///          models of its pool; after that the last report counts, regardless of its age, since
+///          the models of its pool; after that the last report counts, regardless of its age, since
 ///          models change by order only.
 bool hasModel(const routing_task &task, const indexed_candidate &candidate)
 {
@@ -156,7 +155,7 @@
 }
 
 /// @returns The two candidates with the highest rendezvous weights for the prefix, in descending
-/// order.
+///          order.
 std::array<const indexed_candidate *, 2> preferredOf(std::uint64_t prefixHash,
                                                      const candidate_list &list)
 {
@@ -177,9 +176,8 @@
 }
 
 /// @returns Whether the expected cache hit outweighs the load of the preferred engine. Without
-/// these
-///          bounds a prefix that all callers use would overload one engine while the others are
-///          idle.
+///          these bounds a prefix that all callers use would overload one engine while the others
+///          are idle.
 bool outweighsLoad(const routing_task &task, const scored_runner &preferred, const shortlist &found)
 {
     const double mean = found.aheadSum / static_cast<double>(found.count);
@@ -219,10 +217,9 @@
 }
 
 /// @returns Estimated number of requests that other instances have sent since the reports. Each
-/// instance
-///          is assumed to have as many open requests as this one, plus a small constant, since an
-///          instance that sends rarely has none most of the time. By Little's law their rate is the
-///          number of open requests divided by their duration.
+///          instance is assumed to have as many open requests as this one, plus a small constant,
+///          since an instance that sends rarely has none most of the time. By Little's law their
+///          rate is the number of open requests divided by their duration.
 double unseenRequests(const routing_task &task, const shortlist &found)
 {
     const auto alive =
--- a/src/policy/rules.cpp
+++ b/src/policy/rules.cpp
@@ -50,8 +50,8 @@
     return at == ruleSet.classes.end() ? nullptr : &*at;
 }
 
-/// @returns The class set by the rule, else by the caller, else the default. Unknown classes are
-/// ignored.
+/// @returns The class set by the rule, by the caller or by default, in this order. Unknown classes
+///          are ignored.
 const priority_class *classOf(const rules &ruleSet, const request_rule *rule,
                               const caller_rule *caller)
 {
--- a/src/scaling/fleet_plan.cpp
+++ b/src/scaling/fleet_plan.cpp
@@ -20,8 +20,7 @@
 constexpr char wantedKey[] = "wanted";
 
 /// @returns Size per zone at which the other zones still have all wanted runners after the spot
-/// runners
-///          of one zone are reclaimed.
+///          runners of one zone are reclaimed.
 std::uint32_t sizeWithSpare(std::uint32_t size, std::size_t zones)
 {
     const auto others = static_cast<std::uint32_t>(std::max<std::size_t>(zones, 2) - 1);
@@ -52,9 +51,8 @@
 }
 
 /// @returns Regular runners to order in a zone. Each spot runner that starts to serve replaces a
-/// regular
-///          one. For single reclaimed spot runners no regular ones are ordered, since replacement
-///          spot runners are cheaper.
+///          regular one. For single reclaimed spot runners no regular ones are ordered, since
+///          replacement spot runners are cheaper.
 std::uint32_t regularWanted(const fleet_traits &traits, const zone_fleet &zone, bool areShort)
 {
     const std::uint32_t present = zone.regularOrdered.value_or(zone.regular);
