--- a/include/poplarspool/gateway/dialect.h
+++ b/include/poplarspool/gateway/dialect.h
@@ -11,11 +11,11 @@
 
 namespace poplarspool::gateway {
 
-/// What an engine says of itself.
+/// An engine's report on itself.
 struct engine_report
 {
-    bool isChanging = false; ///< An order is being carried out.
-    std::uint64_t ordersTaken = 0; ///< Since its start.
+    bool isChanging = false; ///< It is carrying out a stage order.
+    std::uint64_t ordersTaken = 0; ///< Since the engine's start.
 
     bool operator==(const engine_report &) const = default;
 };
@@ -24,26 +24,26 @@
 struct engine_order
 {
     engine_stage wanted = engine_stage::None;
-    instance_id holder; ///< Who gives it.
-    std::uint64_t fence = 0; ///< Of the holder's term.
-    std::uint64_t ordersTaken = 0; ///< The order holds only while the engine has taken that many.
+    instance_id holder; ///< Instance that sends the order: the lease holder.
+    std::uint64_t fence = 0; ///< Fencing token of the holder's lease.
+    std::uint64_t ordersTaken = 0; ///< Valid only while the engine has accepted exactly this many.
 
     bool operator==(const engine_order &) const = default;
 };
 
-/// The names under which callers and runners exchange what the gateway needs to know. The gateway
-/// itself knows no such name: the platform's adapter fills them in.
+/// Names of headers and formats that callers, gateways and runners exchange. The platform's
+/// adapter provides them; the gateway itself contains none.
 struct dialect
 {
     // Headers of callers, passed on to runners.
     std::string requestId;
-    std::string timeLimitMs; ///< Rewritten with what is left.
-    std::string tokenCount; ///< "PROMPT,OUTPUT", the latter at most.
-    std::string promptParts; ///< "ID:TOKENS,…", in the prompt's order.
-    std::string lastEvent; ///< A stream goes on after this event.
+    std::string timeLimitMs; ///< Rewritten with the time left.
+    std::string tokenCount; ///< "PROMPT,OUTPUT"; OUTPUT is a maximum.
+    std::string promptParts; ///< "ID:TOKENS,…", in the order of the prompt.
+    std::string lastEvent; ///< Last event received; the stream resumes after it.
 
-    // The header by which callers show a workspace's key, and the word before it. Runners never see
-    // either.
+    // The header in which callers send a workspace's key, and the scheme before the key. Neither
+    // is passed on to runners.
     std::string key;
     std::string keyScheme;
 
@@ -51,22 +51,23 @@
     std::string expectedRunner;
     std::string priority; ///< 0 is the most urgent.
     std::string stage;
-    std::string kvSource; ///< "ADDRESS/HANDLE": take over what was read there.
+    std::string kvSource; ///< "ADDRESS/HANDLE": take over the KV cache kept there.
     std::string kvFetch; ///< "ADDRESS": copy cached parts from there first.
-    std::string workspace; ///< Whose key the caller has shown.
-    std::string prefillStage; ///< The value of `stage` that only has the prompt read.
-    /// All headers that are dropped from callers: a caller that sets them would act in our name.
+    std::string workspace; ///< Workspace whose key the caller sent.
+    std::string prefillStage; ///< The value of `stage` that requests prefill only.
+    /// Headers that are dropped from callers' requests: a caller that sets one would act in the
+    /// gateway's name.
     std::vector<std::string> reserved;
 
     // Headers of runners' replies.
-    std::string seal; ///< On each reply that a runner made itself.
-    std::string notRun; ///< The runner refused, and has not run the request.
+    std::string seal; ///< Set on each reply that the runner generated itself.
+    std::string notRun; ///< The runner refused the request and has not run it.
 
-    /// @returns The handle, in an engine's reply to a prefill, to the KV cache that it keeps.
+    /// @returns The handle to the KV cache that an engine keeps, from its reply to a prefill.
     std::function<std::optional<std::string>(std::string_view body)> readHandle;
-    /// @returns The request that frees a handle that nobody will take.
+    /// @returns The request that frees a handle that no engine will take over.
     std::function<http_request(const std::string &handle)> freeHandle;
-    /// @returns The request that asks an engine for its report.
+    /// @returns The request for an engine's report.
     std::function<http_request()> askReport;
     std::function<std::optional<engine_report>(std::string_view body)> readReport;
     std::function<http_request(const engine_order &order)> orderStage;
--- a/include/poplarspool/gateway/gateway.h
+++ b/include/poplarspool/gateway/gateway.h
@@ -17,59 +17,62 @@
 
 namespace poplarspool::gateway {
 
-/// Another instance, as it entered itself in the store.
+/// Another instance, as registered in the store.
 struct listed_gateway
 {
     instance_id id;
     endpoint peerAddress; ///< Gossip.
-    endpoint loadAddress; ///< News of load.
+    endpoint loadAddress; ///< Load updates.
     zone_id zone;
-    endpoint newsAddress; ///< News of the store; invalid: it takes none.
-    /// Runners that it knew to have left when the store came back from an older copy.
+    endpoint newsAddress; ///< Store updates; invalid if the instance receives none.
+    /// Runners that it knew to have left at the time of a store rollback.
     std::vector<entry_mark> outdated;
 
     bool operator==(const listed_gateway &) const = default;
 };
 
-/// What the platform does for a gateway.
+/// Services of the platform that a gateway uses.
 struct platform_links
 {
-    duties::lease_store stages; ///< Who orders engines.
-    suspect_store suspects; ///< Requests under which runners ended.
-    duties::lease_store usage; ///< Who reports usage.
+    duties::lease_store stages; ///< For the right to order engines.
+    suspect_store suspects; ///< Store of the crash records.
+    duties::lease_store usage; ///< For the right to report usage.
     duties::usage_sink usageSink;
-    duties::lease_store fleet; ///< Who orders runners.
+    duties::lease_store fleet; ///< For the right to order runners.
     fleet_sink fleetSink;
 };
 
-/// One instance that passes requests on. It gets its knowledge of routes and runners from whoever
-/// follows the platform's store, through `keeper()`.
+/// One instance that forwards requests. Routes and runners are supplied through
+/// `catalogueUpdater()` by the code that watches the platform's store.
 class gateway
 {
 public:
-    /// @param names How callers and runners name things.
+    /// @param names Headers and formats that callers and runners use.
     gateway(gateway_settings choices, dialect names, platform_links links, clock_source clock,
             metrics_registry &metrics, journal &events);
     ~gateway();
 
-    /// Binds the callers' address and begins to talk to other instances.
+    /// Binds the callers' address and starts the communication with other instances.
     result<unit> start();
 
     catalogue_keeper &keeper();
-    /// Instances that the store lists; asked until they answer.
+    /// Sets the instances that the store lists. They are contacted until they answer.
     void setListed(const std::vector<listed_gateway> &listed);
 
-    /// The store has come back from an older copy.
+    /// Called after a store rollback.
     void noteOlderCopy();
 
-    /// @returns Whether callers may be sent here: routes and runners are known, and it stays.
+    /// @returns Whether callers may be sent here: routes and runners are known, and the instance
+    ///          is not leaving.
     bool isReady() const;
-    /// @returns Instances to give to a caller, this one among them unless it is leaving.
+    /// @returns Addresses of instances for a caller. They include this instance unless it is
+    ///          leaving.
     std::vector<endpoint> addressesFor(const zone_id &callerZone) const;
 
-    /// Begins a graceful end: no new callers, replies say that their connections close.
+    /// Begins a graceful shutdown: new callers are no longer accepted, and replies announce that
+    /// their connections close.
     void leave();
-    /// Serves until what was begun is done, at most for the settings' time to leave.
+    /// Serves the open requests to their end, at most for `leave.seconds`, then stops.
     void finish();
 
 private:
--- a/include/poplarspool/gateway/gateway_settings.h
+++ b/include/poplarspool/gateway/gateway_settings.h
@@ -11,40 +11,41 @@
 
 namespace poplarspool::gateway {
 
-/// Settings of one gateway instance, as read and checked from its TOML file; docs/SETTINGS.md has
-/// each key.
+/// Settings of one gateway instance, read from its TOML file and validated. docs/SETTINGS.md
+/// describes each key.
 struct gateway_settings
 {
     instance_id instance; ///< `instance`
     zone_id zone; ///< `zone`
     endpoint callerAddress; ///< `caller.address`: where callers connect.
     endpoint readinessAddress; ///< `readiness.address`
-    endpoint directoryAddress; ///< `directory.address`: where callers ask whom to connect to.
+    endpoint directoryAddress; ///< `directory.address`: where callers query instances' addresses.
     std::chrono::seconds addressKeepTime{2}; ///< `directory.keep_seconds`
     endpoint peerAddress; ///< `peer.address`: gossip between instances.
-    endpoint loadAddress; ///< `peer.load_address`: news of load between instances.
-    bool sharesStoreNews = false; ///< `peer.share_store_news`: else each follows it by itself.
+    endpoint loadAddress; ///< `peer.load_address`: load updates between instances.
+    /// `peer.share_store_news`: otherwise each instance watches the store itself.
+    bool sharesStoreNews = false;
     endpoint metricsAddress; ///< `metrics.address`
     endpoint storeAddress; ///< `store.address`
-    /// `store.settle_ms`: for which news may be late once the store or the way to it is sound
-    /// again.
+    /// `store.settle_ms`: time for which updates may be late after the store or the connection to
+    /// it has recovered.
     milliseconds settleTime{3000};
-    /// `store.runners_ms`, `store.routes_ms`: else, by which a runner that leaves is left alone,
-    /// and new routes are in force.
+    /// `store.runners_ms`, `store.routes_ms`: in normal operation, the time within which a leaving
+    /// runner gets no more requests and new routes are in force.
     milliseconds runnersBound{2000};
     milliseconds routesBound{2000};
     double retryShare = 0.1; ///< `retries.share`: of the requests, for the whole fleet.
-    double retryExtra = 10; ///< `retries.extra`: beside the share, for the whole fleet.
-    /// `orders.lease_ms`: time by which orders of two instances to engines are apart at least.
+    double retryExtra = 10; ///< `retries.extra`: in addition to the share, for the whole fleet.
+    /// `orders.lease_ms`: minimum time between orders of two different instances to engines.
     milliseconds leaseBound{3000};
-    endpoint dutyAddress; ///< `duties.address`: of the platform, for calls of one instance.
-    std::vector<std::string> dutyKinds; ///< `duties.kinds`: which of them are wanted.
-    double usageWindowSeconds = 5; ///< `duties.usage_window_seconds`: that one report is about.
+    endpoint dutyAddress; ///< `duties.address`: the platform's address for calls of one instance.
+    std::vector<std::string> dutyKinds; ///< `duties.kinds`: the duties that are enabled.
+    double usageWindowSeconds = 5; ///< `duties.usage_window_seconds`: period of one report.
     double usageLateSeconds = 10; ///< `duties.usage_late_seconds`: after the window's end.
-    /// `scaling.spot`: spot runners take the place of regular ones; else none are ordered.
+    /// `scaling.spot`: spot runners replace regular ones; if false, none are ordered.
     bool ordersSpot = true;
-    /// `workspaces.strict_revoke`: without the store's word for `workspaces.revoke_ms`, no key is
-    /// good any more; else the last ones that were known are.
+    /// `workspaces.strict_revoke`: without a confirmation from the store for
+    /// `workspaces.revoke_ms`, all keys are rejected; if false, the last known keys stay valid.
     bool isRevokeStrict = false;
     milliseconds revokeTime{5000};
     double leaveSeconds = 8; ///< `leave.seconds`: from SIGTERM to the end of the process.
@@ -53,8 +54,8 @@
     bool operator==(const gateway_settings &) const = default;
 };
 
-/// @returns Where news of the store are told between instances: the port after peerAddress's.
-///          Invalid where they aren't.
+/// @returns Where instances exchange store updates: the port after peerAddress's. Invalid if they
+///          don't.
 inline endpoint newsAddressOf(const gateway_settings &choices)
 {
     if (!choices.sharesStoreNews || !choices.peerAddress.isValid())
@@ -68,15 +69,15 @@
 inline constexpr char usageDuty[] = "accounting";
 inline constexpr char fleetDuty[] = "scaling";
 
-/// @returns Whether this deployment wants the duty, and says where to.
+/// @returns Whether the duty is enabled and has an address.
 inline bool hasDuty(const gateway_settings &choices, std::string_view kind)
 {
     return choices.dutyAddress.isValid()
             && std::ranges::find(choices.dutyKinds, kind) != choices.dutyKinds.end();
 }
 
-/// @returns Where usage is told between instances: two ports after peerAddress's. Invalid where it
-///          isn't.
+/// @returns Where instances exchange usage updates: two ports after peerAddress's. Invalid if they
+///          don't.
 inline endpoint usageAddressOf(const gateway_settings &choices)
 {
     if (!hasDuty(choices, usageDuty) || !choices.peerAddress.isValid())
@@ -86,13 +87,13 @@
     return made;
 }
 
-/// @returns What instances authenticate each other's datagrams with. The platform hands out no
-///          secret; its network is the users' own. The key keeps out strays of other deployments,
-///          not attackers.
+/// @returns The key with which instances authenticate each other's datagrams. The platform
+///          provides no secret; its network belongs to the users. The key rejects stray datagrams
+///          of other deployments and does not protect against attackers.
 std::string peerKeyOf(const gateway_settings &choices);
 
-/// @returns A number that grows with each start of an instance, unless the time of day jumps back
-///          meanwhile.
+/// @returns The incarnation of an instance started now. It grows with each start, unless the wall
+///          clock is set back in between.
 incarnation lifeOf(const clock_source &clock);
 
 } // namespace poplarspool::gateway
--- a/include/poplarspool/gateway/placing.h
+++ b/include/poplarspool/gateway/placing.h
@@ -10,35 +10,37 @@
 #include <variant>
 #include <vector>
 
-/// Which runner gets a request. Pure functions over plain values: no I/O, no clock, no threads.
+/// Placement: the choice of the runner for a request. Pure functions over plain values: no I/O, no
+/// clock, no threads.
 namespace poplarspool::gateway {
 
-/// How fast engines of one service and stage read, as learnt from what they have done.
+/// Estimated prefill speed of the engines of one service and stage, learnt from past prompts.
 struct engine_pace
 {
-    double scale = 1; ///< Against readingTimeMs().
-    double firstMs = config::firstTokenMs; ///< From the end of reading to the first token.
+    double scale = 1; ///< Factor applied to prefillTimeMs().
+    double firstMs = config::firstTokenMs; ///< From the end of prefill to the first token.
 
     bool operator==(const engine_pace &) const = default;
 };
 
-/// Takes in how long one prompt took.
-/// @param expectedMs What was expected for it and all before it, at this pace, without firstMs.
-/// @param tookMs To the first token.
+/// Updates the estimate with the duration of one prompt.
+/// @param expectedMs Expected prefill time of this prompt and all before it, at this pace, without
+///                   firstTokenMs.
+/// @param tookMs Time to the first token.
 engine_pace learnPace(const engine_pace &pace, double expectedMs, double tookMs);
 
-/// What is known of one runner at the moment of choosing, over all instances.
+/// Load of one runner at the time of the placement, over all instances.
 struct runner_load
 {
     std::uint32_t open = 0; ///< Requests sent and not ended.
-    std::uint32_t waiting = 0; ///< Of these, urgent ones that have not begun.
-    std::uint32_t waitingLater = 0; ///< Of these, such as all urgent ones overtake, not begun.
-    double readingMs = 0; ///< Time that it needs for the urgent prompts that it has not read yet.
-    double laterMs = 0; ///< The same for those that all urgent ones overtake.
-    mono_time setAsideUntil{}; ///< It failed lately: others are preferred until then.
-    engine_pace pace; ///< Of its stage.
-    double runMs = 0; ///< From a request's first event to its end, there and lately; 0: not known.
-    double slowness = 1; ///< Time that it takes, against its siblings.
+    std::uint32_t waiting = 0; ///< Of these, urgent ones that have not started.
+    std::uint32_t waitingLater = 0; ///< Of these, late ones that have not started.
+    double readingMs = 0; ///< Time needed for the urgent prompts that are not prefilled yet.
+    double laterMs = 0; ///< The same for the late ones, which all urgent ones overtake.
+    mono_time setAsideUntil{}; ///< It failed recently: other runners are preferred until then.
+    engine_pace pace; ///< Of its service and stage.
+    double runMs = 0; ///< Recent mean from a request's first event to its end; 0: unknown.
+    double slowness = 1; ///< Duration of its requests relative to its siblings'.
 
     bool operator==(const runner_load &) const = default;
 };
@@ -47,10 +49,10 @@
 {
     std::shared_ptr<const runner> target;
     runner_load load;
-    std::uint32_t cachedTokens = 0; ///< Of this prompt's beginning, as far as known.
-    std::uint32_t readTokens = 0; ///< Of these, such as have been read: others can copy them.
+    std::uint32_t cachedTokens = 0; ///< Known cached tokens of this prompt's beginning.
+    std::uint32_t readTokens = 0; ///< Of these, the prefilled ones: other engines can copy them.
     bool isTried = false; ///< By this request, without success.
-    bool isMisdirected = false; ///< It isn't what its entry says, by its own word.
+    bool isMisdirected = false; ///< It has denied its own entry.
 
     bool operator==(const place_candidate &) const = default;
 };
@@ -58,28 +60,28 @@
 struct place_wish
 {
     service_id service;
-    zone_id zone; ///< Where this instance stands.
+    zone_id zone; ///< Of this instance.
     std::optional<engine_traits> engine; ///< None for plain services.
     std::uint32_t promptTokens = 0;
-    std::uint32_t sharedTokens = 0; ///< Of the prompt's parts that other requests share.
+    std::uint32_t sharedTokens = 0; ///< Tokens of the prompt's parts that other requests share.
     std::uint64_t affinityKey = 0; ///< Of the shared parts; 0: none.
-    bool mayHandOver = true; ///< Another engine may read the prompt first.
-    bool hasBegun = false; ///< The caller has a part of the answer: it is too late to refuse.
-    bool isRead = false; ///< Another engine has read it: its KV cache only has to be taken over.
-    zone_id readerZone; ///< Where that engine stands.
-    double objectiveLeftMs = 0; ///< In which it should start.
-    /// In which it must have ended.
+    bool mayHandOver = true; ///< The prompt may be prefilled on another engine.
+    bool hasBegun = false; ///< The caller has a part of the answer: too late to refuse.
+    bool isRead = false; ///< Prefilled on another engine: only its KV cache has to be taken over.
+    zone_id readerZone; ///< Of that engine.
+    double objectiveLeftMs = 0; ///< Time in which it should start.
+    /// Time in which it must have ended.
     double timeLeftMs = std::numeric_limits<double>::infinity();
     mono_time now{};
-    std::uint64_t draw = 0; ///< Any number, evenly spread: breaks ties.
+    std::uint64_t draw = 0; ///< Uniformly distributed random bits; break ties.
 
     bool operator==(const place_wish &) const = default;
 };
 
-/// Whether a request can still be on time.
+/// Whether a request can still meet its objective.
 enum class send_class {
-    Urgent, ///< It can: it goes before those that can't.
-    Later, ///< It can't: it is served when nothing urgent waits.
+    Urgent, ///< It can: goes before those that can't.
+    Later, ///< It can't: served when no urgent request waits.
 };
 
 std::string_view nameOf(send_class urgency);
@@ -87,25 +89,26 @@
 struct placement
 {
     std::shared_ptr<const runner> serving;
-    std::shared_ptr<const runner> prefill; ///< Reads the prompt first; null: `serving` does.
-    /// Whoever reads the prompt copies cached parts from it first; null: from nobody.
+    /// Engine that prefills the prompt first; null: `serving` does.
+    std::shared_ptr<const runner> prefill;
+    /// The engine that prefills the prompt copies cached parts from this one first; null: no copy.
     std::shared_ptr<const runner> cacheHolder;
-    double readingMs = 0; ///< For the prompt, where it is read.
-    double aheadMs = 0; ///< For the prompts before it, where it is read.
+    double readingMs = 0; ///< Prefill time of the prompt on the engine that prefills it.
+    double aheadMs = 0; ///< Prefill time of the prompts before it on that engine.
     double expectedStartMs = 0; ///< Until the first event.
-    double slotWaitMs = 0; ///< For a place where it is to run.
-    std::uint32_t waitingThere = 0; ///< Requests that have not begun where it is to run.
+    double slotWaitMs = 0; ///< Wait for a free slot on `serving`.
+    std::uint32_t waitingThere = 0; ///< Requests on `serving` that have not started.
     send_class urgency = send_class::Urgent;
 
     bool operator==(const placement &) const = default;
 };
 
-/// No runner is there to take the request: it has not run, and can't for now.
+/// No runner can take the request now; it has not run.
 struct no_place
 {
-    bool areAllTried = false; ///< There are some, but this request has tried them all.
-    /// All have more waiting than they can begin in time: the caller had better come back after so
-    /// many milliseconds. 0: that isn't why.
+    bool areAllTried = false; ///< There are runners, but this request has tried them all.
+    /// More requests wait at all runners than can start in time; the caller should come back after
+    /// this many milliseconds. 0: another reason.
     double roomInMs = 0;
 
     bool operator==(const no_place &) const = default;
@@ -114,11 +117,11 @@
 std::variant<placement, no_place> choosePlace(const place_wish &wish,
                                               std::span<const place_candidate> candidates);
 
-/// @param cached Tokens at its beginning that need not be read.
-/// @returns Milliseconds in which an engine of that stage reads a prompt and does nothing else.
+/// @param cached Tokens at the prompt's beginning that need no prefill.
+/// @returns Prefill time in milliseconds of an otherwise idle engine of that stage.
 double readingTimeMs(engine_stage stage, std::uint32_t promptTokens, std::uint32_t cached);
 
-/// @returns Milliseconds in which that much KV cache is moved between two idle links.
+/// @returns Milliseconds to move the KV cache of that many tokens between two idle links.
 double transferTimeMs(const engine_traits &traits, std::uint32_t tokens);
 
 } // namespace poplarspool::gateway
--- a/src/gateway/caller_key.h
+++ b/src/gateway/caller_key.h
@@ -5,9 +5,9 @@
 
 namespace poplarspool::gateway {
 
-/// @param index Of the table.
-/// @returns The workspace whose key the request shows; null where it shows none, an unknown one, or
-///          more than one.
+/// @param index The index of the table.
+/// @returns The workspace whose key the request carries; null if it carries no key, an unknown key
+///          or more than one key header.
 const workspaces::workspace *keyOwnerOf(const http_request &request, const dialect &names,
                                         const route_table &table, const route_index &index);
 
--- a/src/gateway/caller_limits.h
+++ b/src/gateway/caller_limits.h
@@ -5,7 +5,7 @@
 
 namespace poplarspool::gateway {
 
-/// @returns The limits of the callers' server, as the routes' configuration bounds callers.
+/// @returns The limits of the callers' server for the bounds in the routes' configuration.
 http_limits callerLimitsOf(const caller_bounds &bounds);
 
 } // namespace poplarspool::gateway
--- a/src/gateway/envelope.h
+++ b/src/gateway/envelope.h
@@ -9,7 +9,7 @@
 
 namespace poplarspool::gateway {
 
-/// A part of a prompt. Requests whose prompts begin alike share their first parts.
+/// A part of a prompt. Prompts with the same beginning share their first parts.
 struct prompt_part
 {
     std::uint64_t chain =
@@ -19,33 +19,34 @@
     bool operator==(const prompt_part &) const = default;
 };
 
-/// What the gateway reads of a request; all else passes through.
+/// The metadata that the gateway reads from a request; everything else passes through.
 struct envelope
 {
     std::string id;
     std::optional<milliseconds> timeLimit;
     std::uint32_t promptTokens = 0;
-    std::uint32_t outputTokens = 0; ///< At most.
+    std::uint32_t outputTokens = 0; ///< Maximum.
     std::vector<prompt_part> prompt;
     std::string lastEvent;
 
     bool operator==(const envelope &) const = default;
 };
 
-/// Values that can't be read count as absent: the runner, which knows them better, decides.
+/// Values that can't be parsed count as absent: the runner, which knows their format better,
+/// rejects or accepts them.
 envelope readEnvelope(const http_request &request, const dialect &names);
 
-/// @param seed The same on all instances; unknown to callers, who could else make requests that
-/// look
-///             like another's.
-/// @returns What all attempts of the same request have in common: its method, host, path and body.
-///          Ids, time limits and what else a caller sets anew for each attempt don't count.
+/// @param seed The same on all instances and unknown to callers, who otherwise could make requests
+///             with another request's digest.
+/// @returns The digest that all attempts of the same request share: of its method, host, path and
+///          body. Ids, time limits and other headers that a caller sets anew for each attempt are
+///          not included.
 std::uint64_t digestOf(const http_request &request, std::uint64_t seed);
 
 /// @returns The digest as 16 hex digits.
 std::string digestText(std::uint64_t digest);
 
-/// What one send adds to a request.
+/// The headers that one send adds to or changes in a request.
 struct send_extras
 {
     std::string runner;
@@ -55,12 +56,12 @@
     std::string kvSource;
     std::string kvFetch;
     bool isPrefillOnly = false;
-    std::string workspace; ///< Whose key the caller has shown; empty: nobody's.
+    std::string workspace; ///< Workspace whose key the caller sent; empty: none.
     bool hidesKey = false; ///< The key is not passed on.
 };
 
-/// @returns The request as it goes to a runner, as text: without what concerns only the caller's
-///          connection, and without what callers may not set.
+/// @returns The text of the request to a runner, without hop-by-hop headers and without headers
+///          that callers may not set.
 std::string runnerRequestText(const http_request &request, const endpoint &to, const dialect &names,
                               const send_extras &extras);
 
--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -6,27 +6,27 @@
 
 namespace poplarspool::gateway {
 
-/// One whole event of a stream.
+/// One complete event of a stream.
 struct stream_event
 {
-    std::string text; ///< As it arrived, up to and with the empty line that ends it.
+    std::string text; ///< As received, including the empty line that ends it.
     std::optional<std::uint64_t> id;
 
     bool operator==(const stream_event &) const = default;
 };
 
-/// Cuts a stream of events into whole ones. A runner that fails may stop in the middle of an event:
-/// handed on as it came, the half event would be joined with the first one of the runner that goes
-/// on, and the caller would get a piece that nobody made.
+/// Splits a stream into complete events. A runner that fails may stop in the middle of an event.
+/// If the partial event were passed on, it would be joined with the first event of the runner that
+/// resumes the stream, and the caller would get an event that no runner sent.
 class event_splitter
 {
 public:
     void add(std::string_view bytes) { buffer.append(bytes); }
 
-    /// @returns The next whole event; none where more bytes are needed.
+    /// @returns The next complete event; none if more bytes are needed.
     std::optional<stream_event> next();
 
-    /// @returns Whether nothing of an unfinished event is left.
+    /// @returns Whether no partial event is buffered.
     bool isAtBoundary() const { return buffer.empty(); }
 
     void clear() { buffer.clear(); }
--- a/src/gateway/request_relay.h
+++ b/src/gateway/request_relay.h
@@ -21,12 +21,12 @@
     explicit relay_metrics(metrics_registry &registry);
 
     counter &requests;
-    counter &whole; ///< The caller got a runner's whole answer.
-    counter &refused; ///< Ended by a promise that the request has not run.
-    counter &failed; ///< Ended by a failure of ours that promises nothing.
-    counter &cut; ///< The answer had begun and was broken off.
+    counter &whole; ///< The caller got a runner's complete answer.
+    counter &refused; ///< Ended with the guarantee that the request has not run.
+    counter &failed; ///< Ended with a gateway error that does not guarantee this.
+    counter &cut; ///< Broken off after the answer had begun.
     counter &callersGone;
-    counter &unknownKeys; ///< Ended since they show no workspace's key.
+    counter &unknownKeys; ///< Ended because the request has no valid key.
     counter &quarantined; ///< Of the refused: runners have ended under the request.
     counter &retries;
     counter &resumes;
@@ -36,10 +36,10 @@
     latency &firstByte;
 };
 
-/// By which a runner says that it isn't the one that a request is for, or not of its stage.
+/// Status with which a runner says that the request is for another runner or for another stage.
 inline constexpr int misdirectedStatus = 421;
 
-/// What all requests share.
+/// State that all requests share.
 struct relay_parts
 {
     const dialect &names;
@@ -51,53 +51,55 @@
     journal &events;
     const clock_source clock;
     const zone_id zone;
-    /// When this instance will be gone; requests are cut down to it. Nanoseconds of clock.mono.
+    /// Time at which this instance ends, in nanoseconds of clock.mono; requests' time limits are
+    /// cut to it.
     const std::atomic<std::int64_t> &leavesAt;
     suspect_keeper &suspects;
-    /// Of requests' digests; the same on all instances of the fleet.
+    /// Seed of requests' digests; the same on all instances of the fleet.
     const std::uint64_t digestSeed = 0;
-    /// Where requests of workspaces are counted as they begin to run; null: nowhere.
+    /// Counts the requests of workspaces as they start to run; null: usage is not counted.
     const duties::usage_parts *usage = nullptr;
-    /// Age of the last confirmed configuration from which on its keys count for nothing.
+    /// Maximum age of the last confirmed configuration at which its keys are accepted.
     const milliseconds keyTrustTime = milliseconds::max();
 };
 
-/// Passes one request on to a runner, and the answer back, by the rules of its route: where it may
-/// be tried again, it is; a stream goes on elsewhere after its last whole event; and whatever
-/// happens, the caller sees a whole answer, a true refusal, or a visibly broken one.
+/// Forwards one request to a runner and the answer back, according to the request's route: it is
+/// retried where the route allows that, and a stream is resumed on another runner after its last
+/// complete event. In all cases the caller gets a complete answer, a refusal that guarantees that
+/// the request has not run, or a visibly broken answer.
 class request_relay
 {
 public:
     request_relay(const relay_parts &parts, const http_request &request, http_sink &caller);
 
-    /// @returns The whole reply where nothing was written to the caller yet.
+    /// @returns The complete reply if nothing has been written to the caller yet.
     std::optional<http_reply> run();
 
 private:
     enum class try_end {
-        Answered, ///< The caller has its whole answer.
+        Answered, ///< The caller has its complete answer.
         CallerGone,
         NotRun, ///< The runner certainly has not run the request.
-        Held, ///< The runner's whole answer is held, to be passed on.
-        Failed, ///< The same, and it is a failure of the runner.
-        Lost, ///< It may have run, and no answer is to be had.
+        Held, ///< The runner's complete answer is buffered, to be passed on.
+        Failed, ///< The same, and the answer is a failure of the runner.
+        Lost, ///< It may have run, and its answer is lost.
     };
 
-    /// One send, with what must be known at its end.
+    /// One send and the state that is needed at its end.
     struct sending
     {
         const placement &place;
-        const std::string &kvSource; ///< Where the prompt's KV cache waits; empty: nowhere.
+        const std::string &kvSource; ///< Where the prompt's KV cache is kept; empty: nowhere.
         runner_ledger::open_send &record;
         socket_deadline deadline;
     };
 
-    // request_relay.cpp: what to do.
+    // request_proxy.cpp: decisions.
     std::optional<http_reply> serve();
     std::optional<http_reply> pickRoute();
     std::optional<http_reply> pickWorkspace();
     bool isQuarantined();
-    /// @param reader Who has read the prompt; null: nobody yet.
+    /// @param reader The engine that has prefilled the prompt; null: none yet.
     std::optional<placement> findPlace(const runner *reader);
     bool mayTryAgain(try_end end) const;
     bool isCallerGone() const;
@@ -107,10 +109,11 @@
                        milliseconds retryAfter);
     milliseconds timeLeft() const;
     void log(std::string_view kind, std::vector<event_field> fields) const;
-    /// As log(), for a send: with what its runner was chosen by, and how old that was.
+    /// As log(), for a send: adds the version and the age of the view that its runner was chosen
+    /// from.
     void logSend(std::string_view kind, std::vector<event_field> fields) const;
 
-    // hand_over.cpp: an engine that only reads the prompt.
+    // prefill_handoff.cpp: an engine that only prefills the prompt.
     std::optional<std::string> readPrompt(const placement &place);
     std::optional<http_reply> askPrefill(const placement &place, runner_ledger::open_send &record);
     void freeHandle(const runner &reader, const std::string &handle);
@@ -131,7 +134,7 @@
     void noteBroken(const runner &target, call_fault fault);
     try_end noteServed(sending &now, try_end end);
     void keepConnection(runner_call &call, const reply_head &head, const endpoint &to);
-    /// What any send of the request adds.
+    /// The headers that every send of the request adds.
     send_extras extrasTo(const runner &target) const;
     send_extras extrasFor(const sending &now) const;
     socket_deadline deadlineIn(milliseconds time) const;
@@ -143,29 +146,31 @@
     const http_request &request;
     http_sink &caller;
     const envelope read;
-    const std::uint64_t digest; ///< What all attempts of the same request have in common.
+    const std::uint64_t digest; ///< Shared by all attempts of the same request.
     const mono_time arrivedAt;
 
     std::shared_ptr<const catalogue> known;
     const route *chosen = nullptr;
-    const workspaces::workspace *owner = nullptr; ///< Of the key; null: it has shown none.
+    /// Of the key; null: the request has no valid one.
+    const workspaces::workspace *owner = nullptr;
     service_id service;
     const engine_traits *engine = nullptr;
     mono_time endsAt{};
 
-    std::shared_ptr<const catalogue> chosenBy; ///< What the last runner was chosen from.
+    std::shared_ptr<const catalogue> chosenBy; ///< The view that the last runner was chosen from.
     mono_time chosenAt{};
-    mono_time sentAt{}; ///< When the first byte of the last send may have left; 0: it has not.
-    std::uint32_t sends = 0; ///< Tries, also those that reached nobody.
-    std::uint32_t arrivals = 0; ///< Sends of which a byte left: these count in the budget.
+    mono_time sentAt{}; ///< Before the first byte of the last send; 0: not sent yet.
+    std::uint32_t sends = 0; ///< Tries, including those that reached no runner.
+    /// Sends of which at least one byte was sent: these count in the retry budget.
+    std::uint32_t arrivals = 0;
     std::uint32_t runs = 0; ///< Sends that may have run.
     std::vector<runner_id> tried;
-    bool isHandOverLost = false; ///< One has failed: the next try reads the prompt itself.
-    std::optional<http_reply> held; ///< A runner's whole answer.
-    bool hasBegun = false; ///< Bytes of an answer went to the caller.
-    std::optional<std::uint64_t> lastEvent; ///< Passed on.
-    std::optional<quarantine> kept; ///< Set once it is sent no more.
-    milliseconds comeBackIn; ///< Told with a refusal.
+    bool isHandOverLost = false; ///< A handoff has failed: the next try prefills where it runs.
+    std::optional<http_reply> held; ///< A runner's complete answer.
+    bool hasBegun = false; ///< Bytes of an answer were passed on to the caller.
+    std::optional<std::uint64_t> lastEvent; ///< Last event passed on.
+    std::optional<quarantine> kept; ///< Set once the request is quarantined.
+    milliseconds comeBackIn; ///< Retry-After of a refusal.
     std::string lastRunner;
     std::string lastFault;
     mono_time firstByteAt{};
--- a/src/gateway/retry_budgets.h
+++ b/src/gateway/retry_budgets.h
@@ -8,31 +8,31 @@
 
 namespace poplarspool::gateway {
 
-/// What the whole fleet of instances may send beyond the first send of each request, per service
-/// and window of time.
+/// Limits of the sends beyond the first send of each request, for the whole fleet, per service and
+/// time window.
 struct retry_bounds
 {
     double share = 0; ///< Of the requests.
-    double extra = 0; ///< Beside that, for all instances together.
+    double extra = 0; ///< In addition to the share, for all instances together.
 
     bool operator==(const retry_bounds &) const = default;
 };
 
-/// This instance's part of the fleet's budget. Nobody is asked: each instance spends its own share
-/// of its own requests, and an equal part of the extra.
+/// This instance's part of the fleet's retry budget. It needs no coordination: each instance
+/// spends the share of its own requests and an equal part of the extra.
 class retry_budgets
 {
 public:
     explicit retry_budgets(retry_bounds bounds);
 
-    /// @param count Instances that share the budget, this one among them.
+    /// @param count Instances that share the budget, including this one.
     void setInstances(std::size_t count);
     void onRequest(const service_id &service);
-    /// @returns Whether another send may be made now; takes it off the budget.
+    /// @returns Whether another send may be made now. If so, it is deducted from the budget.
     bool tryTake(const service_id &service);
-    /// @returns Whether a send that may turn out to be an extra one may be made.
+    /// @returns Whether a send may be made that may turn out to be an extra one.
     bool hasRoom(const service_id &service);
-    /// A send has turned out to be an extra one.
+    /// Deducts a send that has turned out to be an extra one.
     void takeAnyway(const service_id &service);
 
 private:
--- a/src/gateway/runner_call.h
+++ b/src/gateway/runner_call.h
@@ -9,13 +9,13 @@
 
 namespace poplarspool::gateway {
 
-/// Why a step of a call did not come to its end.
+/// Why a step of a call failed.
 enum class call_fault {
     None,
-    CallerGone, ///< The caller closed its connection: nobody waits for the answer any more.
+    CallerGone, ///< The caller closed its connection and no longer waits for the answer.
     TimedOut,
     Closed, ///< The runner closed or reset the connection.
-    Malformed, ///< What arrived is no reply.
+    Malformed, ///< The received bytes are not a valid reply.
 };
 
 std::string_view nameOf(call_fault fault);
@@ -24,37 +24,37 @@
 struct body_piece
 {
     std::string bytes;
-    bool isLast = false; ///< The body is whole.
+    bool isLast = false; ///< The body is complete.
     call_fault fault = call_fault::None;
 };
 
-/// One request to a runner on one connection, which also watches the caller: when the caller
-/// leaves, each step ends at once. Without that, a runner would go on computing an answer that
-/// nobody will read until its first byte can't be delivered.
+/// One request to a runner on one connection. It also watches the caller's connection: if the
+/// caller disconnects, each step ends at once. Otherwise the runner would go on computing an
+/// unwanted answer until its first byte can't be delivered.
 class runner_call
 {
 public:
-    /// @param callerFd Of the caller's connection; -1: nobody to watch.
+    /// @param callerFd Descriptor of the caller's connection; -1: none to watch.
     runner_call(descriptor connection, int callerFd);
 
-    /// Sends the whole request. Ends early, as a success, where the runner has already answered.
+    /// Sends the whole request. Returns early with success if the runner has already answered.
     call_fault send(std::string_view request, socket_deadline deadline);
 
-    /// @returns The next final reply's head.
+    /// @returns The next final reply's head; interim replies are skipped.
     std::variant<reply_head, call_fault> readHead(socket_deadline deadline);
 
-    /// Reads on in the body that the last head has announced.
+    /// Reads the next piece of the body that the last head has announced.
     body_piece readBody(socket_deadline deadline);
 
-    /// Reads all that is left of that body, or until it has grown beyond `most` bytes.
-    /// @returns All of it, with isLast where it is whole.
+    /// Reads the rest of that body, until it is complete or has reached `most` bytes.
+    /// @returns The bytes read, with isLast if the body is complete.
     body_piece readRest(socket_deadline deadline, std::size_t most);
 
-    /// @returns Whether a byte of the request has left, so that the runner may have run it.
+    /// @returns Whether a byte of the request was sent, so that the runner may have run it.
     bool mayHaveArrived() const { return bytesSent > 0; }
 
-    /// @returns The connection where another call can use it: the whole request was sent, the whole
-    ///          reply was read, and nothing came after it.
+    /// @returns The connection if another call can use it: the whole request was sent, the whole
+    ///          reply was read, and nothing followed it. Otherwise a closed descriptor.
     descriptor takeConnection();
 
     /// Resets the connection, which tells the runner to stop.
@@ -74,14 +74,14 @@
 
     descriptor connection;
     const int callerFd;
-    std::string buffer; ///< Received and not yet used.
+    std::string buffer; ///< Received and not yet consumed.
     std::size_t bytesSent = 0;
     bool isSentWhole = false;
     bool isReplyWhole = false;
     bool keepsAlive = false;
-    bool hasEnded = false; ///< The runner ended its side in order.
+    bool hasEnded = false; ///< The runner closed its side in an orderly way.
     framing body = framing::None;
-    std::size_t bodyLeft = 0; ///< Of a sized body, or of the present chunk.
+    std::size_t bodyLeft = 0; ///< Of a sized body, or of the current chunk.
     bool isInChunk = false;
 };
 
--- a/src/gateway/runner_control.h
+++ b/src/gateway/runner_control.h
@@ -7,11 +7,11 @@
 
 namespace poplarspool::gateway {
 
-/// Calls of ours to a runner that carry no caller's request.
-/// @param check Asked once the connection stands, right before the first byte is sent; false:
-///              nothing may be sent any more.
-/// @returns The whole reply. A failure's verdict is NotRun where no byte has left.
-/// @attention A call that fails resets its connection: what is still queued never leaves.
+/// Sends a request of the gateway itself to a runner.
+/// @param check Called once the connection is established, right before the first byte is sent; if
+///              it returns false, nothing is sent.
+/// @returns The whole reply. The verdict of an error is NotRun if no byte was sent.
+/// @attention A failed call resets its connection: bytes still queued are never sent.
 result<http_reply> askRunner(connection_pool &connections, const dialect &names,
                              const runner &target, const http_request &asked, milliseconds time,
                              const std::function<bool()> &check = {});
@@ -19,17 +19,18 @@
 struct whole_reply
 {
     http_reply reply;
-    descriptor connection; ///< Open where another call can use it.
+    descriptor connection; ///< Open if another call can use it.
 };
 
-/// One call on a connection of its own.
-/// @param who For errors, such as "runner i-1".
-/// @param check As for askRunner().
-/// @attention As for askRunner().
+/// Sends one request on the given connection.
+/// @param who Name for errors, such as "runner i-1".
+/// @param check As for callRunner().
+/// @attention As for callRunner().
 result<whole_reply> callOn(descriptor connection, const std::string &who, std::string_view request,
                            socket_deadline deadline, const std::function<bool()> &check);
 
-/// @returns When a connection can be used again after that reply; zero or less: not at all.
+/// @returns Time for which the connection can be reused after that reply; zero or less: not at
+///          all.
 milliseconds idleTimeOf(const http_headers &headers);
 
 } // namespace poplarspool::gateway
--- a/src/gateway/runner_ledger.h
+++ b/src/gateway/runner_ledger.h
@@ -14,43 +14,45 @@
 
 namespace poplarspool::gateway {
 
-/// How a send to a runner ended, as far as it says something of the runner.
+/// Outcome of a send, as far as it says something about the runner.
 enum class send_end {
     Served,
-    Refused, ///< It said that it did not run the request: full, or on its way out.
+    Refused, ///< It reported that it has not run the request: full, or shutting down.
     Misdirected, ///< Another runner has this address by now.
     Unreachable, ///< No connection.
-    Failed, ///< It answered with a failure of its own, with nonsense, or broke off.
-    Unknown, ///< The caller left, or its time was over.
+    Failed, ///< It answered with an error or an invalid reply, or broke off.
+    Unknown, ///< The caller left, or the time limit was reached.
 };
 
-/// What this instance has going on at each runner, and what it has lately met there.
+/// This instance's open requests at each runner, and the recent outcomes there.
 class runner_ledger
 {
 public:
     explicit runner_ledger(clock_source clock);
 
-    /// A send that is going on. Ends when it goes out of scope.
+    /// An open send. Ends when it goes out of scope.
     class open_send
     {
     public:
-        /// @param readingMs That the runner needs for the prompt; 0 where it has been read.
+        /// @param readingMs Prefill time that the runner needs for the prompt; 0 if it is already
+        ///                  prefilled.
         open_send(runner_ledger &ledger, const runner_id &target, double readingMs,
                   send_class urgency);
         open_send(const open_send &) = delete;
         open_send &operator=(const open_send &) = delete;
         ~open_send();
 
-        /// The runner has begun to answer.
-        /// @returns Whether that was not known yet.
+        /// Called when the runner has begun to answer.
+        /// @returns Whether this is the first such call.
         bool noteStart();
         bool hasStarted() const { return startedAt != mono_time{}; }
         void noteEnd(send_end how) { end = how; }
-        /// What is expected of a send that reads a prompt and finds a free place: the pace is
-        /// learnt from it.
-        /// @param workMs For its prompt and those before it.
+        /// Sets the expected duration of a send that includes a prefill and finds a free slot: the
+        /// pace of engines is learnt from it.
+        /// @param workMs Prefill time of its prompt and those before it.
         void noteExpected(const service_id &service, engine_stage stage, double workMs);
-        /// It runs there until its answer is whole; else the runner only reads its prompt.
+        /// The request runs there until its answer is complete; otherwise the runner only prefills
+        /// its prompt.
         void noteRuns() { isRun = true; }
 
     private:
@@ -62,34 +64,35 @@
         const send_class urgency;
         const mono_time sentAt;
         bool isRun = false;
-        service_id service; ///< The pace of its engines of that stage is learnt.
+        service_id service; ///< With `stage`: the engines whose pace is learnt.
         engine_stage stage = engine_stage::None;
-        double expectedMs = 0; ///< 0: nothing is learnt from it.
-        mono_time startedAt{}; ///< Zero: it has not begun.
+        double expectedMs = 0; ///< 0: the pace is not learnt from this send.
+        mono_time startedAt{}; ///< Zero: it has not started.
         send_end end = send_end::Unknown;
     };
 
     /// @param engine Of the service; null for plain ones.
-    /// @param tried Runners that the request has been sent to without success.
+    /// @param tried Runners that the request was sent to without success.
     std::vector<place_candidate> candidatesOf(const catalogue &known, const service_id &service,
                                               const engine_traits *engine,
                                               const std::vector<prompt_part> &prompt,
                                               const std::vector<runner_id> &tried);
 
-    /// The runner says that it isn't the one, or not of the stage, that its entry tells of.
+    /// Called when the runner says that it is not the one that its entry describes, or not of that
+    /// stage.
     void noteMisdirected(const std::shared_ptr<const runner> &target);
 
-    /// The runner is about to read this prompt, and keeps it in its cache.
+    /// Called before the runner prefills this prompt, which then stays in its cache.
     void noteCached(const runner_id &target, const std::vector<prompt_part> &prompt);
-    /// It has read it: from now on, others can copy it from there.
+    /// Called when the runner has prefilled it: other engines can copy it from then on.
     void noteRead(const runner_id &target, const std::vector<prompt_part> &prompt);
 
-    /// @returns What the other instances are told.
+    /// @returns The load update for the other instances.
     peer::load_news collectNews(peer::news_audience audience);
-    /// Takes what another instance has told.
+    /// Applies another instance's load update.
     void takeNews(std::uint64_t sender, const peer::load_news &news);
 
-    /// Forgets runners that are listed no more and have nothing open.
+    /// Removes runners that are no longer listed and have no open requests.
     void forgetAllBut(const runner_map &listed);
 
 private:
@@ -99,7 +102,7 @@
         bool isRead = false;
     };
 
-    /// Requests of one class that have not begun, and the time for reading their prompts.
+    /// Requests of one class that have not started, and the prefill time of their prompts.
     struct waiting_work
     {
         std::uint32_t count = 0;
@@ -109,7 +112,7 @@
         void takeOff(std::uint32_t less, double lessMs);
     };
 
-    /// What is open at one runner, of this instance or of all others.
+    /// Open requests at one runner, of this instance or of all others.
     struct work_sum
     {
         std::uint32_t open = 0;
@@ -123,9 +126,9 @@
 
     struct record
     {
-        std::uint64_t bornMs = 0; ///< Of the life that the rest is about.
+        std::uint64_t bornMs = 0; ///< Of the incarnation that this record describes.
         work_sum own;
-        work_sum elsewhere; ///< As last told by the other instances.
+        work_sum elsewhere; ///< Sum of the other instances' latest updates.
         std::uint32_t failuresInRow = 0;
         runner misdirected; ///< The entry that it has denied last.
         mono_time misdirectedUntil{};
@@ -134,14 +137,15 @@
         double runMs = 0; ///< Moving mean from the first byte to the end.
         double meanStartMs = 0; ///< Moving mean of the time to the first byte.
         std::uint32_t starts = 0;
-        mono_time startedAt{}; ///< When the last start was noted.
-        /// Tokens that have been put into its cache so far, by all instances as far as known.
+        mono_time startedAt{}; ///< Time of the last recorded start.
+        /// Tokens added to its cache so far, by all instances as far as known.
         std::uint64_t tokensIn = 0;
         std::uint64_t ownTokensIn = 0; ///< Of these, by this instance.
-        /// Tokens that its cache holds beside running requests; 0: not known yet.
+        /// Tokens that its cache holds in addition to running requests; 0: not known yet.
         std::uint64_t capacity = 0;
-        std::unordered_map<std::uint32_t, cached_part> cached; ///< By the chain's hash, low half.
-        /// How many times its work is still told though nothing is open: against lost datagrams.
+        /// By the low 32 bits of the chain's hash.
+        std::unordered_map<std::uint32_t, cached_part> cached;
+        /// How often its load is still sent although no request is open: against lost datagrams.
         std::array<std::uint32_t, peer::newsAudiences> tellsLeft{};
 
         bool holds(std::uint32_t chain) const;
@@ -152,7 +156,7 @@
     struct peer_record
     {
         mono_time heardAt{};
-        std::chrono::nanoseconds interval{0}; ///< Between its last two news.
+        std::chrono::nanoseconds interval{0}; ///< Between its last two updates.
         std::unordered_map<std::uint32_t, peer::runner_work> work; ///< By runner.
     };
 
