--- a/include/poplarspool/gateway/gateway.h
+++ b/include/poplarspool/gateway/gateway.h
@@ -48,7 +48,7 @@
 {
 public:
     /// @param names Headers and formats that callers and runners use.
-    gateway(gateway_settings choices, dialect names, platform_links links, clock_source clock,
+    gateway(gateway_settings settings, dialect names, platform_links links, clock_source clock,
             metrics_registry &metrics, journal &events);
     ~gateway();
 
--- a/include/poplarspool/gateway/gateway_settings.h
+++ b/include/poplarspool/gateway/gateway_settings.h
@@ -56,11 +56,11 @@
 
 /// @returns Where instances exchange store updates: the port after peerAddress's. Invalid if they
 ///          don't.
-inline endpoint newsAddressOf(const gateway_settings &choices)
+inline endpoint newsAddressOf(const gateway_settings &settings)
 {
-    if (!choices.sharesStoreNews || !choices.peerAddress.isValid())
+    if (!settings.sharesStoreNews || !settings.peerAddress.isValid())
         return {};
-    endpoint made = choices.peerAddress;
+    endpoint made = settings.peerAddress;
     ++made.port;
     return made;
 }
@@ -70,19 +70,19 @@
 inline constexpr char fleetDuty[] = "scaling";
 
 /// @returns Whether the duty is enabled and has an address.
-inline bool hasDuty(const gateway_settings &choices, std::string_view kind)
+inline bool hasDuty(const gateway_settings &settings, std::string_view kind)
 {
-    return choices.dutyAddress.isValid()
-            && std::ranges::find(choices.dutyKinds, kind) != choices.dutyKinds.end();
+    return settings.dutyAddress.isValid()
+            && std::ranges::find(settings.dutyKinds, kind) != settings.dutyKinds.end();
 }
 
 /// @returns Where instances exchange usage updates: two ports after peerAddress's. Invalid if they
 ///          don't.
-inline endpoint usageAddressOf(const gateway_settings &choices)
+inline endpoint usageAddressOf(const gateway_settings &settings)
 {
-    if (!hasDuty(choices, usageDuty) || !choices.peerAddress.isValid())
+    if (!hasDuty(settings, usageDuty) || !settings.peerAddress.isValid())
         return {};
-    endpoint made = choices.peerAddress;
+    endpoint made = settings.peerAddress;
     made.port += 2;
     return made;
 }
@@ -90,7 +90,7 @@
 /// @returns The key with which instances authenticate each other's datagrams. The platform
 ///          provides no secret; its network belongs to the users. The key rejects stray datagrams
 ///          of other deployments and does not protect against attackers.
-std::string peerKeyOf(const gateway_settings &choices);
+std::string peerKeyOf(const gateway_settings &settings);
 
 /// @returns The incarnation of an instance started now. It grows with each start, unless the wall
 ///          clock is set back in between.
--- a/include/poplarspool/gateway/placing.h
+++ b/include/poplarspool/gateway/placing.h
@@ -114,7 +114,7 @@
     bool operator==(const no_place &) const = default;
 };
 
-std::variant<placement, no_place> choosePlace(const place_wish &wish,
+std::variant<placement, no_place> choosePlace(const place_wish &query,
                                               std::span<const place_candidate> candidates);
 
 /// @param cached Tokens at the prompt's beginning that need no prefill.
--- a/src/gateway/caller_key.cpp
+++ b/src/gateway/caller_key.cpp
@@ -12,7 +12,8 @@
     const auto isKey = [&names](const auto &header) {
         return equalsIgnoringCase(header.first, names.key);
     };
-    // With two of them, whoever checks one and whoever uses the other may differ.
+    // If there were two key headers, a proxy that checks one and the runner that uses the other
+    // could differ.
     if (std::ranges::count_if(request.headers, isKey) != 1)
         return nullptr;
     const auto shown = workspaces::readKey(names.keyScheme, headerOf(request.headers, names.key));
--- a/src/gateway/caller_limits.cpp
+++ b/src/gateway/caller_limits.cpp
@@ -13,8 +13,8 @@
     limits.headerBytes = bounds.headerBytes;
     limits.bodyBytes = bounds.bodyBytes;
     limits.readTime = std::max(bounds.headerTime, config::requestReadTime);
-    // Callers use connections that have been idle for nearly the whole bound: closed at the bound
-    // itself, some would be closed under a request.
+    // Callers reuse connections that have been idle for nearly the whole limit. Closing them
+    // exactly at the limit would close some of them under a request.
     limits.keepAliveTime = bounds.idleTime + config::idleMargin;
     return limits;
 }
--- a/src/gateway/engine_time.cpp
+++ b/src/gateway/engine_time.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// How an engine of one stage reads prompts.
-struct reading_pace
+/// Prefill speed of an engine of one stage.
+struct prefill_speed
 {
     double tokensPerMs;
-    double chunkTokens; ///< Read in one step.
+    double chunkTokens; ///< Prefilled in one step.
 };
 
-reading_pace paceOf(engine_stage stage)
+prefill_speed prefillSpeedOf(engine_stage stage)
 {
     if (stage == engine_stage::Prefill)
         return {config::prefillTokensPerMs, config::prefillChunkTokens};
@@ -27,19 +27,20 @@
 
 double readingTimeMs(engine_stage stage, std::uint32_t promptTokens, std::uint32_t cached)
 {
-    const double before = std::min(cached, promptTokens);
-    const double left = promptTokens - before;
-    const reading_pace pace = paceOf(stage);
-    const double steps = std::ceil(left / pace.chunkTokens);
-    // Each token attends to all before it.
-    const double millionPairs = left * (before + left / 2) / 1e6;
-    return config::promptSetupMs + left / pace.tokensPerMs + steps * config::engineStepMs
+    const double cachedTokens = std::min(cached, promptTokens);
+    const double tokensLeft = promptTokens - cachedTokens;
+    const prefill_speed pace = prefillSpeedOf(stage);
+    const double steps = std::ceil(tokensLeft / pace.chunkTokens);
+    // Each token attends to all tokens before it.
+    const double millionPairs = tokensLeft * (cachedTokens + tokensLeft / 2) / 1e6;
+    return config::promptSetupMs + tokensLeft / pace.tokensPerMs + steps * config::engineStepMs
             + millionPairs * config::attentionMsPerMillionPairs;
 }
 
-/// A quantile is followed, step by step: single prompts take many times as long as expected, where
-/// another instance's came before them or a cache was gone, and a mean would follow these. Of the
-/// requests that are expected to be just on time, four in five then are.
+/// Tracks a quantile by small steps instead of a mean: single prompts take many times as long as
+/// expected if another instance's prompts came before them or if a cache entry was evicted, and
+/// would distort a mean. With this quantile, four in five of the requests that are expected to be
+/// just on time are on time.
 engine_pace learnPace(const engine_pace &pace, double expectedMs, double tookMs)
 {
     engine_pace next = pace;
--- a/src/gateway/envelope.cpp
+++ b/src/gateway/envelope.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Parts of one prompt that are looked at; placing needs the first few only.
+/// Maximum parts of a prompt that are parsed; placement needs only the first few.
 constexpr std::size_t maxPromptParts = 64;
 
 template <class Number>
@@ -53,7 +53,7 @@
     return parts;
 }
 
-/// @returns The names that a message's Connection headers declare as its connection's own.
+/// @returns The names that a message's Connection headers declare as hop-by-hop.
 std::vector<std::string> connectionNames(const http_headers &headers)
 {
     std::vector<std::string> names;
@@ -64,19 +64,19 @@
     return names;
 }
 
-bool holds(const std::vector<std::string> &names, std::string_view name)
+bool containsName(const std::vector<std::string> &names, std::string_view name)
 {
     return std::ranges::any_of(
             names, [name](const std::string &one) { return equalsIgnoringCase(one, name); });
 }
 
-/// Headers that each send sets anew.
+/// Whether each send replaces or drops the header.
 bool isReplaced(std::string_view name, const dialect &names, const send_extras &extras)
 {
     return equalsIgnoringCase(name, names.timeLimitMs)
             || (!extras.lastEvent.empty() && equalsIgnoringCase(name, names.lastEvent))
             || (extras.hidesKey && equalsIgnoringCase(name, names.key))
-            || holds(names.reserved, name);
+            || containsName(names.reserved, name);
 }
 
 void appendExtras(std::string &text, const dialect &names, const send_extras &extras)
@@ -141,14 +141,14 @@
     bool hasHost = false;
     for (const auto &[name, value] : request.headers) {
         hasHost = hasHost || equalsIgnoringCase(name, "host");
-        if (!isHopHeader(name) && !holds(ownNames, name) && !isReplaced(name, names, extras))
+        if (!isHopHeader(name) && !containsName(ownNames, name) && !isReplaced(name, names, extras))
             appendHeader(text, name, value);
     }
     if (!hasHost)
         appendHeader(text, "Host", textOf(to));
     appendExtras(text, names, extras);
-    const bool isBodyUsual = request.method != "GET" && request.method != "HEAD";
-    if (!request.body.empty() || isBodyUsual)
+    const bool needsLength = request.method != "GET" && request.method != "HEAD";
+    if (!request.body.empty() || needsLength)
         appendHeader(text, "Content-Length", std::to_string(request.body.size()));
     constexpr std::string_view headEnd = "\r\n";
     text.reserve(text.size() + headEnd.size() + request.body.size());
@@ -160,7 +160,7 @@
     const std::vector<std::string> ownNames = connectionNames(headers);
     http_headers passed;
     for (const auto &header : headers) {
-        if (!isHopHeader(header.first) && !holds(ownNames, header.first))
+        if (!isHopHeader(header.first) && !containsName(ownNames, header.first))
             passed.push_back(header);
     }
     return passed;
--- a/src/gateway/envelope.h
+++ b/src/gateway/envelope.h
@@ -12,8 +12,7 @@
 /// A part of a prompt. Prompts with the same beginning share their first parts.
 struct prompt_part
 {
-    std::uint64_t chain =
-            0; ///< Hash of this part and all before it: what a cache can be asked for.
+    std::uint64_t chain = 0; ///< Hash of this part and all before it: the key of a cached prefix.
     std::uint32_t tokens = 0;
 
     bool operator==(const prompt_part &) const = default;
--- a/src/gateway/event_splitter.cpp
+++ b/src/gateway/event_splitter.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// @returns Bytes up to and with the empty line; npos where it has not arrived.
+/// @returns Length of the first event including its empty line; npos if it is incomplete.
 std::size_t endOfEvent(std::string_view text)
 {
     const std::size_t plain = text.find("\n\n");
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -20,15 +20,15 @@
 
 namespace {
 
-peer::gossip_settings gossipSettingsOf(const gateway_settings &choices, const clock_source &clock)
+peer::gossip_settings gossipSettingsOf(const gateway_settings &settings, const clock_source &clock)
 {
     peer::gossip_settings made;
-    made.self.id = choices.instance;
-    made.self.zone = choices.zone;
-    made.self.callerAddress = choices.callerAddress;
-    made.self.peerAddress = choices.peerAddress;
+    made.self.id = settings.instance;
+    made.self.zone = settings.zone;
+    made.self.callerAddress = settings.callerAddress;
+    made.self.peerAddress = settings.peerAddress;
     made.self.life = lifeOf(clock);
-    made.key = peerKeyOf(choices);
+    made.key = peerKeyOf(settings);
     made.roundTime = config::gatewayGossipTime;
     made.suspectTime = config::gatewaySuspectTime;
     made.deadTime = config::deadTime;
@@ -46,15 +46,15 @@
     return std::chrono::duration_cast<milliseconds>(std::chrono::duration<double>(seconds));
 }
 
-/// Requests that have begun here, of one life of this instance.
+/// Counts of the requests started here, for one incarnation of this instance.
 struct usage_count
 {
     usage_count(const clock_source &clock, milliseconds window)
-        : time(clock), parts{ledger, time, window}
+        : time(clock), parts{table, time, window}
     { }
 
-    const std::uint64_t life = hashOf(randomHex128());
-    duties::usage_ledger ledger{life};
+    const std::uint64_t incarnationId = hashOf(randomHex128());
+    duties::usage_ledger table{incarnationId};
     duties::fleet_clock time;
     const duties::usage_parts parts;
 };
@@ -63,14 +63,14 @@
 
 struct gateway::state
 {
-    state(gateway_settings given, dialect spoken, platform_links links, clock_source time,
-          metrics_registry &registry, journal &log)
-        : choices(std::move(given)), names(std::move(spoken)), clock(std::move(time)), events(log),
-          keeper(hub, choices.settleTime, clock, log), ledger(clock),
-          retries({choices.retryShare, choices.retryExtra}),
+    state(gateway_settings given, dialect dialectNames, platform_links links, clock_source time,
+          metrics_registry &registry, journal &eventLog)
+        : settings(std::move(given)), names(std::move(dialectNames)), clock(std::move(time)),
+          events(eventLog), keeper(hub, settings.settleTime, clock, eventLog), ledger(clock),
+          retries({settings.retryShare, settings.retryExtra}),
           connections(config::maxIdleRunnerConnections, config::runnerConnectTime, registry),
-          metrics(registry), suspects(suspectTools(), std::move(links.suspects), choices.instance,
-                                      clock, registry, log),
+          metrics(registry), suspects(suspectTools(), std::move(links.suspects), settings.instance,
+                                      clock, registry, eventLog),
           parts{names,
                 hub,
                 ledger,
@@ -79,42 +79,43 @@
                 metrics,
                 events,
                 clock,
-                choices.zone,
+                settings.zone,
                 leavesAt,
                 suspects,
-                hashOf(peerKeyOf(choices)),
-                hasDuty(choices, usageDuty) ? &usage.parts : nullptr,
-                choices.isRevokeStrict ? choices.revokeTime : milliseconds::max()},
-          members(gossipSettingsOf(choices, clock),
+                hashOf(peerKeyOf(settings)),
+                hasDuty(settings, usageDuty) ? &usage.parts : nullptr,
+                settings.isRevokeStrict ? settings.revokeTime : milliseconds::max()},
+          members(gossipSettingsOf(settings, clock),
                   {{}, [this](const peer::rumor &news) { suspects.take(news); }}, clock, registry,
-                  log),
+                  eventLog),
           loads(
-                  {choices.instance, lifeOf(clock), choices.loadAddress, peerKeyOf(choices)},
+                  {settings.instance, lifeOf(clock), settings.loadAddress, peerKeyOf(settings)},
                   [this](peer::news_audience audience) { return ledger.collectNews(audience); },
                   [this](std::uint64_t sender, const peer::load_news &news) {
                       ledger.takeNews(sender, news);
                   },
-                  clock, registry, log),
+                  clock, registry, eventLog),
           callers(
-                  "callers", choices.callerAddress, defaultHttpLimits(),
+                  "callers", settings.callerAddress, defaultHttpLimits(),
                   [this](const http_request &request, http_sink &caller) {
                       return relay(request, caller);
                   },
-                  registry, &log),
-          stages({hub, ledger, connections, names, clock, log,
+                  registry, &eventLog),
+          stages({hub, ledger, connections, names, clock, eventLog,
                   registry.counterOf("poplarspool_gateway_stage_orders_total"),
-                  stepFaultsOf(log, registry), [this] { return owns(stagesRole); }},
-                 std::move(links.stages), choices.instance, choices.leaseBound)
+                  stepFaultsOf(eventLog, registry), [this] { return owns(stagesRole); }},
+                 std::move(links.stages), settings.instance, settings.leaseBound)
     {
-        if (hasDuty(choices, usageDuty))
+        if (hasDuty(settings, usageDuty))
             addUsage(std::move(links.usage), std::move(links.usageSink), registry);
-        if (hasDuty(choices, fleetDuty) && choices.ordersSpot)
-            fleet.emplace(fleet_tools{hub, std::move(links.fleetSink), clock, log, registry,
+        if (hasDuty(settings, fleetDuty) && settings.ordersSpot)
+            fleet.emplace(fleet_tools{hub, std::move(links.fleetSink), clock, eventLog, registry,
                                       [this] { return owns(fleetRole); }},
-                          std::move(links.fleet), choices.instance, choices.leaseBound);
+                          std::move(links.fleet), settings.instance, settings.leaseBound);
     }
 
-    /// Its thread tells the other members, which end before it.
+    /// The manager's thread sends to other members through `members`, which is destroyed before
+    /// it.
     ~state() { suspects.stop(); }
     state(const state &) = delete;
     state &operator=(const state &) = delete;
@@ -125,8 +126,8 @@
     std::optional<http_reply> relay(const http_request &request, http_sink &caller);
     void followTable();
 
-    const gateway_settings choices;
-    const milliseconds leaveTime{static_cast<std::int64_t>(choices.leaveSeconds * 1000)};
+    const gateway_settings settings;
+    const milliseconds leaveTime{static_cast<std::int64_t>(settings.leaveSeconds * 1000)};
     const dialect names;
     const clock_source clock;
     journal &events;
@@ -136,7 +137,7 @@
     retry_budgets retries;
     connection_pool connections;
     relay_metrics metrics;
-    usage_count usage{clock, durationOf(choices.usageWindowSeconds)};
+    usage_count usage{clock, durationOf(settings.usageWindowSeconds)};
     suspect_keeper suspects;
     std::atomic<std::int64_t> leavesAt{INT64_MAX};
     std::atomic<bool> isLeaving{false};
@@ -146,9 +147,9 @@
     peer::load_exchange loads;
     http_server callers;
     stage_keeper stages;
-    std::optional<duties::usage_exchange> usageNews; ///< None: usage is not wanted.
+    std::optional<duties::usage_exchange> usageNews; ///< None: usage is not reported.
     std::optional<duties::usage_keeper> usageKeeper;
-    std::optional<fleet_keeper> fleet; ///< None: runners are not to be ordered.
+    std::optional<fleet_keeper> fleet; ///< None: runners are not ordered.
     mono_time leftAt{};
 };
 
@@ -156,20 +157,21 @@
 {
     const auto alive = members.members();
     const policy::member *owner = policy::ownerOf(alive, role);
-    return owner != nullptr && owner->id == choices.instance && !isLeaving.load();
+    return owner != nullptr && owner->id == settings.instance && !isLeaving.load();
 }
 
 void gateway::state::addUsage(duties::lease_store leases, duties::usage_sink sink,
                               metrics_registry &registry)
 {
     usageNews.emplace(
-            peer::datagram_settings{choices.instance, lifeOf(clock), usageAddressOf(choices),
-                                    peerKeyOf(choices)},
-            usage.life, usage.parts, [this] { return members.members(); }, clock, registry, events);
-    usageKeeper.emplace(duties::usage_tools{usage.parts, durationOf(choices.usageLateSeconds),
+            peer::datagram_settings{settings.instance, lifeOf(clock), usageAddressOf(settings),
+                                    peerKeyOf(settings)},
+            usage.incarnationId, usage.parts, [this] { return members.members(); }, clock, registry,
+            events);
+    usageKeeper.emplace(duties::usage_tools{usage.parts, durationOf(settings.usageLateSeconds),
                                             std::move(sink), clock, events, registry,
                                             [this] { return owns(usageRole); }},
-                        std::move(leases), choices.instance, choices.leaseBound);
+                        std::move(leases), settings.instance, settings.leaseBound);
 }
 
 suspect_tools gateway::state::suspectTools()
@@ -183,7 +185,7 @@
     made.marks = [this] {
         std::vector<std::uint64_t> marks;
         for (const policy::member &one : members.members()) {
-            if (one.id != choices.instance)
+            if (one.id != settings.instance)
                 marks.push_back(one.appliedVersion);
         }
         return marks;
@@ -198,7 +200,7 @@
     return request_relay(parts, request, caller).run();
 }
 
-/// The callers' bounds are part of the routes' configuration.
+/// Applies the callers' limits, which are part of the routes' configuration.
 void gateway::state::followTable()
 {
     const auto now = hub.current();
@@ -208,9 +210,9 @@
     ledger.forgetAllBut(now->runners);
 }
 
-gateway::gateway(gateway_settings choices, dialect names, platform_links links, clock_source clock,
+gateway::gateway(gateway_settings settings, dialect names, platform_links links, clock_source clock,
                  metrics_registry &metrics, journal &events)
-    : inner(std::make_unique<state>(std::move(choices), std::move(names), std::move(links),
+    : inner(std::make_unique<state>(std::move(settings), std::move(names), std::move(links),
                                     std::move(clock), metrics, events))
 { }
 
@@ -218,19 +220,19 @@
 
 result<unit> gateway::start()
 {
-    const auto talking = inner->members.start();
-    if (!succeeded(talking))
-        return errorOf(talking);
-    const auto exchanging = inner->loads.start();
-    if (!succeeded(exchanging))
-        return errorOf(exchanging);
-    const auto listening = inner->callers.start();
-    if (!succeeded(listening))
-        return errorOf(listening);
+    const auto gossipStarted = inner->members.start();
+    if (!succeeded(gossipStarted))
+        return errorOf(gossipStarted);
+    const auto exchangeStarted = inner->loads.start();
+    if (!succeeded(exchangeStarted))
+        return errorOf(exchangeStarted);
+    const auto serverStarted = inner->callers.start();
+    if (!succeeded(serverStarted))
+        return errorOf(serverStarted);
     if (inner->usageNews) {
-        const auto telling = inner->usageNews->start();
-        if (!succeeded(telling))
-            return errorOf(telling);
+        const auto usageStarted = inner->usageNews->start();
+        if (!succeeded(usageStarted))
+            return errorOf(usageStarted);
         inner->usageKeeper->start();
     }
     if (inner->fleet)
@@ -251,10 +253,10 @@
     std::vector<endpoint> near;
     std::vector<endpoint> far;
     for (const listed_gateway &one : listed) {
-        if (one.id == inner->choices.instance)
+        if (one.id == inner->settings.instance)
             continue;
         contacts.push_back(one.peerAddress);
-        (one.zone == inner->choices.zone ? near : far).push_back(one.loadAddress);
+        (one.zone == inner->settings.zone ? near : far).push_back(one.loadAddress);
     }
     inner->members.setContacts(std::move(contacts));
     inner->loads.setPeers(std::move(near), std::move(far));
@@ -277,7 +279,7 @@
     std::vector<endpoint> near;
     std::vector<endpoint> all;
     for (const policy::member &one : inner->members.members()) {
-        const bool isSelf = one.id == inner->choices.instance;
+        const bool isSelf = one.id == inner->settings.instance;
         const bool isOpen = isSelf ? isReady() : one.state == policy::member_state::Alive;
         if (!isOpen || !one.callerAddress.isValid())
             continue;
@@ -295,7 +297,8 @@
     const mono_time end = inner->leftAt + inner->leaveTime - config::leaveMargin;
     inner->leavesAt = end.time_since_epoch().count();
     inner->members.setLeaving();
-    // Waited for only at the end: with a slow store it would hold up what callers are told.
+    // The threads are joined only in finish(): with a slow store, waiting here would delay the
+    // announcement to callers.
     inner->stages.requestStop();
     if (inner->usageKeeper)
         inner->usageKeeper->requestStop();
@@ -306,11 +309,11 @@
     inner->events.emit("leaving", {{"time_ms", std::to_string(inner->leaveTime.count())}});
 }
 
-/// Callers keep the address for a while; during that time they are served as before. After it,
-/// requests that have arrived are finished, and connections at rest are closed.
+/// Callers cache the address for a while; during that time they are served as before. After it,
+/// requests that have arrived are completed, and idle connections are closed.
 void gateway::finish()
 {
-    const auto keep = std::chrono::duration_cast<milliseconds>(inner->choices.addressKeepTime)
+    const auto keep = std::chrono::duration_cast<milliseconds>(inner->settings.addressKeepTime)
             + config::lastCallersTime;
     std::this_thread::sleep_for(std::min(keep, inner->leaveTime / 3));
     inner->callers.stop();
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -2,9 +2,9 @@
 
 namespace poplarspool::gateway {
 
-std::string peerKeyOf(const gateway_settings &choices)
+std::string peerKeyOf(const gateway_settings &settings)
 {
-    return "poplarspool-gateway:" + textOf(choices.storeAddress);
+    return "poplarspool-gateway:" + textOf(settings.storeAddress);
 }
 
 incarnation lifeOf(const clock_source &clock)
--- a/src/gateway/placing.cpp
+++ b/src/gateway/placing.cpp
@@ -12,266 +12,271 @@
 
 using candidate_list = std::vector<const place_candidate *>;
 
-bool isSetAside(const place_candidate &one, mono_time now)
+bool isEjected(const place_candidate &one, mono_time now)
 {
     return one.load.setAsideUntil > now;
 }
 
-/// An engine that names no stage does all the work of one.
+/// An engine without a stage does the work of all stages.
 bool serves(const runner &target, engine_stage stage)
 {
     return target.stage == stage
             || (stage == engine_stage::Decode && target.stage == engine_stage::None);
 }
 
-/// The runners that may take the request: those that failed lately only where no other is left, and
-/// also where so many are set aside that the rest would be overrun.
-candidate_list openCandidates(const place_wish &wish, std::span<const place_candidate> candidates,
-                              engine_stage stage)
+/// Runners that may take the request. Ejected ones are included only if no other is left or if so
+/// many are ejected that the rest would be overloaded.
+candidate_list eligibleCandidates(const place_wish &query,
+                                  std::span<const place_candidate> candidates, engine_stage stage)
 {
     candidate_list all;
     candidate_list good;
     for (const place_candidate &one : candidates) {
-        if (one.target->service != wish.service || one.target->isDraining || one.isTried
-            || one.isMisdirected || one.target->keptUntil <= wish.now
+        if (one.target->service != query.service || one.target->isDraining || one.isTried
+            || one.isMisdirected || one.target->keptUntil <= query.now
             || !serves(*one.target, stage))
             continue;
         all.push_back(&one);
-        if (!isSetAside(one, wish.now))
+        if (!isEjected(one, query.now))
             good.push_back(&one);
     }
     const auto least = static_cast<double>(all.size()) * config::leastOpenShare;
     return static_cast<double>(good.size()) >= least && !good.empty() ? good : all;
 }
 
-/// Evenly spread in [0, 1), and different for each pair of request and runner.
-double tieBreak(const place_wish &wish, const runner &target)
+/// Uniformly distributed in [0, 1), and different for each pair of request and runner.
+double tieBreak(const place_wish &query, const runner &target)
 {
-    return unitOf(hashOf(target.id.text, wish.draw));
+    return unitOf(hashOf(target.id.text, query.draw));
 }
 
-double serviceScore(const place_wish &wish, const place_candidate &one)
+double serviceCost(const place_wish &query, const place_candidate &one)
 {
     const auto slots = static_cast<double>(std::max(one.target->slots, 1U));
-    const double crossing = one.target->zone == wish.zone ? 0 : config::serviceCrossZoneCost;
+    const double zoneCost = one.target->zone == query.zone ? 0 : config::serviceCrossZoneCost;
     const double queueing = one.load.open / slots;
-    return (1 + queueing + crossing) * one.load.slowness
-            + config::tieBreakCost * tieBreak(wish, *one.target);
+    return (1 + queueing + zoneCost) * one.load.slowness
+            + config::tieBreakCost * tieBreak(query, *one.target);
 }
 
-std::variant<placement, no_place> chooseService(const place_wish &wish,
+std::variant<placement, no_place> chooseService(const place_wish &query,
                                                 std::span<const place_candidate> candidates)
 {
-    const candidate_list open = openCandidates(wish, candidates, engine_stage::None);
+    const candidate_list open = eligibleCandidates(query, candidates, engine_stage::None);
     if (open.empty())
         return no_place{};
     const auto best = std::ranges::min_element(
-            open, {}, [&](const place_candidate *one) { return serviceScore(wish, *one); });
+            open, {}, [&](const place_candidate *one) { return serviceCost(query, *one); });
     placement chosen;
     chosen.serving = (*best)->target;
     return chosen;
 }
 
-/// The runner that all instances choose, without a message, to read shared parts that nobody has:
-/// two that read them at the same time would do so twice.
-const place_candidate *homeOf(const candidate_list &open, std::uint64_t key)
+/// The runner that all instances choose independently to prefill shared parts that no runner has
+/// cached: two runners that prefill them at the same time would do the work twice.
+const place_candidate *preferredEngineOf(const candidate_list &open, std::uint64_t key)
 {
-    const auto home = std::ranges::max_element(open, {}, [key](const place_candidate *one) {
+    const auto preferred = std::ranges::max_element(open, {}, [key](const place_candidate *one) {
         return hashOf(one->target->id.text, key);
     });
-    return key == 0 || home == open.end() ? nullptr : *home;
+    return key == 0 || preferred == open.end() ? nullptr : *preferred;
 }
 
-/// In a large fleet, what others have sent is known late: if all chose the least loaded engine, all
-/// would choose the same one, and its queue would be the longest before anyone hears of it. So each
-/// request looks at a few engines drawn by chance, and at the home of its shared parts.
-candidate_list drawn(const place_wish &wish, candidate_list engines)
+/// In a large fleet, the load sent by other instances is known late: if all chose the least loaded
+/// engine, they would choose the same one, and its queue would be the longest before the update
+/// arrives. So each request considers a few randomly sampled engines and the preferred engine of
+/// its shared parts.
+candidate_list sampledCandidates(const place_wish &query, candidate_list engines)
 {
     if (std::ssize(engines) <= config::drawnEngines)
         return engines;
-    const place_candidate *home = homeOf(engines, wish.affinityKey);
+    const place_candidate *preferred = preferredEngineOf(engines, query.affinityKey);
     std::ranges::partial_sort(
             engines, engines.begin() + config::drawnEngines, {},
-            [&wish](const place_candidate *one) { return tieBreak(wish, *one->target); });
+            [&query](const place_candidate *one) { return tieBreak(query, *one->target); });
     engines.resize(config::drawnEngines);
-    if (home != nullptr && std::ranges::find(engines, home) == engines.end())
-        engines.push_back(home);
+    if (preferred != nullptr && std::ranges::find(engines, preferred) == engines.end())
+        engines.push_back(preferred);
     return engines;
 }
 
-/// Who has read most of this prompt's beginning; null where nobody has any. One that is about to
-/// read it has nothing yet to copy: the copy would be read in full after all.
-const place_candidate *holderOf(const place_wish &wish, std::span<const place_candidate> candidates)
+/// The engine that has prefilled most of this prompt's beginning; null if none has. An engine that
+/// has only queued the prompt has nothing to copy yet: the requesting engine would have to prefill
+/// it in full.
+const place_candidate *cacheHolderOf(const place_wish &query,
+                                     std::span<const place_candidate> candidates)
 {
     const place_candidate *holder = nullptr;
     for (const place_candidate &one : candidates) {
-        const bool isUsable = one.target->service == wish.service && one.readTokens > 0
-                && !isSetAside(one, wish.now);
+        const bool isUsable = one.target->service == query.service && one.readTokens > 0
+                && !isEjected(one, query.now);
         if (isUsable && (holder == nullptr || one.readTokens > holder->readTokens))
             holder = &one;
     }
     return holder;
 }
 
-/// One way of getting the prompt read.
-struct reading
+/// One way to prefill the prompt.
+struct prefill_option
 {
     const place_candidate *at = nullptr;
     const place_candidate *copyFrom = nullptr;
     double ownMs = 0; ///< For this prompt.
-    double costMs = std::numeric_limits<double>::infinity(); ///< With all that is weighed.
+    double costMs = std::numeric_limits<double>::infinity(); ///< Including all penalties.
     double aheadMs = 0; ///< For the prompts before it.
     double startMs = 0; ///< Until the first token.
 };
 
-/// What is there to choose from, looked up once.
-struct engine_choice
+/// Inputs that all ways share.
+struct prefill_inputs
 {
-    const place_wish &wish;
+    const place_wish &query;
     send_class urgency;
     const place_candidate *holder;
-    const place_candidate *home;
+    const place_candidate *preferred;
 };
 
-reading readAt(const engine_choice &choice, const place_candidate &at,
-               const place_candidate *copyFrom)
+prefill_option prefillOptionAt(const prefill_inputs &inputs, const place_candidate &at,
+                               const place_candidate *copyFrom)
 {
-    const place_wish &wish = choice.wish;
+    const place_wish &query = inputs.query;
     const double slowness = std::max(at.load.slowness, 1.0);
     std::uint32_t cached = at.cachedTokens;
-    reading made;
+    prefill_option made;
     made.at = &at;
     double copyMs = 0;
     if (copyFrom != nullptr) {
-        copyMs = transferTimeMs(*wish.engine, copyFrom->readTokens - cached);
+        copyMs = transferTimeMs(*query.engine, copyFrom->readTokens - cached);
         cached = copyFrom->readTokens;
         made.copyFrom = copyFrom;
         made.costMs = config::kvCopyCostMs;
     } else {
         made.costMs = 0;
     }
-    // The engine is busy with the copy, too.
-    made.ownMs = readingTimeMs(at.target->stage, wish.promptTokens, cached) * at.load.pace.scale
+    // The copy occupies the engine as well.
+    made.ownMs = readingTimeMs(at.target->stage, query.promptTokens, cached) * at.load.pace.scale
                     * slowness
             + copyMs;
     const double aheadMs =
-            at.load.readingMs + (choice.urgency == send_class::Later ? at.load.laterMs : 0);
+            at.load.readingMs + (inputs.urgency == send_class::Later ? at.load.laterMs : 0);
     made.aheadMs = aheadMs * slowness;
     made.startMs = made.aheadMs + made.ownMs + at.load.pace.firstMs;
-    const bool isColdElsewhere = cached < wish.sharedTokens && choice.home != &at;
+    const bool isColdElsewhere = cached < query.sharedTokens && inputs.preferred != &at;
     made.costMs += made.startMs + (isColdElsewhere ? config::coldElsewhereMs : 0)
-            + (at.target->zone == wish.zone ? 0 : config::engineCrossZoneMs)
-            + config::tieBreakCost * tieBreak(wish, *at.target);
+            + (at.target->zone == query.zone ? 0 : config::engineCrossZoneMs)
+            + config::tieBreakCost * tieBreak(query, *at.target);
     return made;
 }
 
-/// The best way to have the prompt read by one of these engines.
-reading bestReading(const engine_choice &choice, const candidate_list &engines)
+/// The cheapest way to prefill the prompt on one of these engines.
+prefill_option bestPrefillOption(const prefill_inputs &inputs, const candidate_list &engines)
 {
-    reading best;
-    const auto keepBetter = [&best](const reading &other) {
+    prefill_option best;
+    const auto keepBetter = [&best](const prefill_option &other) {
         if (other.costMs < best.costMs)
             best = other;
     };
     for (const place_candidate *one : engines) {
-        keepBetter(readAt(choice, *one, nullptr));
-        if (choice.holder != nullptr && choice.holder->readTokens > one->cachedTokens)
-            keepBetter(readAt(choice, *one, choice.holder));
+        keepBetter(prefillOptionAt(inputs, *one, nullptr));
+        if (inputs.holder != nullptr && inputs.holder->readTokens > one->cachedTokens)
+            keepBetter(prefillOptionAt(inputs, *one, inputs.holder));
     }
     return best;
 }
 
-/// Time until one of the engine's slots is free for a request of that class. An engine whose batch
-/// is full begins nothing, however fast it reads.
-double slotWaitMs(const place_wish &wish, const place_candidate &one, send_class urgency)
+/// Time until a slot of the engine is free for a request of that class. An engine whose batch is
+/// full starts no request, however fast it prefills.
+double slotWaitMs(const place_wish &query, const place_candidate &one, send_class urgency)
 {
-    const double batch = std::max(wish.engine->batch, 1U);
+    const double batch = std::max(query.engine->batch, 1U);
     const runner_load &load = one.load;
     const double ahead = load.open - (urgency == send_class::Urgent ? load.waitingLater : 0.0);
     return std::max(0.0, ahead + 1 - batch) * load.runMs / batch;
 }
 
-/// How much later the events of a request come for what already runs there. Prompts that wait to be
-/// read there don't count: what was read elsewhere is admitted before them.
-double decodeLoadMs(const place_wish &wish, const place_candidate &one, send_class urgency)
+/// Delay of a request's events by the requests that already run on the engine. Prompts that wait
+/// for prefill there don't count: requests that were prefilled elsewhere are admitted before them.
+double decodeLoadMs(const place_wish &query, const place_candidate &one, send_class urgency)
 {
-    return (config::decodeCostMsPerRequest * one.load.open + slotWaitMs(wish, one, urgency))
+    return (config::decodeCostMsPerRequest * one.load.open + slotWaitMs(query, one, urgency))
             * std::max(one.load.slowness, 1.0);
 }
 
-const place_candidate *leastDecoding(const place_wish &wish, const candidate_list &open,
-                                     send_class urgency)
+const place_candidate *leastLoadedDecoder(const place_wish &query, const candidate_list &open,
+                                          send_class urgency)
 {
     const auto least = std::ranges::min_element(open, {}, [&](const place_candidate *one) {
-        const double spared =
-                transferTimeMs(*wish.engine, std::min(one->cachedTokens, wish.promptTokens));
-        const bool isCrossing = wish.isRead && one->target->zone != wish.readerZone;
-        // Between zones a transfer takes twice as long and is dearer.
-        const double crossing = isCrossing
-                ? transferTimeMs(*wish.engine, wish.promptTokens) + config::engineCrossZoneMs
+        const double savedMs =
+                transferTimeMs(*query.engine, std::min(one->cachedTokens, query.promptTokens));
+        const bool isCrossing = query.isRead && one->target->zone != query.readerZone;
+        // Between zones a transfer takes twice as long and costs more.
+        const double crossingMs = isCrossing
+                ? transferTimeMs(*query.engine, query.promptTokens) + config::engineCrossZoneMs
                 : 0;
-        return decodeLoadMs(wish, *one, urgency) - spared + crossing
-                + config::tieBreakCost * tieBreak(wish, *one->target);
+        return decodeLoadMs(query, *one, urgency) - savedMs + crossingMs
+                + config::tieBreakCost * tieBreak(query, *one->target);
     });
     return *least;
 }
 
-/// The engines that are open to a request.
-struct engine_lists
+/// The engines that may take a request.
+struct eligible_engines
 {
     candidate_list decoders;
-    candidate_list readers; ///< That may read the prompt first.
+    candidate_list prefillers; ///< May prefill the prompt first.
     const place_candidate *holder;
 };
 
-/// An engine reads one prompt at a time, and nothing that comes in starts to run before that one is
-/// done. Where others read, an engine that runs requests reads no more than takes as long as to
-/// hand it over: with long prompts among them, requests whose prompt was read elsewhere waited up
-/// to 1.7 s for their first event.
-bool mayReadThere(const place_wish &wish, const place_candidate &one, const engine_lists &engines)
+/// An engine prefills one prompt at a time and starts no request before that prompt is done. If
+/// there are prefill engines, an engine that runs requests prefills at most what takes as long as
+/// a handoff: with longer prompts, requests that were prefilled elsewhere waited up to 1.7 s for
+/// their first event.
+bool mayPrefillOn(const place_wish &query, const place_candidate &one,
+                  const eligible_engines &engines)
 {
-    const std::uint32_t cached = std::min(one.cachedTokens, wish.promptTokens);
-    return engines.readers.empty() || wish.promptTokens - cached < config::handOverLeastTokens;
+    const std::uint32_t cached = std::min(one.cachedTokens, query.promptTokens);
+    return engines.prefillers.empty() || query.promptTokens - cached < config::handOverLeastTokens;
 }
 
-/// The best way to serve a request of that class, over all engines and hand-overs.
-placement chooseWay(const place_wish &wish, const engine_lists &engines, send_class urgency)
+/// The cheapest way to serve a request of that class, over all engines and handoffs.
+placement cheapestPlacement(const place_wish &query, const eligible_engines &engines,
+                            send_class urgency)
 {
     placement chosen;
     chosen.urgency = urgency;
-    reading best;
+    prefill_option best;
     const place_candidate *serving = engines.decoders.front();
     double bestCost = std::numeric_limits<double>::infinity();
-    const engine_choice direct{wish, urgency, engines.holder,
-                               homeOf(engines.decoders, wish.affinityKey)};
+    const prefill_inputs direct{query, urgency, engines.holder,
+                                preferredEngineOf(engines.decoders, query.affinityKey)};
     for (const place_candidate *one : engines.decoders) {
-        if (!mayReadThere(wish, *one, engines))
+        if (!mayPrefillOn(query, *one, engines))
             continue;
-        const reading here = bestReading(direct, {one});
-        const double cost = here.costMs + decodeLoadMs(wish, *one, urgency);
+        const prefill_option here = bestPrefillOption(direct, {one});
+        const double cost = here.costMs + decodeLoadMs(query, *one, urgency);
         if (cost < bestCost) {
             best = here;
             bestCost = cost;
             serving = one;
         }
     }
-    if (!engines.readers.empty()) {
-        const place_candidate *at = leastDecoding(wish, engines.decoders, urgency);
-        const engine_choice handed{wish, urgency, engines.holder,
-                                   homeOf(engines.readers, wish.affinityKey)};
-        const reading there = bestReading(handed, engines.readers);
-        const double moveMs = transferTimeMs(*wish.engine, wish.promptTokens);
-        if (there.costMs + moveMs + decodeLoadMs(wish, *at, urgency) + config::handOverCostMs
+    if (!engines.prefillers.empty()) {
+        const place_candidate *at = leastLoadedDecoder(query, engines.decoders, urgency);
+        const prefill_inputs handoff{query, urgency, engines.holder,
+                                     preferredEngineOf(engines.prefillers, query.affinityKey)};
+        const prefill_option there = bestPrefillOption(handoff, engines.prefillers);
+        const double transferMs = transferTimeMs(*query.engine, query.promptTokens);
+        if (there.costMs + transferMs + decodeLoadMs(query, *at, urgency) + config::handOverCostMs
             < bestCost) {
             best = there;
-            best.startMs += moveMs;
+            best.startMs += transferMs;
             serving = at;
             chosen.prefill = there.at->target;
         }
     }
     chosen.cacheHolder = best.copyFrom != nullptr ? best.copyFrom->target : nullptr;
     chosen.serving = serving->target;
-    chosen.slotWaitMs = slotWaitMs(wish, *serving, urgency);
+    chosen.slotWaitMs = slotWaitMs(query, *serving, urgency);
     chosen.waitingThere = serving->load.waiting + serving->load.waitingLater;
     chosen.readingMs = best.ownMs;
     chosen.aheadMs = best.aheadMs;
@@ -279,52 +284,56 @@
     return chosen;
 }
 
-/// Only what is before a request counts: a prompt that takes long by itself is not refused where
-/// nobody waits.
-bool hasRoom(const place_wish &wish, const placement &later)
+/// Only the work before a request counts: a prompt that takes long by itself is not refused if no
+/// other request waits.
+bool canStartSoon(const place_wish &query, const placement &later)
 {
-    const double room = std::max(1.0, config::laterRoomShare * wish.engine->batch);
+    const double room = std::max(1.0, config::laterRoomShare * query.engine->batch);
     const double waitMs = later.aheadMs + later.slotWaitMs;
-    return later.waitingThere < room && waitMs < wish.timeLeftMs * config::laterTimeShare;
+    return later.waitingThere < room && waitMs < query.timeLeftMs * config::laterTimeShare;
 }
 
-/// On the heaviest days more prompts come than the engines can read in time. Served in the order of
-/// arrival, all of them start late. So a request that can still start in time only waits for others
-/// that can; the rest is served in the gaps. Judged by what is open alone, without places and what
-/// waits, requests seemed to be on time that were not: at four times the load that engines can
-/// begin, 6 requests a second were on time in place of 286 (8 engines, played in virtual time).
+/// On the heaviest days, more prompts arrive than the engines can prefill in time. Served in the
+/// order of arrival, all of them would start late. So a request that can still start in time only
+/// waits for others that can; the rest is served when no such request waits. An estimate by open
+/// requests alone, without slots and waiting prompts, accepted requests as on time that were not:
+/// at four times the load that engines can start, 6 instead of 286 requests per second were on
+/// time (8 engines, simulated).
 ///
-/// Of the rest, no more is taken than begins soon. That gains no answers (mean worth 0.414 with it
-/// and 0.419 without, ten days of a deployment in overload: noise), but its callers hear at once
-/// when to come back, and not after some engines have refused them.
-std::variant<placement, no_place> chooseEngine(const place_wish &wish,
+/// Late requests are accepted only if they start soon. That does not increase the number of
+/// answers (mean worth 0.414 with it and 0.419 without, over ten days of a deployment in overload;
+/// the difference is noise), but their callers learn at once when to come back, and not only after
+/// some engines have refused them.
+std::variant<placement, no_place> chooseEngine(const place_wish &query,
                                                std::span<const place_candidate> candidates)
 {
-    engine_lists engines;
-    engines.decoders = drawn(wish, openCandidates(wish, candidates, engine_stage::Decode));
+    eligible_engines engines;
+    engines.decoders =
+            sampledCandidates(query, eligibleCandidates(query, candidates, engine_stage::Decode));
     if (engines.decoders.empty())
         return no_place{};
-    if (wish.isRead) {
+    if (query.isRead) {
         placement chosen;
-        chosen.serving = leastDecoding(wish, engines.decoders, send_class::Urgent)->target;
+        chosen.serving = leastLoadedDecoder(query, engines.decoders, send_class::Urgent)->target;
         return chosen;
     }
-    engines.holder = holderOf(wish, candidates);
-    if (wish.mayHandOver && wish.promptTokens >= config::handOverLeastTokens)
-        engines.readers = drawn(wish, openCandidates(wish, candidates, engine_stage::Prefill));
-    placement urgent = chooseWay(wish, engines, send_class::Urgent);
-    if (urgent.expectedStartMs <= wish.objectiveLeftMs * config::urgentShare)
+    engines.holder = cacheHolderOf(query, candidates);
+    if (query.mayHandOver && query.promptTokens >= config::handOverLeastTokens)
+        engines.prefillers = sampledCandidates(
+                query, eligibleCandidates(query, candidates, engine_stage::Prefill));
+    placement urgent = cheapestPlacement(query, engines, send_class::Urgent);
+    if (urgent.expectedStartMs <= query.objectiveLeftMs * config::urgentShare)
         return urgent;
-    placement later = chooseWay(wish, engines, send_class::Later);
-    if (wish.hasBegun || hasRoom(wish, later))
+    placement later = cheapestPlacement(query, engines, send_class::Later);
+    if (query.hasBegun || canStartSoon(query, later))
         return later;
-    return no_place{false, std::max(urgent.expectedStartMs - wish.objectiveLeftMs, 1.0)};
+    return no_place{false, std::max(urgent.expectedStartMs - query.objectiveLeftMs, 1.0)};
 }
 
-bool hasTried(const place_wish &wish, std::span<const place_candidate> candidates)
+bool hasTriedAny(const place_wish &query, std::span<const place_candidate> candidates)
 {
     return std::ranges::any_of(candidates, [&](const place_candidate &one) {
-        return one.isTried && one.target->service == wish.service && !one.target->isDraining;
+        return one.isTried && one.target->service == query.service && !one.target->isDraining;
     });
 }
 
@@ -335,12 +344,12 @@
     return urgency == send_class::Urgent ? "urgent" : "later";
 }
 
-std::variant<placement, no_place> choosePlace(const place_wish &wish,
+std::variant<placement, no_place> choosePlace(const place_wish &query,
                                               std::span<const place_candidate> candidates)
 {
-    auto chosen = wish.engine ? chooseEngine(wish, candidates) : chooseService(wish, candidates);
+    auto chosen = query.engine ? chooseEngine(query, candidates) : chooseService(query, candidates);
     if (auto *none = std::get_if<no_place>(&chosen))
-        none->areAllTried = none->roomInMs == 0 && hasTried(wish, candidates);
+        none->areAllTried = none->roomInMs == 0 && hasTriedAny(query, candidates);
     return chosen;
 }
 
--- a/src/gateway/request_relay.cpp
+++ b/src/gateway/request_relay.cpp
@@ -22,9 +22,9 @@
     return text.data();
 }
 
-/// Callers that were refused in the same burst don't come back in one.
-/// @param draw Any number, evenly spread.
-milliseconds comeBackTime(double roomInMs, std::uint64_t draw)
+/// Randomized, so that callers that were refused in the same burst don't come back in one.
+/// @param draw Uniformly distributed random bits.
+milliseconds retryAfterFor(double roomInMs, std::uint64_t draw)
 {
     const milliseconds time(std::llround(roomInMs * (1 + unitOf(draw))));
     return std::clamp(time, config::refusedRetryAfter, config::refusedRetryAfterMost);
@@ -96,21 +96,21 @@
             break;
         std::string kvSource;
         if (place->prefill) {
-            const auto reader = place->prefill;
+            const auto prefillEngine = place->prefill;
             const auto handle = readPrompt(*place);
             if (!handle)
                 continue;
-            // Reading took a while: the engine that was to serve may be leaving by now, and another
-            // may have less to do.
-            place = findPlace(reader.get());
+            // The prefill took a while: by now the engine that was to serve may be leaving, or
+            // another may have less load.
+            place = findPlace(prefillEngine.get());
             if (isCallerGone() || !place || isQuarantined()) {
-                freeHandle(*reader, *handle);
+                freeHandle(*prefillEngine, *handle);
                 continue;
             }
-            place->prefill = reader;
-            kvSource = textOf(reader->address) + "/" + *handle;
+            place->prefill = prefillEngine;
+            kvSource = textOf(prefillEngine->address) + "/" + *handle;
         }
-        // A runner that could not be reached has seen nothing of the request.
+        // A runner that could not be reached has received nothing of the request.
         const bool isExtra = arrivals > 0;
         if (isExtra && !parts.retries.tryTake(service)) {
             lastFault += lastFault.empty() ? "retry_budget" : "+retry_budget";
@@ -135,19 +135,20 @@
     return finish();
 }
 
-/// @returns The answer where the request can't be passed on.
+/// @returns The answer if the request can't be forwarded.
 std::optional<http_reply> request_relay::pickRoute()
 {
-    // A 404 says for good that there is no such thing, and callers don't come back after it. Where
-    // the configuration isn't known, or may have changed since, only "not now" is true.
+    // A 404 is final: callers don't come back after it. If the configuration is unknown or may
+    // have changed since, the answer is 503.
     if (!known->table || !known->areRunnersKnown)
-        return refusal(503, error_code::Unavailable, "no configuration is known yet",
+        return refusal(503, error_code::Unavailable, "no configuration loaded yet",
                        config::startingRetryAfter);
     chosen = findRoute(*known->table, *known->index, headerOf(request.headers, "host"),
                        request.path);
     if (chosen == nullptr) {
         if (parts.clock.mono() - known->tableConfirmedAt > config::routesTrustTime)
-            return refusal(503, error_code::Stale, "the route is not known here",
+            return refusal(503, error_code::Stale,
+                           "no such route in a possibly outdated configuration",
                            config::startingRetryAfter);
         parts.metrics.failed.add();
         return errorReply(404, error_code::NotFound, verdict::NotRun, "no such route");
@@ -165,63 +166,64 @@
             std::min(arrivedAt + limit, mono_time(std::chrono::nanoseconds(parts.leavesAt.load())));
     // One draw for all tries of a request, so that a resumed stream stays with its service.
     service = drawService(*chosen, hashOf(read.id));
-    const gateway::service *kind = findService(*known->table, service);
-    engine = kind != nullptr && kind->engine ? &*kind->engine : nullptr;
+    const gateway::service *foundService = findService(*known->table, service);
+    engine = foundService != nullptr && foundService->engine ? &*foundService->engine : nullptr;
     return std::nullopt;
 }
 
-/// As for routes: a 401 says for good that there is no such key.
+/// As for routes: a 401 is final.
 std::optional<http_reply> request_relay::pickWorkspace()
 {
     const route_table &table = *known->table;
     if (!table.needsKeys)
         return std::nullopt;
     const auto age = parts.clock.mono() - known->tableConfirmedAt;
-    const bool areTrusted = std::chrono::floor<milliseconds>(age) <= parts.keyTrustTime;
-    owner = areTrusted ? keyOwnerOf(request, parts.names, table, *known->index) : nullptr;
+    const bool areKeysValid = std::chrono::floor<milliseconds>(age) <= parts.keyTrustTime;
+    owner = areKeysValid ? keyOwnerOf(request, parts.names, table, *known->index) : nullptr;
     if (owner != nullptr || chosen->isAnonymous)
         return std::nullopt;
     if (age > config::routesTrustTime || table.hasUnreadKeys)
-        return refusal(503, error_code::Stale, "the key is not known here",
+        return refusal(503, error_code::Stale, "no such key in a possibly outdated configuration",
                        config::startingRetryAfter);
     parts.metrics.unknownKeys.add();
     lastFault = "unknown_key";
     return errorReply(401, error_code::Unauthorized, verdict::NotRun, "no such key");
 }
 
-std::optional<placement> request_relay::findPlace(const runner *reader)
+std::optional<placement> request_relay::findPlace(const runner *prefillEngine)
 {
-    // Runners come and go within a request's time; its route stays the one that it arrived by.
+    // Runners may change during a request, so the latest view is used; the route stays the one
+    // found on arrival.
     const auto latest = parts.hub.current();
-    place_wish wish;
-    wish.service = service;
-    wish.zone = parts.zone;
-    wish.promptTokens = read.promptTokens;
-    wish.sharedTokens = std::min(sharedTokensOf(read.prompt), read.promptTokens);
-    wish.affinityKey = read.prompt.size() < 2 ? 0 : read.prompt[read.prompt.size() - 2].chain;
-    wish.mayHandOver = !isHandOverLost && sends == 0 && parts.retries.hasRoom(service);
-    wish.hasBegun = hasBegun;
-    wish.isRead = reader != nullptr;
-    if (reader != nullptr)
-        wish.readerZone = reader->zone;
-    wish.now = parts.clock.mono();
+    place_wish query;
+    query.service = service;
+    query.zone = parts.zone;
+    query.promptTokens = read.promptTokens;
+    query.sharedTokens = std::min(sharedTokensOf(read.prompt), read.promptTokens);
+    query.affinityKey = read.prompt.size() < 2 ? 0 : read.prompt[read.prompt.size() - 2].chain;
+    query.mayHandOver = !isHandOverLost && sends == 0 && parts.retries.hasRoom(service);
+    query.hasBegun = hasBegun;
+    query.isRead = prefillEngine != nullptr;
+    if (prefillEngine != nullptr)
+        query.readerZone = prefillEngine->zone;
+    query.now = parts.clock.mono();
     chosenBy = latest;
-    chosenAt = wish.now;
+    chosenAt = query.now;
     sentAt = {};
-    wish.objectiveLeftMs =
-            std::chrono::duration<double, std::milli>(arrivedAt + chosen->objective - wish.now)
+    query.objectiveLeftMs =
+            std::chrono::duration<double, std::milli>(arrivedAt + chosen->objective - query.now)
                     .count();
-    wish.timeLeftMs = static_cast<double>(timeLeft().count());
-    wish.draw = hashOf(read.id, sends);
+    query.timeLeftMs = static_cast<double>(timeLeft().count());
+    query.draw = hashOf(read.id, sends);
     if (engine != nullptr)
-        wish.engine = *engine;
+        query.engine = *engine;
     const auto candidates = parts.ledger.candidatesOf(*latest, service, engine, read.prompt, tried);
-    const auto found = choosePlace(wish, candidates);
+    const auto found = choosePlace(query, candidates);
     if (const auto *place = std::get_if<placement>(&found))
         return *place;
     const no_place &none = std::get<no_place>(found);
     if (none.roomInMs > 0) {
-        comeBackIn = comeBackTime(none.roomInMs, wish.draw);
+        comeBackIn = retryAfterFor(none.roomInMs, query.draw);
         lastFault = lastFault.empty() ? "no_room" : "no_room:" + lastFault;
     } else {
         lastFault = none.areAllTried ? "all_tried:" + lastFault : "no_runner";
@@ -229,7 +231,7 @@
     return std::nullopt;
 }
 
-/// Asked before each send: meanwhile, runners may have ended under other attempts.
+/// Checked before each send: in the meantime, runners may have ended under other attempts.
 bool request_relay::isQuarantined()
 {
     if (!kept)
@@ -241,7 +243,8 @@
 {
     if (arrivals >= config::maxArrivals || sends >= config::maxSends || runs >= chosen->maxRunners)
         return false;
-    // Its next attempt will tell; going on here at once, it took runner after runner with it.
+    // The caller's next attempt will show whether the request ends runners. Retried here at once,
+    // such a request ended one runner after another.
     if (end == try_end::Lost && parts.suspects.countLives(digest) >= config::retryLives)
         return false;
     if (hasBegun)
@@ -249,8 +252,8 @@
     return end == try_end::NotRun || chosen->repeats == repeat_rule::Idempotent;
 }
 
-/// A caller that has closed its side reads no answer either: here, callers that only end their
-/// sending side don't exist. Sent on, its request would take a runner's time for nobody.
+/// A caller that has closed its sending side is treated as gone: callers that half-close and still
+/// read the answer don't occur here. Forwarding its request would waste a runner's time.
 bool request_relay::isCallerGone() const
 {
     const int fd = caller.descriptorNumber();
@@ -271,7 +274,7 @@
         parts.metrics.cut.add();
         return std::nullopt;
     }
-    // A runner's own failure says more than ours would.
+    // A runner's own error is more specific than the gateway's.
     if (held) {
         parts.metrics.failed.add();
         return std::move(held);
@@ -279,15 +282,17 @@
     if (runs == 0 && kept) {
         parts.metrics.quarantined.add();
         lastFault = "quarantined";
-        return refusal(503, error_code::Unavailable, "runners have ended under this request",
-                       kept->left);
+        return refusal(503, error_code::Unavailable,
+                       "request quarantined: runners ended while running it", kept->left);
     }
     if (runs == 0)
-        return refusal(503, error_code::Overloaded, "no runner could take it", comeBackIn);
+        return refusal(503, error_code::Overloaded, "no runner could take the request", comeBackIn);
     parts.metrics.failed.add();
     if (timeLeft() <= config::leastSendTime)
-        return errorReply(504, error_code::TimedOut, verdict::MayHaveRun, "no answer in time");
-    return errorReply(502, error_code::Broken, verdict::MayHaveRun, "the runner's answer is lost");
+        return errorReply(504, error_code::TimedOut, verdict::MayHaveRun,
+                          "no answer within the time limit");
+    return errorReply(502, error_code::Broken, verdict::MayHaveRun,
+                      "runner's answer lost or incomplete");
 }
 
 http_reply request_relay::refusal(int status, error_code code, std::string_view reason,
--- a/src/gateway/request_relay.h
+++ b/src/gateway/request_relay.h
@@ -99,8 +99,8 @@
     std::optional<http_reply> pickRoute();
     std::optional<http_reply> pickWorkspace();
     bool isQuarantined();
-    /// @param reader The engine that has prefilled the prompt; null: none yet.
-    std::optional<placement> findPlace(const runner *reader);
+    /// @param prefillEngine The engine that has prefilled the prompt; null: none yet.
+    std::optional<placement> findPlace(const runner *prefillEngine);
     bool mayTryAgain(try_end end) const;
     bool isCallerGone() const;
     std::optional<http_reply> leaveOff();
@@ -116,30 +116,31 @@
     // prefill_handoff.cpp: an engine that only prefills the prompt.
     std::optional<std::string> readPrompt(const placement &place);
     std::optional<http_reply> askPrefill(const placement &place, runner_ledger::open_send &record);
-    void freeHandle(const runner &reader, const std::string &handle);
+    void freeHandle(const runner &prefillEngine, const std::string &handle);
 
     // runner_try.cpp: one send and its answer.
     try_end tryAt(const placement &place, const std::string &kvSource);
-    try_end sendTo(sending &now);
+    try_end sendTo(sending &current);
     result<descriptor> connectionTo(const endpoint &to, socket_deadline deadline) const;
     std::variant<reply_head, call_fault> readOwnHead(runner_call &call, socket_deadline deadline);
-    try_end takeReply(runner_call &call, const reply_head &head, sending &now);
-    try_end takeRefusal(runner_call &call, const reply_head &head, sending &now);
-    try_end passStream(runner_call &call, const reply_head &head, sending &now);
+    try_end takeReply(runner_call &call, const reply_head &head, sending &current);
+    try_end takeRefusal(runner_call &call, const reply_head &head, sending &current);
+    try_end passStream(runner_call &call, const reply_head &head, sending &current);
     bool passEvents(event_splitter &events, const reply_head &head);
-    try_end passPlain(runner_call &call, const reply_head &head, sending &now);
-    try_end passLarge(runner_call &call, const reply_head &head, std::string held, sending &now);
+    try_end passPlain(runner_call &call, const reply_head &head, sending &current);
+    try_end passLarge(runner_call &call, const reply_head &head, std::string buffered,
+                      sending &current);
     bool beginReply(const reply_head &head);
-    try_end endOfFault(runner_call &call, call_fault fault, sending &now);
+    try_end endOfFault(runner_call &call, call_fault fault, sending &current);
     void noteBroken(const runner &target, call_fault fault);
-    try_end noteServed(sending &now, try_end end);
+    try_end noteServed(sending &current, try_end end);
     void keepConnection(runner_call &call, const reply_head &head, const endpoint &to);
     /// The headers that every send of the request adds.
     send_extras extrasTo(const runner &target) const;
-    send_extras extrasFor(const sending &now) const;
+    send_extras extrasFor(const sending &current) const;
     socket_deadline deadlineIn(milliseconds time) const;
     std::uint32_t priorityOf(send_class urgency) const;
-    void noteFirstByte(sending &now);
+    void noteFirstByte(sending &current);
     void noteBegun() const;
 
     const relay_parts &parts;
--- a/src/gateway/retry_budgets.cpp
+++ b/src/gateway/retry_budgets.cpp
@@ -8,7 +8,8 @@
 
 retry_budgets::retry_budgets(retry_bounds bounds) : bounds(bounds) { }
 
-/// With more instances, what was saved up for fewer would exceed the fleet's extra: all start anew.
+/// When the number of instances changes, saved-up budgets are reset: those saved for fewer
+/// instances would exceed the fleet's extra.
 void retry_budgets::setInstances(std::size_t count)
 {
     const std::lock_guard lock(guard);
@@ -19,12 +20,12 @@
     budgets.clear();
 }
 
-/// @attention With the guard held.
+/// @attention The guard must be held.
 policy::retry_budget &retry_budgets::budgetOf(const service_id &service)
 {
     std::unique_ptr<policy::retry_budget> &budget = budgets[service];
     if (!budget) {
-        // Below one, nothing could ever be saved up for a retry.
+        // With a burst below one, no retry could ever be saved up.
         const double part = bounds.extra / static_cast<double>(instances);
         const double burst = std::max(config::retryBudgetUse * part, 1.0);
         budget = std::make_unique<policy::retry_budget>(config::retryBudgetUse * bounds.share,
--- a/src/gateway/runner_call.cpp
+++ b/src/gateway/runner_call.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr std::size_t receiveBytes = 16 * 1024;
-/// Replies below it only announce another one.
+/// Replies with a lower status are interim.
 constexpr int firstFinalStatus = 200;
-/// Bytes of the line before a chunk, or of a trailer.
+/// Maximum length of a chunk's size line or of a trailer.
 constexpr std::size_t maxChunkLineBytes = 1024;
 constexpr std::string_view lineEnd = "\r\n";
 constexpr std::string_view headEnd = "\r\n\r\n";
@@ -47,8 +47,8 @@
     : connection(std::move(connection)), callerFd(callerFd)
 { }
 
-/// Only the caller's half close is waited for, not its bytes: those of a next request may lie there
-/// all the while.
+/// Waits for the caller's half-close only, not for its bytes: the bytes of a pipelined request may
+/// lie there all the time.
 call_fault runner_call::await(short events, socket_deadline deadline) const
 {
     switch (waitForSocket(connection.get(), events, deadline, callerFd, POLLRDHUP)) {
@@ -81,7 +81,8 @@
         }
         if (count < 0 && errno == EINTR)
             continue;
-        // A runner may refuse a long body before it has read it and close: its answer still counts.
+        // A runner may refuse a long body before it has read it, and close: its answer is still
+        // valid.
         if (count < 0 && errno != EAGAIN && errno != EWOULDBLOCK)
             return bytesSent > 0 ? call_fault::None : call_fault::Closed;
         const call_fault fault = await(POLLOUT | POLLIN, deadline);
@@ -89,8 +90,8 @@
             return fault;
         if (isIdleAndOpen(connection.get()))
             continue;
-        // Bytes of the rest of this body must never be followed by another request's: a connection
-        // that was answered early is closed after its reply (isSentWhole stays false).
+        // The rest of this body must not be followed by another request, so a connection that was
+        // answered early is closed after its reply (isSentWhole stays false).
         if (fill(deadline) != call_fault::None || hasWholeHead())
             return call_fault::None;
     }
@@ -176,10 +177,10 @@
     return piece;
 }
 
-body_piece runner_call::readRest(socket_deadline deadline, std::size_t most)
+body_piece runner_call::readRest(socket_deadline deadline, std::size_t maxBytes)
 {
     body_piece rest;
-    while (!rest.isLast && rest.fault == call_fault::None && rest.bytes.size() < most) {
+    while (!rest.isLast && rest.fault == call_fault::None && rest.bytes.size() < maxBytes) {
         body_piece next = readBody(deadline);
         rest.bytes += next.bytes;
         rest.isLast = next.isLast;
@@ -204,8 +205,8 @@
     return piece;
 }
 
-/// The end of the connection is the end of the body, and only an orderly one is: after a reset,
-/// nobody knows how much is missing.
+/// The end of the connection is the end of the body only if the connection is closed in an orderly
+/// way: after a reset, the missing length is unknown.
 body_piece runner_call::readToClose(socket_deadline deadline)
 {
     if (buffer.empty()) {
--- a/src/gateway/runner_call.h
+++ b/src/gateway/runner_call.h
@@ -46,9 +46,9 @@
     /// Reads the next piece of the body that the last head has announced.
     body_piece readBody(socket_deadline deadline);
 
-    /// Reads the rest of that body, until it is complete or has reached `most` bytes.
+    /// Reads the rest of that body, until it is complete or has reached `maxBytes` bytes.
     /// @returns The bytes read, with isLast if the body is complete.
-    body_piece readRest(socket_deadline deadline, std::size_t most);
+    body_piece readRest(socket_deadline deadline, std::size_t maxBytes);
 
     /// @returns Whether a byte of the request was sent, so that the runner may have run it.
     bool mayHaveArrived() const { return bytesSent > 0; }
--- a/src/gateway/runner_control.cpp
+++ b/src/gateway/runner_control.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// @returns Time for which the runner promises to keep the connection; none where it doesn't say.
+/// @returns The runner's keep-alive time-out; none if it sends none.
 std::optional<milliseconds> keepAliveTimeOf(const http_headers &headers)
 {
     constexpr std::string_view key = "timeout=";
@@ -26,42 +26,44 @@
     return std::chrono::seconds(seconds);
 }
 
-error failureOf(const std::string &who, call_fault fault, verdict ran)
+error failureOf(const std::string &name, call_fault fault, verdict ran)
 {
-    return {error_code::Unavailable, who + ": " + std::string(nameOf(fault)), ran, std::nullopt};
+    return {error_code::Unavailable, name + ": " + std::string(nameOf(fault)), ran, std::nullopt};
 }
 
 } // namespace
 
 milliseconds idleTimeOf(const http_headers &headers)
 {
-    constexpr milliseconds margin{1000}; // The runner's count began earlier than ours.
+    constexpr milliseconds margin{1000}; // The runner's idle timer started earlier than this one.
     const milliseconds promised = keepAliveTimeOf(headers).value_or(config::runnerIdleTime);
     return std::min(promised - margin, config::runnerIdleTime);
 }
 
-result<whole_reply> callOn(descriptor connection, const std::string &who, std::string_view request,
+result<whole_reply> callOn(descriptor connection, const std::string &name, std::string_view request,
                            socket_deadline deadline, const std::function<bool()> &check)
 {
     noticeSilence(connection.get(), config::runnerSilence);
     runner_call call(std::move(connection), -1);
     if (check && !check())
-        return notRun(error_code::TimedOut, "the time to ask " + who + " is over");
+        return notRun(error_code::TimedOut,
+                      "request to " + name + " not sent: no longer permitted");
     const call_fault fault = call.send(request, deadline);
     if (fault != call_fault::None) {
         call.abort();
-        return failureOf(who, fault, call.mayHaveArrived() ? verdict::MayHaveRun : verdict::NotRun);
+        return failureOf(name, fault,
+                         call.mayHaveArrived() ? verdict::MayHaveRun : verdict::NotRun);
     }
     const auto head = call.readHead(deadline);
     if (const auto *failed = std::get_if<call_fault>(&head)) {
         call.abort();
-        return failureOf(who, *failed, verdict::MayHaveRun);
+        return failureOf(name, *failed, verdict::MayHaveRun);
     }
     const auto &arrived = std::get<reply_head>(head);
     body_piece rest = call.readRest(deadline, config::maxHeldAnswerBytes);
     if (!rest.isLast) {
         call.abort();
-        return failureOf(who, rest.fault, verdict::MayHaveRun);
+        return failureOf(name, rest.fault, verdict::MayHaveRun);
     }
     whole_reply whole;
     whole.reply.status = arrived.status;
@@ -72,19 +74,19 @@
 }
 
 result<http_reply> askRunner(connection_pool &connections, const dialect &names,
-                             const runner &target, const http_request &asked, milliseconds time,
-                             const std::function<bool()> &check)
+                             const runner &target, const http_request &request,
+                             milliseconds timeout, const std::function<bool()> &check)
 {
-    const socket_deadline deadline = socket_clock::now() + time;
+    const socket_deadline deadline = socket_clock::now() + timeout;
     auto connection = connections.take(target.address, deadline, -1);
     if (!succeeded(connection))
         return errorOf(connection);
     send_extras extras;
     extras.runner = target.id.text;
-    extras.timeLeft = time;
+    extras.timeLeft = timeout;
     auto answered =
             callOn(std::move(valueOf(connection)), "runner " + target.id.text,
-                   runnerRequestText(asked, target.address, names, extras), deadline, check);
+                   runnerRequestText(request, target.address, names, extras), deadline, check);
     if (!succeeded(answered))
         return errorOf(answered);
     whole_reply &whole = valueOf(answered);
--- a/src/gateway/runner_control.h
+++ b/src/gateway/runner_control.h
@@ -13,8 +13,8 @@
 /// @returns The whole reply. The verdict of an error is NotRun if no byte was sent.
 /// @attention A failed call resets its connection: bytes still queued are never sent.
 result<http_reply> askRunner(connection_pool &connections, const dialect &names,
-                             const runner &target, const http_request &asked, milliseconds time,
-                             const std::function<bool()> &check = {});
+                             const runner &target, const http_request &request,
+                             milliseconds timeout, const std::function<bool()> &check = {});
 
 struct whole_reply
 {
@@ -23,10 +23,10 @@
 };
 
 /// Sends one request on the given connection.
-/// @param who Name for errors, such as "runner i-1".
+/// @param name Name for errors, such as "runner i-1".
 /// @param check As for callRunner().
 /// @attention As for callRunner().
-result<whole_reply> callOn(descriptor connection, const std::string &who, std::string_view request,
+result<whole_reply> callOn(descriptor connection, const std::string &name, std::string_view request,
                            socket_deadline deadline, const std::function<bool()> &check);
 
 /// @returns Time for which the connection can be reused after that reply; zero or less: not at
--- a/src/gateway/runner_ledger.cpp
+++ b/src/gateway/runner_ledger.cpp
@@ -9,22 +9,22 @@
 
 namespace {
 
-/// Share of a new time in the moving mean: the last handful of requests count.
-constexpr double newestShare = 0.25;
-/// The same for the time that a request runs: answers differ by more than ten times in length.
-constexpr double newestRunShare = 0.06;
-/// Times of a runner that must have been seen before it is compared with its siblings.
-constexpr std::uint32_t leastStarts = 3;
+/// Weight of a new time in the moving mean: only the last few requests count.
+constexpr double newSampleWeight = 0.25;
+/// The same for the run time of a request: answers differ in length by a factor of more than ten.
+constexpr double newRunSampleWeight = 0.06;
+/// Number of recorded times from which a runner is compared with its siblings.
+constexpr std::uint32_t minStarts = 3;
 
-std::chrono::nanoseconds setAsideTime(std::uint32_t failuresInRow)
+std::chrono::nanoseconds ejectionTimeAfter(std::uint32_t failuresInRow)
 {
     const auto doublings = std::min(failuresInRow, 4U) - 1;
     return std::min<std::chrono::nanoseconds>(config::setAsideFirst * (1U << doublings),
                                               config::setAsideMost);
 }
 
-/// Tokens between two numbers of one sender. They wrap around; one that is far below the last is of
-/// a new life of the sender, which counts from 0.
+/// Tokens between two values of one sender's counter, which wraps around. A value far below the
+/// last one is from a new incarnation of the sender, which counts from 0.
 std::uint32_t tokensSince(std::uint32_t before, std::uint32_t now)
 {
     constexpr std::uint32_t half = 1U << 31U;
@@ -49,8 +49,8 @@
 runner_ledger::runner_ledger(clock_source clock) : clock(std::move(clock)) { }
 
 runner_ledger::open_send::open_send(runner_ledger &ledger, const runner_id &target,
-                                    double readingMs, send_class urgency)
-    : ledger(ledger), target(peer::runnerKey(target)), readingMs(readingMs), urgency(urgency),
+                                    double prefillMs, send_class urgency)
+    : ledger(ledger), target(peer::runnerKey(target)), readingMs(prefillMs), urgency(urgency),
       sentAt(ledger.clock.mono())
 {
     ledger.opened(*this);
@@ -95,18 +95,18 @@
     return urgency == send_class::Urgent ? urgent : later;
 }
 
-void runner_ledger::work_sum::add(const peer::runner_work &told)
+void runner_ledger::work_sum::add(const peer::runner_work &update)
 {
-    open += told.open;
-    urgent.add(told.waiting, told.readingMs);
-    later.add(told.waitingLater, told.laterMs);
+    open += update.open;
+    urgent.add(update.waiting, update.readingMs);
+    later.add(update.waitingLater, update.laterMs);
 }
 
-void runner_ledger::work_sum::takeOff(const peer::runner_work &told)
+void runner_ledger::work_sum::takeOff(const peer::runner_work &update)
 {
-    open -= std::min(open, told.open);
-    urgent.takeOff(told.waiting, told.readingMs);
-    later.takeOff(told.waitingLater, told.laterMs);
+    open -= std::min(open, update.open);
+    urgent.takeOff(update.waiting, update.readingMs);
+    later.takeOff(update.waitingLater, update.laterMs);
 }
 
 void runner_ledger::opened(const open_send &sent)
@@ -129,15 +129,15 @@
         engine_pace &pace = paces[sent.service][sent.stage];
         pace = learnPace(pace, sent.expectedMs, tookMs);
     }
-    // How long an engine only reads says how long its prompts were. Compared by that, engines with
-    // long prompts seemed slow and lost their shared parts to others: mean worth 0.411 in place of
-    // 0.432 over five days with trouble and three seeds.
+    // The time of a prefill alone depends on the prompt's length. When it was compared too,
+    // engines with long prompts seemed slow and lost their shared parts to others: mean worth
+    // 0.411 instead of 0.432 over five days with faults and three seeds.
     if (!sent.isRun)
         return;
     const bool isOld = now - entry.startedAt > config::slownessMemory;
     entry.meanStartMs = isOld || entry.starts == 0
             ? tookMs
-            : entry.meanStartMs + newestShare * (tookMs - entry.meanStartMs);
+            : entry.meanStartMs + newSampleWeight * (tookMs - entry.meanStartMs);
     entry.starts = isOld ? 1 : entry.starts + 1;
     entry.startedAt = now;
 }
@@ -153,60 +153,61 @@
     const mono_time now = clock.mono();
     if (sent.isRun && hasStarted && sent.end == send_end::Served) {
         const double tookMs = millisecondsOf(now - sent.startedAt);
-        entry.runMs =
-                entry.runMs == 0 ? tookMs : entry.runMs + newestRunShare * (tookMs - entry.runMs);
+        entry.runMs = entry.runMs == 0 ? tookMs
+                                       : entry.runMs + newRunSampleWeight * (tookMs - entry.runMs);
     }
     noteOutcome(entry, sent.end, now);
 }
 
-/// A runner that fails part of its requests while it calls itself healthy is seen by its outcomes
-/// only. A service's usual failures (one in seven at one of the users) must not set a runner aside,
-/// so that a share of the last sends counts, not the first failure.
-void runner_ledger::noteOutcome(record &of, send_end how, mono_time now)
+/// A runner that fails part of its requests while it reports itself healthy is detected only by
+/// the outcomes of its sends. A service's usual failures (one in seven for one of the users) must
+/// not eject a runner, so the share of failed sends counts, not the first failure.
+void runner_ledger::noteOutcome(record &entry, send_end how, mono_time now)
 {
     switch (how) {
     case send_end::Unknown:
         return;
     case send_end::Refused:
-        of.setAsideUntil = std::max(of.setAsideUntil, now + config::refusedPause);
+        entry.setAsideUntil = std::max(entry.setAsideUntil, now + config::refusedPause);
         return;
     case send_end::Misdirected:
     case send_end::Unreachable:
-        ++of.failuresInRow;
-        of.setAsideUntil = now + setAsideTime(of.failuresInRow);
+        ++entry.failuresInRow;
+        entry.setAsideUntil = now + ejectionTimeAfter(entry.failuresInRow);
         return;
     case send_end::Served:
     case send_end::Failed:
         break;
     }
     if (how == send_end::Served)
-        of.failuresInRow = 0;
-    of.outcomes.push_back(how == send_end::Failed);
-    if (of.outcomes.size() > config::judgedSends)
-        of.outcomes.pop_front();
-    const auto failures = static_cast<std::size_t>(std::ranges::count(of.outcomes, true));
-    const double share = static_cast<double>(failures) / static_cast<double>(of.outcomes.size());
+        entry.failuresInRow = 0;
+    entry.outcomes.push_back(how == send_end::Failed);
+    if (entry.outcomes.size() > config::judgedSends)
+        entry.outcomes.pop_front();
+    const auto failures = static_cast<std::size_t>(std::ranges::count(entry.outcomes, true));
+    const double share = static_cast<double>(failures) / static_cast<double>(entry.outcomes.size());
     if (how != send_end::Failed || failures < config::leastFailures || share < config::failingShare)
         return;
-    ++of.failuresInRow;
-    of.setAsideUntil = now + setAsideTime(of.failuresInRow);
-    of.outcomes.clear();
+    ++entry.failuresInRow;
+    entry.setAsideUntil = now + ejectionTimeAfter(entry.failuresInRow);
+    entry.outcomes.clear();
 }
 
-/// The least recently used parts yield: one is taken for gone once as many other tokens have come
-/// in as the cache holds beside running requests. Believed in for longer, it would be copied from a
-/// runner that has nothing, and read once more after all.
+/// Engines evict the least recently used parts: a part counts as evicted once as many other tokens
+/// were added as the cache holds in addition to running requests. If it were assumed cached for
+/// longer, it would be copied from a runner that no longer has it, and prefilled anyway.
 bool runner_ledger::record::holds(std::uint32_t chain) const
 {
     const auto found = cached.find(chain);
     return found != cached.end() && (capacity == 0 || tokensIn - found->second.usedAt <= capacity);
 }
 
-/// A runner that started again under its id has an empty cache, and its failures were those of the
-/// life before. Taken for the same, prompts went there for a cache that was gone.
-void runner_ledger::record::beginLife(std::uint64_t born)
+/// A runner that restarted under its id has an empty cache, and its failures were those of the
+/// previous incarnation. If the record were kept, prompts would be sent there for a cache that no
+/// longer exists.
+void runner_ledger::record::beginLife(std::uint64_t newStartMs)
 {
-    if (bornMs != 0 && born != bornMs) {
+    if (bornMs != 0 && newStartMs != bornMs) {
         cached.clear();
         outcomes.clear();
         failuresInRow = 0;
@@ -215,7 +216,7 @@
         meanStartMs = 0;
         runMs = 0;
     }
-    bornMs = born;
+    bornMs = newStartMs;
 }
 
 void runner_ledger::record::use(std::uint32_t chain, std::uint32_t tokens, bool isRead)
@@ -230,15 +231,15 @@
     part.isRead = part.isRead || isRead;
 }
 
-void runner_ledger::noteCachedTokens(const record &of, const std::vector<prompt_part> &prompt,
+void runner_ledger::noteCachedTokens(const record &entry, const std::vector<prompt_part> &prompt,
                                      place_candidate &into)
 {
     bool isRead = true;
     for (const prompt_part &part : prompt) {
         const auto chain = static_cast<std::uint32_t>(part.chain);
-        if (!of.holds(chain))
+        if (!entry.holds(chain))
             return;
-        isRead = isRead && of.cached.at(chain).isRead;
+        isRead = isRead && entry.cached.at(chain).isRead;
         into.cachedTokens += part.tokens;
         into.readTokens += isRead ? part.tokens : 0;
     }
@@ -258,14 +259,14 @@
     const std::lock_guard lock(guard);
     const mono_time now = clock.mono();
     dropSilentPeers(now);
-    const std::map<engine_stage, engine_pace> &learnt = paces[service];
+    const std::map<engine_stage, engine_pace> &paceByStage = paces[service];
     for (const auto &[id, target] : known.runners) {
         if (target->service != service)
             continue;
         place_candidate one;
         one.target = target;
         one.isTried = std::ranges::find(tried, id) != tried.end();
-        if (const auto pace = learnt.find(target->stage); pace != learnt.end())
+        if (const auto pace = paceByStage.find(target->stage); pace != paceByStage.end())
             one.load.pace = pace->second;
         const std::uint32_t key = peer::runnerKey(id);
         const auto found = records.find(key);
@@ -292,15 +293,15 @@
     return candidates;
 }
 
-/// Takes what an instance has told off the sums.
-void runner_ledger::takeOff(const peer_record &told)
+/// Subtracts an instance's last update from the sums.
+void runner_ledger::takeOff(const peer_record &update)
 {
-    for (const auto &[runner, work] : told.work) {
+    for (const auto &[runner, work] : update.work) {
         records[runner].elsewhere.takeOff(work);
     }
 }
 
-/// An instance that has died says nothing of its requests' end.
+/// An instance that has crashed does not announce the end of its requests.
 void runner_ledger::dropSilentPeers(mono_time now)
 {
     for (auto peer = peers.begin(); peer != peers.end();) {
@@ -318,32 +319,32 @@
 peer::load_news runner_ledger::collectNews(peer::news_audience audience)
 {
     const auto index = static_cast<std::size_t>(audience);
-    peer::load_news told;
+    peer::load_news update;
     const std::lock_guard lock(guard);
     for (auto &[key, entry] : records) {
         std::uint32_t &tellsLeft = entry.tellsLeft[index];
         const work_sum &own = entry.own;
-        if ((own.open == 0 && tellsLeft == 0) || told.work.size() >= config::maxLoadItems)
+        if ((own.open == 0 && tellsLeft == 0) || update.work.size() >= config::maxLoadItems)
             continue;
         tellsLeft -= std::min(tellsLeft, 1U);
-        told.work.push_back({key, own.open, static_cast<std::uint32_t>(own.urgent.readingMs),
-                             static_cast<std::uint32_t>(own.later.readingMs),
-                             static_cast<std::uint32_t>(entry.ownTokensIn), own.urgent.count,
-                             own.later.count});
+        update.work.push_back({key, own.open, static_cast<std::uint32_t>(own.urgent.readingMs),
+                               static_cast<std::uint32_t>(own.later.readingMs),
+                               static_cast<std::uint32_t>(entry.ownTokensIn), own.urgent.count,
+                               own.later.count});
     }
     std::deque<cached_news> &waiting = news[index];
     const std::size_t count = std::min(waiting.size(), config::maxCachedNews);
     for (std::size_t i = 0; i < count; ++i) {
         cached_news one = waiting.front();
         waiting.pop_front();
-        told.cached.push_back(one.chain);
+        update.cached.push_back(one.chain);
         if (--one.repeatsLeft > 0)
             waiting.push_back(one);
     }
-    return told;
+    return update;
 }
 
-void runner_ledger::takeNews(std::uint64_t sender, const peer::load_news &told)
+void runner_ledger::takeNews(std::uint64_t sender, const peer::load_news &update)
 {
     const std::lock_guard lock(guard);
     const mono_time now = clock.mono();
@@ -355,29 +356,29 @@
     takeOff(entry);
     for (auto &[runner, work] : entry.work)
         work = {.runner = runner, .tokensIn = work.tokensIn};
-    for (const peer::runner_work &one : told.work) {
-        record &of = records[one.runner];
-        of.elsewhere.add(one);
+    for (const peer::runner_work &one : update.work) {
+        record &runnerEntry = records[one.runner];
+        runnerEntry.elsewhere.add(one);
         peer::runner_work &known = entry.work[one.runner];
-        of.tokensIn += tokensSince(known.tokensIn, one.tokensIn);
+        runnerEntry.tokensIn += tokensSince(known.tokensIn, one.tokensIn);
         known = one;
     }
-    for (const peer::cached_chain &one : told.cached) {
-        record &of = records[one.runner];
-        const bool wasHeld = of.holds(one.chain);
-        cached_part &part = of.cached[one.chain];
-        part.usedAt = of.tokensIn;
+    for (const peer::cached_chain &one : update.cached) {
+        record &runnerEntry = records[one.runner];
+        const bool wasHeld = runnerEntry.holds(one.chain);
+        cached_part &part = runnerEntry.cached[one.chain];
+        part.usedAt = runnerEntry.tokensIn;
         part.isRead = one.isRead || (wasHeld && part.isRead);
     }
 }
 
-/// A slow runner is compared with its siblings: how long a request takes depends on the load of
-/// all.
+/// Compares slow runners with their siblings, since the duration of a request depends on the load
+/// of all.
 void runner_ledger::judgeSlowness(std::vector<place_candidate> &candidates, mono_time now)
 {
     const auto meanOf = [&](const place_candidate &one) {
         const auto found = records.find(peer::runnerKey(one.target->id));
-        const bool isKnown = found != records.end() && found->second.starts >= leastStarts
+        const bool isKnown = found != records.end() && found->second.starts >= minStarts
                 && now - found->second.startedAt <= config::slownessMemory;
         return isKnown ? found->second.meanStartMs : 0.0;
     };
@@ -397,11 +398,11 @@
     }
 }
 
-/// An engine that crashed starts again in its first stage, and its entry shows that seconds later.
-/// Meanwhile it refuses all that is sent by the old entry. Set aside like one that failed, it was
-/// tried again and again where many were: with four of eight engines restarted, 600 of 1,900 short
-/// prompts in a second spent their sends on refusals. So its entry is taken for untrue until it
-/// changes.
+/// An engine that crashed restarts in its initial stage, and its entry shows that seconds later.
+/// In the meantime it refuses all requests that are sent by the old entry. Ejection as for failed
+/// runners did not suffice if many engines had restarted: they were tried again and again, and
+/// with four of eight engines restarted, 600 of 1,900 short prompts in a second used up their
+/// sends on refusals. So the entry is ignored until it changes.
 void runner_ledger::noteMisdirected(const std::shared_ptr<const runner> &target)
 {
     const std::lock_guard lock(guard);
@@ -410,7 +411,7 @@
     entry.misdirectedUntil = clock.mono() + config::misdirectedTime;
 }
 
-/// @attention With the guard held.
+/// @attention The guard must be held.
 runner_ledger::record &runner_ledger::useParts(const runner_id &target,
                                                const std::vector<prompt_part> &prompt, bool isRead)
 {
@@ -439,17 +440,18 @@
     useParts(target, prompt, true);
 }
 
-/// @attention With the guard held.
+/// @attention The guard must be held.
 void runner_ledger::tellCached(std::uint32_t runner, const std::vector<prompt_part> &prompt,
                                bool isRead)
 {
-    // The last part is the request's own: nobody else will ask for it.
+    // The last part belongs to this request alone: no other request will need it.
     for (std::size_t i = 0; i + 1 < prompt.size(); ++i) {
         const auto chain = static_cast<std::uint32_t>(prompt[i].chain);
         for (std::deque<cached_news> &waiting : news) {
             waiting.push_back({{runner, chain, isRead}, config::newsRepeats});
-            // An audience without members takes nothing: an instance alone in its zone would
-            // gather news until its memory is full. Old news are worth least.
+            // If a zone has no other members, its queue is never drained: without a bound, an
+            // instance alone in its zone would queue updates until it runs out of memory. The
+            // oldest updates are the least useful.
             if (waiting.size() > config::maxWaitingNews)
                 waiting.pop_front();
         }
--- a/src/gateway/runner_ledger.h
+++ b/src/gateway/runner_ledger.h
@@ -34,9 +34,9 @@
     class open_send
     {
     public:
-        /// @param readingMs Prefill time that the runner needs for the prompt; 0 if it is already
+        /// @param prefillMs Prefill time that the runner needs for the prompt; 0 if it is already
         ///                  prefilled.
-        open_send(runner_ledger &ledger, const runner_id &target, double readingMs,
+        open_send(runner_ledger &ledger, const runner_id &target, double prefillMs,
                   send_class urgency);
         open_send(const open_send &) = delete;
         open_send &operator=(const open_send &) = delete;
@@ -120,8 +120,8 @@
         waiting_work later;
 
         waiting_work &of(send_class urgency);
-        void add(const peer::runner_work &told);
-        void takeOff(const peer::runner_work &told);
+        void add(const peer::runner_work &update);
+        void takeOff(const peer::runner_work &update);
     };
 
     struct record
@@ -149,7 +149,7 @@
         std::array<std::uint32_t, peer::newsAudiences> tellsLeft{};
 
         bool holds(std::uint32_t chain) const;
-        void beginLife(std::uint64_t born);
+        void beginLife(std::uint64_t newStartMs);
         void use(std::uint32_t chain, std::uint32_t tokens, bool isRead);
     };
 
@@ -169,12 +169,12 @@
     void opened(const open_send &sent);
     void started(const open_send &sent);
     void ended(const open_send &sent);
-    void noteOutcome(record &of, send_end how, mono_time now);
-    static void noteCachedTokens(const record &of, const std::vector<prompt_part> &prompt,
+    void noteOutcome(record &entry, send_end how, mono_time now);
+    static void noteCachedTokens(const record &entry, const std::vector<prompt_part> &prompt,
                                  place_candidate &into);
     record &useParts(const runner_id &target, const std::vector<prompt_part> &prompt, bool isRead);
     void tellCached(std::uint32_t runner, const std::vector<prompt_part> &prompt, bool isRead);
-    void takeOff(const peer_record &told);
+    void takeOff(const peer_record &update);
     void dropSilentPeers(mono_time now);
     void judgeSlowness(std::vector<place_candidate> &candidates, mono_time now);
 
--- a/src/gateway/runner_try.cpp
+++ b/src/gateway/runner_try.cpp
@@ -22,9 +22,9 @@
     return socket_clock::now() + std::max(time, milliseconds(1));
 }
 
-/// Within each class the operators' ranks decide, a workspace's before its route's. What can't be
-/// on time any more is read when nothing else waits: before it, each late request would make the
-/// next one late too.
+/// Within each class the operators' ranks decide; a workspace's rank takes precedence over its
+/// route's. Requests that can't be on time are prefilled when no other request waits: if they came
+/// first, each late request would make the next one late too.
 std::uint32_t request_relay::priorityOf(send_class urgency) const
 {
     const std::uint32_t given =
@@ -46,11 +46,11 @@
         runner_ledger::open_send record(parts.ledger, target.id,
                                         kvSource.empty() ? place.readingMs : 0, place.urgency);
         record.noteRuns();
-        const bool isTelling = kvSource.empty() && !place.cacheHolder && place.slotWaitMs == 0;
-        if (engine != nullptr && isTelling && !hasBegun)
+        const bool updatesPace = kvSource.empty() && !place.cacheHolder && place.slotWaitMs == 0;
+        if (engine != nullptr && updatesPace && !hasBegun)
             record.noteExpected(service, target.stage, place.aheadMs + place.readingMs);
-        sending now{place, kvSource, record, deadlineIn(timeLeft() + config::lastWordTime)};
-        end = sendTo(now);
+        sending current{place, kvSource, record, deadlineIn(timeLeft() + config::lastWordTime)};
+        end = sendTo(current);
     }
     logSend("send_end",
             {{"runner", target.id.text},
@@ -68,9 +68,9 @@
     return end;
 }
 
-/// A request that may not be repeated never goes over a kept connection: its runner may be closing
-/// it at this moment, and then nobody could say whether the request has run. A new connection costs
-/// a round trip, and a failure to connect proves that it has not.
+/// A request that may not be repeated is never sent on a reused connection: the runner may be
+/// closing it at that moment, and it would be unknown whether the request has run. A new
+/// connection costs a round trip, but a failure to connect proves that the request has not run.
 result<descriptor> request_relay::connectionTo(const endpoint &to, socket_deadline deadline) const
 {
     auto connection = chosen->repeats == repeat_rule::Idempotent
@@ -92,51 +92,51 @@
     return extras;
 }
 
-send_extras request_relay::extrasFor(const sending &now) const
+send_extras request_relay::extrasFor(const sending &current) const
 {
-    send_extras extras = extrasTo(*now.place.serving);
+    send_extras extras = extrasTo(*current.place.serving);
     if (engine != nullptr)
         extras.priority =
-                now.kvSource.empty() ? priorityOf(now.place.urgency) : config::readPriority;
+                current.kvSource.empty() ? priorityOf(current.place.urgency) : config::readPriority;
     if (lastEvent)
         extras.lastEvent = std::to_string(*lastEvent);
-    extras.kvSource = now.kvSource;
-    if (now.place.cacheHolder)
-        extras.kvFetch = textOf(now.place.cacheHolder->address);
+    extras.kvSource = current.kvSource;
+    if (current.place.cacheHolder)
+        extras.kvFetch = textOf(current.place.cacheHolder->address);
     return extras;
 }
 
-request_relay::try_end request_relay::sendTo(sending &now)
+request_relay::try_end request_relay::sendTo(sending &current)
 {
-    const runner &target = *now.place.serving;
-    auto connection = connectionTo(target.address, now.deadline);
+    const runner &target = *current.place.serving;
+    auto connection = connectionTo(target.address, current.deadline);
     if (!succeeded(connection)) {
         lastFault = "unreachable";
-        now.record.noteEnd(send_end::Unreachable);
+        current.record.noteEnd(send_end::Unreachable);
         return caller.isGone() ? try_end::CallerGone : try_end::NotRun;
     }
-    if (now.place.cacheHolder)
+    if (current.place.cacheHolder)
         parts.metrics.kvCopies.add();
     if (hasBegun)
         parts.metrics.resumes.add();
     runner_call call(std::move(valueOf(connection)), caller.descriptorNumber());
     const std::string text =
-            runnerRequestText(request, target.address, parts.names, extrasFor(now));
+            runnerRequestText(request, target.address, parts.names, extrasFor(current));
     sentAt = parts.clock.mono();
-    const call_fault fault = call.send(text, now.deadline);
+    const call_fault fault = call.send(text, current.deadline);
     if (call.mayHaveArrived())
         ++arrivals;
     if (fault != call_fault::None)
-        return endOfFault(call, fault, now);
-    const auto head = readOwnHead(call, now.deadline);
+        return endOfFault(call, fault, current);
+    const auto head = readOwnHead(call, current.deadline);
     if (const auto *failed = std::get_if<call_fault>(&head))
-        return endOfFault(call, *failed, now);
-    return takeReply(call, std::get<reply_head>(head), now);
+        return endOfFault(call, *failed, current);
+    return takeReply(call, std::get<reply_head>(head), current);
 }
 
-/// A faulty runner may send a second reply after a whole one. It then lies on the kept connection
-/// where the next request's reply is expected; handed on, a caller would get another caller's
-/// answer. Its id tells.
+/// A faulty runner may send a second reply after a complete one. It is then the first reply read
+/// on the reused connection; passed on, a caller would get another caller's answer. Such replies
+/// are recognized by their request id and skipped.
 std::variant<reply_head, call_fault> request_relay::readOwnHead(runner_call &call,
                                                                 socket_deadline deadline)
 {
@@ -158,8 +158,9 @@
     return call_fault::Malformed;
 }
 
-/// What a failed step means for the request and for the runner's record.
-request_relay::try_end request_relay::endOfFault(runner_call &call, call_fault fault, sending &now)
+/// Determines what a failed step means for the request, and records it for the runner.
+request_relay::try_end request_relay::endOfFault(runner_call &call, call_fault fault,
+                                                 sending &current)
 {
     const bool mayHaveRun = call.mayHaveArrived();
     call.abort();
@@ -168,18 +169,18 @@
         ++runs;
     if (fault == call_fault::CallerGone)
         return try_end::CallerGone;
-    // Far more often a runner's answer is lost than a runner.
+    // Lost answers are far more frequent than lost runners: the request counts as started.
     const bool isAnswerLost = fault == call_fault::Closed || fault == call_fault::Malformed;
-    if (mayHaveRun && isAnswerLost && !now.record.hasStarted())
+    if (mayHaveRun && isAnswerLost && !current.record.hasStarted())
         noteBegun();
     if (fault != call_fault::TimedOut)
-        now.record.noteEnd(mayHaveRun ? send_end::Failed : send_end::Unreachable);
+        current.record.noteEnd(mayHaveRun ? send_end::Failed : send_end::Unreachable);
     if (mayHaveRun && fault != call_fault::TimedOut)
-        noteBroken(*now.place.serving, fault);
+        noteBroken(*current.place.serving, fault);
     return mayHaveRun ? try_end::Lost : try_end::NotRun;
 }
 
-/// A runner that was on its way out ends whatever it runs.
+/// A runner that is leaving ends its running requests, so their ends are not recorded as crashes.
 void request_relay::noteBroken(const runner &target, call_fault fault)
 {
     const auto listed = parts.hub.current();
@@ -194,40 +195,40 @@
         parts.suspects.noteDoubt(digest, target);
 }
 
-request_relay::try_end request_relay::noteServed(sending &now, try_end end)
+request_relay::try_end request_relay::noteServed(sending &current, try_end end)
 {
-    now.record.noteEnd(send_end::Served);
+    current.record.noteEnd(send_end::Served);
     parts.suspects.noteServed(digest);
     return end;
 }
 
 request_relay::try_end request_relay::takeReply(runner_call &call, const reply_head &head,
-                                                sending &now)
+                                                sending &current)
 {
     const bool isRefused = !headerOf(head.headers, parts.names.notRun).empty();
     if (isRefused
         || (head.status == misdirectedStatus && headerOf(head.headers, parts.names.seal).empty()))
-        return takeRefusal(call, head, now);
-    // Without its seal a reply is not the runner's own, whatever its status says.
+        return takeRefusal(call, head, current);
+    // A reply without the seal was not generated by the runner itself, whatever its status.
     if (headerOf(head.headers, parts.names.seal).empty())
-        return endOfFault(call, call_fault::Malformed, now);
+        return endOfFault(call, call_fault::Malformed, current);
     if (chosen->isStream && isSuccess(head.status))
-        return passStream(call, head, now);
-    return passPlain(call, head, now);
+        return passStream(call, head, current);
+    return passPlain(call, head, current);
 }
 
-/// The runner has not run the request, and says so.
+/// The runner reports that it has not run the request.
 request_relay::try_end request_relay::takeRefusal(runner_call &call, const reply_head &head,
-                                                  sending &now)
+                                                  sending &current)
 {
     lastFault = "refused_" + std::to_string(head.status);
     if (head.status == misdirectedStatus)
-        parts.ledger.noteMisdirected(now.place.serving);
-    now.record.noteEnd(head.status == misdirectedStatus ? send_end::Misdirected
-                                                        : send_end::Refused);
-    const body_piece rest = call.readRest(now.deadline, config::maxHeldAnswerBytes);
+        parts.ledger.noteMisdirected(current.place.serving);
+    current.record.noteEnd(head.status == misdirectedStatus ? send_end::Misdirected
+                                                            : send_end::Refused);
+    const body_piece rest = call.readRest(current.deadline, config::maxHeldAnswerBytes);
     if (rest.isLast)
-        keepConnection(call, head, now.place.serving->address);
+        keepConnection(call, head, current.place.serving->address);
     return rest.fault == call_fault::CallerGone ? try_end::CallerGone : try_end::NotRun;
 }
 
@@ -239,12 +240,12 @@
     parts.usage->ledger.noteBegun(duties::windowAt(now, parts.usage->window), owner->id);
 }
 
-void request_relay::noteFirstByte(sending &now)
+void request_relay::noteFirstByte(sending &current)
 {
-    if (!now.record.noteStart())
+    if (!current.record.noteStart())
         return;
     noteBegun();
-    parts.ledger.noteRead(now.place.serving->id, read.prompt);
+    parts.ledger.noteRead(current.place.serving->id, read.prompt);
     if (firstByteAt != mono_time{})
         return;
     firstByteAt = parts.clock.mono();
@@ -253,16 +254,16 @@
 
 bool request_relay::beginReply(const reply_head &head)
 {
-    // A resumed stream goes on within the reply that its first runner began.
+    // A resumed stream continues within the reply that its first runner began.
     if (hasBegun)
         return true;
     hasBegun = true;
     return caller.begin(head.status, passedReplyHeaders(head.headers), {});
 }
 
-/// Hands the whole events on. Those up to the last one passed on are repeats of a runner that was
-/// resumed a little too early.
-/// @returns False where the caller is gone.
+/// Passes on the complete events. Events up to the last one passed on are skipped: a runner may
+/// resume the stream a little too early.
+/// @returns False if the caller is gone.
 bool request_relay::passEvents(event_splitter &events, const reply_head &head)
 {
     while (auto event = events.next()) {
@@ -277,70 +278,71 @@
 }
 
 request_relay::try_end request_relay::passStream(runner_call &call, const reply_head &head,
-                                                 sending &now)
+                                                 sending &current)
 {
     event_splitter events;
     while (true) {
-        const body_piece piece = call.readBody(now.deadline);
+        const body_piece piece = call.readBody(current.deadline);
         events.add(piece.bytes);
         if (!piece.bytes.empty())
-            noteFirstByte(now);
+            noteFirstByte(current);
         if (!passEvents(events, head)) {
             call.abort();
             ++runs;
             return try_end::CallerGone;
         }
         if (piece.fault != call_fault::None)
-            return endOfFault(call, piece.fault, now);
+            return endOfFault(call, piece.fault, current);
         if (piece.isLast)
             break;
     }
-    // Half an event before a proper end: the runner has lost the rest.
+    // A partial event before an orderly end: the runner has lost the rest.
     if (!events.isAtBoundary())
-        return endOfFault(call, call_fault::Malformed, now);
+        return endOfFault(call, call_fault::Malformed, current);
     ++runs;
-    keepConnection(call, head, now.place.serving->address);
+    keepConnection(call, head, current.place.serving->address);
     if (!beginReply(head))
-        return noteServed(now, try_end::CallerGone);
+        return noteServed(current, try_end::CallerGone);
     caller.end();
-    return noteServed(now, try_end::Answered);
+    return noteServed(current, try_end::Answered);
 }
 
-/// Holds the answer until it is whole, so that a runner that breaks off can be replaced.
+/// Buffers the answer until it is complete, so that the request can be retried if the runner
+/// breaks off.
 request_relay::try_end request_relay::passPlain(runner_call &call, const reply_head &head,
-                                                sending &now)
+                                                sending &current)
 {
     std::string body;
     body_piece piece;
     while (!piece.isLast) {
-        piece = call.readBody(now.deadline);
+        piece = call.readBody(current.deadline);
         if (piece.fault != call_fault::None)
-            return endOfFault(call, piece.fault, now);
+            return endOfFault(call, piece.fault, current);
         body += piece.bytes;
         if (body.size() > config::maxHeldAnswerBytes && !piece.isLast)
-            return passLarge(call, head, std::move(body), now);
+            return passLarge(call, head, std::move(body), current);
     }
     ++runs;
-    noteFirstByte(now);
-    keepConnection(call, head, now.place.serving->address);
+    noteFirstByte(current);
+    keepConnection(call, head, current.place.serving->address);
     http_reply reply;
     reply.status = head.status;
     reply.headers = passedReplyHeaders(head.headers);
     reply.body = std::move(body);
     held = std::move(reply);
     if (head.status < 500)
-        return noteServed(now, try_end::Held);
-    now.record.noteEnd(send_end::Failed);
+        return noteServed(current, try_end::Held);
+    current.record.noteEnd(send_end::Failed);
     lastFault = "runner_" + std::to_string(head.status);
     return try_end::Failed;
 }
 
 request_relay::try_end request_relay::passLarge(runner_call &call, const reply_head &head,
-                                                std::string held, sending &now)
+                                                std::string buffered, sending &current)
 {
-    noteFirstByte(now);
+    noteFirstByte(current);
     body_piece piece;
-    piece.bytes = std::move(held);
+    piece.bytes = std::move(buffered);
     while (true) {
         if (!beginReply(head) || !caller.write(piece.bytes)) {
             call.abort();
@@ -349,14 +351,14 @@
         }
         if (piece.isLast)
             break;
-        piece = call.readBody(now.deadline);
+        piece = call.readBody(current.deadline);
         if (piece.fault != call_fault::None)
-            return endOfFault(call, piece.fault, now);
+            return endOfFault(call, piece.fault, current);
     }
     ++runs;
-    keepConnection(call, head, now.place.serving->address);
+    keepConnection(call, head, current.place.serving->address);
     caller.end();
-    return noteServed(now, try_end::Answered);
+    return noteServed(current, try_end::Answered);
 }
 
 void request_relay::keepConnection(runner_call &call, const reply_head &head, const endpoint &to)
