--- a/tests/gateway/caller_key_test.cpp
+++ b/tests/gateway/caller_key_test.cpp
@@ -31,21 +31,21 @@
 class caller_key_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(caller_key_test);
-    CPPUNIT_TEST(theKeyNamesItsWorkspace);
-    CPPUNIT_TEST(whoShowsNoKnownKeyIsNobody);
-    CPPUNIT_TEST(twoKeysAreNone);
-    CPPUNIT_TEST(runnersSeeTheWorkspaceAndNeverTheKey);
-    CPPUNIT_TEST(withoutWorkspacesTheHeaderIsTheRunners);
+    CPPUNIT_TEST(keySelectsItsWorkspace);
+    CPPUNIT_TEST(unknownOrMissingKeySelectsNoWorkspace);
+    CPPUNIT_TEST(twoKeyHeadersSelectNoWorkspace);
+    CPPUNIT_TEST(workspaceIsForwardedInsteadOfKey);
+    CPPUNIT_TEST(keyHeaderIsForwardedWithoutWorkspaces);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void theKeyNamesItsWorkspace()
+    void keySelectsItsWorkspace()
     {
         const route_table table = sampleTable();
         CPPUNIT_ASSERT(ownerOf(table, {{"KEY", "Sign key-b"}}) == &table.workspaces[1]);
     }
 
-    void whoShowsNoKnownKeyIsNobody()
+    void unknownOrMissingKeySelectsNoWorkspace()
     {
         const route_table table = sampleTable();
         CPPUNIT_ASSERT(ownerOf(table, {}) == nullptr);
@@ -53,14 +53,14 @@
         CPPUNIT_ASSERT(ownerOf(table, {{"Key", "Other key-a"}}) == nullptr);
     }
 
-    /// Guards against a proxy on the way that checks the one and passes on the other.
-    void twoKeysAreNone()
+    /// Guards against a proxy that checks one of two key headers while the runner uses the other.
+    void twoKeyHeadersSelectNoWorkspace()
     {
         const route_table table = sampleTable();
         CPPUNIT_ASSERT(ownerOf(table, {{"Key", "Sign key-a"}, {"key", "Sign key-a"}}) == nullptr);
     }
 
-    void runnersSeeTheWorkspaceAndNeverTheKey()
+    void workspaceIsForwardedInsteadOfKey()
     {
         send_extras extras;
         extras.workspace = "a";
@@ -74,7 +74,7 @@
         CPPUNIT_ASSERT(text.find("Other: x") != std::string::npos);
     }
 
-    void withoutWorkspacesTheHeaderIsTheRunners()
+    void keyHeaderIsForwardedWithoutWorkspaces()
     {
         const std::string text =
                 runnerRequestText(requestOf("GET", "/", {{"Key", "Sign key-a"}, {"Space", "b"}}),
--- a/tests/gateway/envelope_test.cpp
+++ b/tests/gateway/envelope_test.cpp
@@ -13,11 +13,11 @@
 class envelope_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(envelope_test);
-    CPPUNIT_TEST(promptPartsAreKnownByAllBeforeThem);
-    CPPUNIT_TEST(whatCantBeReadCountsAsAbsent);
-    CPPUNIT_TEST(callersCantSpeakInOurName);
-    CPPUNIT_TEST(methodPathAndBodyStayAsTheyAre);
-    CPPUNIT_TEST(eventsAreHandedOnWhole);
+    CPPUNIT_TEST(promptPartChainDependsOnAllPrecedingParts);
+    CPPUNIT_TEST(unparsableValuesCountAsAbsent);
+    CPPUNIT_TEST(reservedHeadersOfCallersAreDropped);
+    CPPUNIT_TEST(methodPathAndBodyAreForwardedUnchanged);
+    CPPUNIT_TEST(onlyCompleteEventsAreReturned);
     CPPUNIT_TEST(attemptsOfOneRequestShareADigest);
     CPPUNIT_TEST_SUITE_END();
 
@@ -40,7 +40,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("00000000000000ff"), digestText(255));
     }
 
-    void promptPartsAreKnownByAllBeforeThem()
+    void promptPartChainDependsOnAllPrecedingParts()
     {
         const dialect names = testDialect();
         const auto chainsOf = [&names](const std::string &parts) {
@@ -56,7 +56,7 @@
         CPPUNIT_ASSERT(first[1].chain != other[1].chain);
     }
 
-    void whatCantBeReadCountsAsAbsent()
+    void unparsableValuesCountAsAbsent()
     {
         const auto read = readEnvelope(
                 requestOf("POST", "/",
@@ -68,9 +68,10 @@
         CPPUNIT_ASSERT(read.id.empty());
     }
 
-    /// A caller sets a header by which only the gateway orders an engine to take over another
-    /// request's memory. Passed on, the caller would get an answer made from someone else's prompt.
-    void callersCantSpeakInOurName()
+    /// Guards against callers that set a header reserved for the gateway, here the one that orders
+    /// an engine to take over another request's KV cache. Passed on, the caller would get an
+    /// answer made from another caller's prompt.
+    void reservedHeadersOfCallersAreDropped()
     {
         send_extras extras;
         extras.runner = "r-1";
@@ -89,7 +90,7 @@
                              text);
     }
 
-    void methodPathAndBodyStayAsTheyAre()
+    void methodPathAndBodyAreForwardedUnchanged()
     {
         const std::string body("a\0\r\n\r\nGET / HTTP/1.1\r\n\r\n", 23);
         send_extras extras;
@@ -107,7 +108,7 @@
         CPPUNIT_ASSERT(text.find("Fetch: 10.0.0.2:80\r\n") != std::string::npos);
     }
 
-    void eventsAreHandedOnWhole()
+    void onlyCompleteEventsAreReturned()
     {
         event_splitter events;
         events.add("id: 1\ndata: a\n");
--- a/tests/gateway/fixture.h
+++ b/tests/gateway/fixture.h
@@ -6,7 +6,7 @@
 
 namespace poplarspool::gateway::test {
 
-/// Names as short as can be, none of any platform.
+/// Short header names that no platform uses.
 inline dialect testDialect()
 {
     dialect names;
--- a/tests/gateway/placing_test.cpp
+++ b/tests/gateway/placing_test.cpp
@@ -26,72 +26,72 @@
     return one;
 }
 
-place_wish plainWish()
+place_wish serviceQuery()
 {
-    place_wish wish;
-    wish.service.text = "s";
-    wish.zone.text = "z";
-    wish.now = now;
-    return wish;
+    place_wish query;
+    query.service.text = "s";
+    query.zone.text = "z";
+    query.now = now;
+    return query;
 }
 
-/// A long prompt of which most is shared.
-place_wish engineWish()
+/// A long prompt, most of which is shared.
+place_wish engineQuery()
 {
-    place_wish wish = plainWish();
-    wish.engine = engine_traits{128, 800000, 18432, 350000};
-    wish.promptTokens = 17000;
-    wish.sharedTokens = 13300;
-    wish.affinityKey = 7;
-    wish.objectiveLeftMs = 500;
-    return wish;
+    place_wish query = serviceQuery();
+    query.engine = engine_traits{128, 800000, 18432, 350000};
+    query.promptTokens = 17000;
+    query.sharedTokens = 13300;
+    query.affinityKey = 7;
+    query.objectiveLeftMs = 500;
+    return query;
 }
 
-std::string servingOf(const place_wish &wish, const std::vector<place_candidate> &candidates)
+std::string servingOf(const place_wish &query, const std::vector<place_candidate> &candidates)
 {
-    const auto chosen = choosePlace(wish, candidates);
+    const auto chosen = choosePlace(query, candidates);
     const auto *place = std::get_if<placement>(&chosen);
     return place == nullptr ? std::string() : place->serving->id.text;
 }
 
 } // namespace
 
-class placing_test : public CppUnit::TestFixture
+class placement_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(placing_test);
-    CPPUNIT_TEST(runnersThatFailedLatelyAreLeftOut);
-    CPPUNIT_TEST(oneOfFewIsUsedThoughItFailed);
-    CPPUNIT_TEST(misdirectedRunnersGetNothing);
-    CPPUNIT_TEST(slowRunnersGetLess);
-    CPPUNIT_TEST(missingRunnersAreUsedUntilTheirTime);
-    CPPUNIT_TEST(nobodyThereIsToldFromAllTried);
-    CPPUNIT_TEST(coldPartsAreReadAtOnePlaceByAll);
-    CPPUNIT_TEST(heldPartsAreCopiedAndNotReadAgain);
-    CPPUNIT_TEST(longPromptsAreReadByPrefillEngines);
-    CPPUNIT_TEST(enginesThatRunRequestsReadNoLongPrompts);
-    CPPUNIT_TEST(readPromptsGoWhereLeastRuns);
-    CPPUNIT_TEST(readPromptsStayInTheirZone);
-    CPPUNIT_TEST(whatIsLateDoesNotHoldUpWhatIsNot);
-    CPPUNIT_TEST(largeFleetsDontAllChooseTheSameEngine);
+    CPPUNIT_TEST_SUITE(placement_test);
+    CPPUNIT_TEST(ejectedRunnersAreNotChosen);
+    CPPUNIT_TEST(ejectedRunnersAreUsedIfTooFewRemain);
+    CPPUNIT_TEST(misdirectedRunnersAreNeverChosen);
+    CPPUNIT_TEST(busyRunnerIsPreferredToSlowOne);
+    CPPUNIT_TEST(missingRunnerIsUsedUntilItsGracePeriodEnds);
+    CPPUNIT_TEST(noRunnerIsDistinguishedFromAllTried);
+    CPPUNIT_TEST(uncachedSharedPartsArePrefilledOnOneEngine);
+    CPPUNIT_TEST(cachedPartsAreCopiedInsteadOfPrefilled);
+    CPPUNIT_TEST(longPromptsArePrefilledByPrefillEngines);
+    CPPUNIT_TEST(decodeEnginesDoNotPrefillLongPrompts);
+    CPPUNIT_TEST(prefilledRequestGoesToLeastLoadedDecoder);
+    CPPUNIT_TEST(prefilledRequestStaysInItsZone);
+    CPPUNIT_TEST(lateRequestsDoNotDelayOthers);
+    CPPUNIT_TEST(instancesOfLargeFleetSpreadTheirChoices);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void runnersThatFailedLatelyAreLeftOut()
+    void ejectedRunnersAreNotChosen()
     {
         std::vector<place_candidate> all{candidateOf("a"), candidateOf("b"), candidateOf("c")};
         all[0].load.setAsideUntil = now + 1ms;
         std::set<std::string> used;
         for (std::uint64_t draw = 0; draw < 50; ++draw) {
-            place_wish wish = plainWish();
-            wish.draw = draw;
-            used.insert(servingOf(wish, all));
+            place_wish query = serviceQuery();
+            query.draw = draw;
+            used.insert(servingOf(query, all));
         }
         CPPUNIT_ASSERT(used == (std::set<std::string>{"b", "c"}));
     }
 
-    /// A link of ours loses packets, and sends to three of four runners fail. Left out, all of the
-    /// load would go to the fourth, which sheds it.
-    void oneOfFewIsUsedThoughItFailed()
+    /// This instance's link loses packets, and sends to three of four runners fail. If they were
+    /// ejected, all load would go to the fourth runner, which would refuse most of it.
+    void ejectedRunnersAreUsedIfTooFewRemain()
     {
         std::vector<place_candidate> all{candidateOf("a"), candidateOf("b"), candidateOf("c"),
                                          candidateOf("d")};
@@ -99,163 +99,165 @@
             all[i].load.setAsideUntil = now + 1s;
         std::set<std::string> used;
         for (std::uint64_t draw = 0; draw < 100; ++draw) {
-            place_wish wish = plainWish();
-            wish.draw = draw;
-            used.insert(servingOf(wish, all));
+            place_wish query = serviceQuery();
+            query.draw = draw;
+            used.insert(servingOf(query, all));
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, used.size());
     }
 
-    /// Unlike runners that failed, they are left out even where no other is there.
-    void misdirectedRunnersGetNothing()
+    /// Unlike ejected runners, they are left out even if no other runner exists.
+    void misdirectedRunnersAreNeverChosen()
     {
         std::vector<place_candidate> all{candidateOf("a"), candidateOf("b")};
         all[0].isMisdirected = true;
-        CPPUNIT_ASSERT_EQUAL(std::string("b"), servingOf(plainWish(), all));
+        CPPUNIT_ASSERT_EQUAL(std::string("b"), servingOf(serviceQuery(), all));
         all[1].isMisdirected = true;
-        CPPUNIT_ASSERT_EQUAL(std::string(), servingOf(plainWish(), all));
+        CPPUNIT_ASSERT_EQUAL(std::string(), servingOf(serviceQuery(), all));
     }
 
-    void slowRunnersGetLess()
+    void busyRunnerIsPreferredToSlowOne()
     {
         std::vector<place_candidate> all{candidateOf("slow"), candidateOf("busy")};
         all[0].load.slowness = 5;
         all[1].load.open = 6;
-        CPPUNIT_ASSERT_EQUAL(std::string("busy"), servingOf(plainWish(), all));
+        CPPUNIT_ASSERT_EQUAL(std::string("busy"), servingOf(serviceQuery(), all));
     }
 
-    void missingRunnersAreUsedUntilTheirTime()
+    void missingRunnerIsUsedUntilItsGracePeriodEnds()
     {
         place_candidate one = candidateOf("a");
         runner missing = *one.target;
         missing.keptUntil = now + 1ms;
         one.target = std::make_shared<const runner>(missing);
-        CPPUNIT_ASSERT_EQUAL(std::string("a"), servingOf(plainWish(), {one}));
-        place_wish later = plainWish();
+        CPPUNIT_ASSERT_EQUAL(std::string("a"), servingOf(serviceQuery(), {one}));
+        place_wish later = serviceQuery();
         later.now = missing.keptUntil;
         CPPUNIT_ASSERT_EQUAL(std::string(), servingOf(later, {one}));
     }
 
-    void nobodyThereIsToldFromAllTried()
+    void noRunnerIsDistinguishedFromAllTried()
     {
         std::vector<place_candidate> all{candidateOf("a")};
         all[0].isTried = true;
-        CPPUNIT_ASSERT(std::get<no_place>(choosePlace(plainWish(), all)).areAllTried);
-        CPPUNIT_ASSERT(!std::get<no_place>(choosePlace(plainWish(), {})).areAllTried);
-        CPPUNIT_ASSERT(!std::get<no_place>(choosePlace(engineWish(), {})).areAllTried);
+        CPPUNIT_ASSERT(std::get<no_place>(choosePlace(serviceQuery(), all)).areAllTried);
+        CPPUNIT_ASSERT(!std::get<no_place>(choosePlace(serviceQuery(), {})).areAllTried);
+        CPPUNIT_ASSERT(!std::get<no_place>(choosePlace(engineQuery(), {})).areAllTried);
     }
 
-    /// Six instances get requests that begin alike at the same moment, and none of them knows of
-    /// the others'. Read at six engines, the shared part costs six times the work.
-    void coldPartsAreReadAtOnePlaceByAll()
+    /// Six instances get requests with the same beginning at the same time and don't know of each
+    /// other's. Prefilled on six engines, the shared part would cost six times the work.
+    void uncachedSharedPartsArePrefilledOnOneEngine()
     {
         std::vector<place_candidate> all;
         for (const char *id : {"a", "b", "c", "d", "e", "f"})
             all.push_back(candidateOf(id, engine_stage::Decode));
         std::set<std::string> used;
         for (std::uint64_t draw = 0; draw < 20; ++draw) {
-            place_wish wish = engineWish();
-            wish.draw = draw;
-            used.insert(servingOf(wish, all));
+            place_wish query = engineQuery();
+            query.draw = draw;
+            used.insert(servingOf(query, all));
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, used.size());
     }
 
-    void heldPartsAreCopiedAndNotReadAgain()
+    void cachedPartsAreCopiedInsteadOfPrefilled()
     {
         std::vector<place_candidate> all{candidateOf("holder", engine_stage::Decode),
                                          candidateOf("free", engine_stage::Decode)};
         all[0].cachedTokens = 13300;
         all[0].load.readingMs = 400;
-        CPPUNIT_ASSERT(!std::get<placement>(choosePlace(engineWish(), all)).cacheHolder);
+        CPPUNIT_ASSERT(!std::get<placement>(choosePlace(engineQuery(), all)).cacheHolder);
         all[0].readTokens = 13300;
-        const auto place = std::get<placement>(choosePlace(engineWish(), all));
+        const auto place = std::get<placement>(choosePlace(engineQuery(), all));
         CPPUNIT_ASSERT_EQUAL(std::string("free"), place.serving->id.text);
         CPPUNIT_ASSERT_EQUAL(std::string("holder"), place.cacheHolder->id.text);
         CPPUNIT_ASSERT(place.readingMs < readingTimeMs(engine_stage::Decode, 17000, 0) / 2);
     }
 
-    void longPromptsAreReadByPrefillEngines()
+    void longPromptsArePrefilledByPrefillEngines()
     {
         const std::vector<place_candidate> all{candidateOf("d", engine_stage::Decode),
                                                candidateOf("p", engine_stage::Prefill)};
-        const auto longOne = std::get<placement>(choosePlace(engineWish(), all));
+        const auto longOne = std::get<placement>(choosePlace(engineQuery(), all));
         CPPUNIT_ASSERT_EQUAL(std::string("p"), longOne.prefill->id.text);
         CPPUNIT_ASSERT_EQUAL(std::string("d"), longOne.serving->id.text);
-        place_wish small = engineWish();
+        place_wish small = engineQuery();
         small.promptTokens = 200;
         small.sharedTokens = 0;
         CPPUNIT_ASSERT(!std::get<placement>(choosePlace(small, all)).prefill);
     }
 
-    /// Prompts wait at the engine that reads, and the one that runs requests has nothing to read.
-    /// Given a long prompt, it would start nothing else for as long as it reads, and the callers
-    /// whose prompts were read elsewhere would wait behind it.
-    void enginesThatRunRequestsReadNoLongPrompts()
+    /// Prompts wait at the prefill engine, and the decode engine has nothing to prefill. If it got
+    /// a long prompt, it would start no other request during the prefill, and requests that were
+    /// prefilled elsewhere would wait behind it.
+    void decodeEnginesDoNotPrefillLongPrompts()
     {
         std::vector<place_candidate> all{candidateOf("d", engine_stage::Decode),
                                          candidateOf("p", engine_stage::Prefill)};
         all[1].load.readingMs = 3000;
-        const auto place = std::get<placement>(choosePlace(engineWish(), all));
+        const auto place = std::get<placement>(choosePlace(engineQuery(), all));
         CPPUNIT_ASSERT(place.prefill != nullptr);
-        // Of a prompt that it has in its cache but for the end, there is little to read.
+        // If the decode engine has all but the end of the prompt in its cache, little is left to
+        // prefill.
         all[0].cachedTokens = 16800;
-        CPPUNIT_ASSERT(!std::get<placement>(choosePlace(engineWish(), all)).prefill);
+        CPPUNIT_ASSERT(!std::get<placement>(choosePlace(engineQuery(), all)).prefill);
     }
 
-    /// A prompt was read elsewhere. Its request is admitted before the prompts that wait at the
-    /// engine where it runs, so that only what runs there slows it.
-    void readPromptsGoWhereLeastRuns()
+    /// A prefilled request is admitted before the prompts that wait at its decode engine, so only
+    /// the requests that run there slow it down.
+    void prefilledRequestGoesToLeastLoadedDecoder()
     {
         std::vector<place_candidate> all{candidateOf("a", engine_stage::Decode),
                                          candidateOf("b", engine_stage::Decode)};
         all[0].load.open = 20;
         all[1].load.open = 10;
         all[1].load.readingMs = 900;
-        place_wish wish = engineWish();
-        wish.isRead = true;
-        CPPUNIT_ASSERT_EQUAL(std::string("b"), servingOf(wish, all));
+        place_wish query = engineQuery();
+        query.isRead = true;
+        CPPUNIT_ASSERT_EQUAL(std::string("b"), servingOf(query, all));
     }
 
-    /// Two engines run about as much, one of them in the zone where the prompt was read. To the
-    /// other one, its KV cache would be moved at half the pace and twice the price.
-    void readPromptsStayInTheirZone()
+    /// Two engines have about the same load, one of them in the zone of the prefill. Moving the KV
+    /// cache to the other one would be half as fast and cost twice as much.
+    void prefilledRequestStaysInItsZone()
     {
         std::vector<place_candidate> all{candidateOf("near", engine_stage::Decode),
                                          candidateOf("far", engine_stage::Decode)};
         runner far = *all[1].target;
         far.zone.text = "other";
         all[1].target = std::make_shared<const runner>(far);
-        place_wish wish = engineWish();
-        wish.isRead = true;
-        wish.readerZone.text = "z";
+        place_wish query = engineQuery();
+        query.isRead = true;
+        query.readerZone.text = "z";
         all[0].load.open = 8;
-        CPPUNIT_ASSERT_EQUAL(std::string("near"), servingOf(wish, all));
+        CPPUNIT_ASSERT_EQUAL(std::string("near"), servingOf(query, all));
         all[0].load.open = 40;
-        CPPUNIT_ASSERT_EQUAL(std::string("far"), servingOf(wish, all));
+        CPPUNIT_ASSERT_EQUAL(std::string("far"), servingOf(query, all));
     }
 
-    /// A burst fills the engines with long prompts. Served as they came, each of those that follow
-    /// would start late as well; now what can't be on time yields.
-    void whatIsLateDoesNotHoldUpWhatIsNot()
+    /// A burst fills the engines with long prompts. Served in the order of arrival, each following
+    /// request would start late as well; requests that can't be on time must be served last.
+    void lateRequestsDoNotDelayOthers()
     {
         std::vector<place_candidate> all{candidateOf("d", engine_stage::Decode)};
         all[0].load.laterMs = 5000;
-        place_wish wish = engineWish();
-        wish.promptTokens = 3000;
-        wish.sharedTokens = 0;
-        const auto inTime = std::get<placement>(choosePlace(wish, all));
+        place_wish query = engineQuery();
+        query.promptTokens = 3000;
+        query.sharedTokens = 0;
+        const auto inTime = std::get<placement>(choosePlace(query, all));
         CPPUNIT_ASSERT(inTime.urgency == send_class::Urgent);
         all[0].load.readingMs = 600;
-        const auto late = std::get<placement>(choosePlace(wish, all));
+        const auto late = std::get<placement>(choosePlace(query, all));
         CPPUNIT_ASSERT(late.urgency == send_class::Later);
         CPPUNIT_ASSERT(late.expectedStartMs > 5600);
     }
 
-    /// Sixty instances place at the same moment, and all know the same loads, half a second old.
-    /// Each choosing the least loaded engine, all chose one, and its callers waited seconds.
-    /// Before: 60 of 60 at one engine. Now: at most 12, while none gets the most loaded ones.
-    void largeFleetsDontAllChooseTheSameEngine()
+    /// Sixty instances place a request at the same time, and all know the same loads, half a
+    /// second old. If each chose the least loaded engine, 60 of 60 requests would go to the same
+    /// engine, and its callers would wait for seconds. With sampling, at most 12 go to one engine,
+    /// and none to the most loaded one.
+    void instancesOfLargeFleetSpreadTheirChoices()
     {
         std::vector<place_candidate> all;
         for (int i = 0; i < 60; ++i) {
@@ -264,12 +266,12 @@
         }
         std::map<std::string, int> counts;
         for (std::uint64_t draw = 0; draw < 60; ++draw) {
-            place_wish wish = engineWish();
-            wish.promptTokens = 1000;
-            wish.sharedTokens = 0;
-            wish.affinityKey = 0;
-            wish.draw = draw * 7919;
-            ++counts[servingOf(wish, all)];
+            place_wish query = engineQuery();
+            query.promptTokens = 1000;
+            query.sharedTokens = 0;
+            query.affinityKey = 0;
+            query.draw = draw * 7919;
+            ++counts[servingOf(query, all)];
         }
         for (const auto &[id, count] : counts)
             CPPUNIT_ASSERT_MESSAGE(id, count <= 12);
@@ -277,6 +279,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(placing_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(placement_test);
 
 } // namespace poplarspool::gateway
--- a/tests/gateway/relay_keys_test.cpp
+++ b/tests/gateway/relay_keys_test.cpp
@@ -11,24 +11,24 @@
 using namespace std::chrono_literals;
 using test::scripted_runner;
 using test::sealed;
-using world = test::relay_world;
+using fixture = test::relay_world;
 
 } // namespace
 
-class relay_keys_test : public CppUnit::TestFixture
+class proxy_keys_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(relay_keys_test);
-    CPPUNIT_TEST(runnersAreToldTheWorkspaceInPlaceOfTheKey);
-    CPPUNIT_TEST(whoShowsNoKeyIsRefusedForGood);
-    CPPUNIT_TEST(unknownKeysAreDeniedOnlyWhenKeysAreFresh);
+    CPPUNIT_TEST_SUITE(proxy_keys_test);
+    CPPUNIT_TEST(runnerGetsWorkspaceInsteadOfKey);
+    CPPUNIT_TEST(missingOrWrongKeyIsRefusedWith401);
+    CPPUNIT_TEST(unknownKeyIsDeniedOnlyIfKeysAreFresh);
     CPPUNIT_TEST(anonymousRoutesNeedNoKey);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void runnersAreToldTheWorkspaceInPlaceOfTheKey()
+    void runnerGetsWorkspaceInsteadOfKey()
     {
         scripted_runner runner({{sealed("200 OK", "body")}});
-        world test({&runner});
+        fixture test({&runner});
         test.needKeys();
         const auto reply =
                 test.ask("/again/1", "5000", {{"Key", "Sign good"}, {"Space", "another"}});
@@ -39,10 +39,10 @@
         CPPUNIT_ASSERT(seen.find("good") == std::string::npos);
     }
 
-    void whoShowsNoKeyIsRefusedForGood()
+    void missingOrWrongKeyIsRefusedWith401()
     {
         scripted_runner runner({});
-        world test({&runner});
+        fixture test({&runner});
         test.needKeys();
         for (const http_headers &shown :
              {http_headers{}, http_headers{{"Key", "Sign bad"}}, http_headers{{"Key", "good"}},
@@ -55,10 +55,10 @@
         CPPUNIT_ASSERT(runner.requests().empty());
     }
 
-    /// An instance that is cut off doesn't know of a new key: its holder must be able to come back.
-    void unknownKeysAreDeniedOnlyWhenKeysAreFresh()
+    /// A disconnected instance doesn't know a new key yet: its callers must be able to retry.
+    void unknownKeyIsDeniedOnlyIfKeysAreFresh()
     {
-        world test({});
+        fixture test({});
         test.needKeys();
         test.hub.update([&test](catalogue &next) {
             next.tableConfirmedAt = test.clock.mono() - config::routesTrustTime - 1s;
@@ -77,7 +77,7 @@
     void anonymousRoutesNeedNoKey()
     {
         scripted_runner runner({{sealed("200 OK", "body")}, {sealed("200 OK", "body")}});
-        world test({&runner});
+        fixture test({&runner});
         test.needKeys([](route_table &table) { table.routes[1].isAnonymous = true; });
         CPPUNIT_ASSERT_EQUAL(200, test.ask("/again/1")->status);
         CPPUNIT_ASSERT(runner.requests()[0].find("Space:") == std::string::npos);
@@ -86,6 +86,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(relay_keys_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(proxy_keys_test);
 
 } // namespace poplarspool::gateway
--- a/tests/gateway/relay_world.h
+++ b/tests/gateway/relay_world.h
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-/// What a caller gets; its end of the connection is one of a pair of sockets.
+/// Test double of a caller, connected by a pair of sockets.
 struct caller_end : http_sink
 {
     caller_end()
@@ -45,7 +45,7 @@
     bool isWhole = false;
 };
 
-/// What one relay works with.
+/// The state that one request_proxy needs.
 struct relay_world
 {
     dialect names = testDialect();
@@ -58,7 +58,7 @@
     connection_pool connections{4, 500ms, registry};
     relay_metrics metrics{registry};
     std::atomic<std::int64_t> leavesAt{INT64_MAX};
-    std::set<endpoint> ended; ///< Where nobody listens any more.
+    std::set<endpoint> ended; ///< Addresses at which no process listens any more.
     suspect_keeper suspects{
             {[this](const endpoint &at) { return ended.contains(at); }, {}, {}, {}, {}},
             {},
@@ -73,7 +73,7 @@
     /// Routes: /once/ may not be repeated, /again/ may, /stream/ may be resumed.
     explicit relay_world(const std::vector<const scripted_runner *> &runners)
     {
-        catalogue known;
+        catalogue initial;
         route_table table;
         table.version = 1;
         for (const char *kind : {"once", "again", "stream"}) {
@@ -90,34 +90,34 @@
             table.routes.push_back(made);
         }
         table.services = {{{"s"}, std::nullopt}};
-        known.table = std::make_shared<const route_table>(table);
-        known.index = std::make_shared<const route_index>(indexOf(table));
+        initial.table = std::make_shared<const route_table>(table);
+        initial.index = std::make_shared<const route_index>(indexOf(table));
         for (std::size_t i = 0; i < runners.size(); ++i) {
             runner made;
             made.id.text = "r" + std::to_string(i);
             made.service.text = "s";
             made.address = runners[i]->address();
-            known.runners[made.id] = std::make_shared<const runner>(made);
+            initial.runners[made.id] = std::make_shared<const runner>(made);
         }
-        known.areRunnersKnown = true;
-        known.tableConfirmedAt = clock.mono();
-        hub.update([&known](catalogue &next) {
-            next = known;
+        initial.areRunnersKnown = true;
+        initial.tableConfirmedAt = clock.mono();
+        hub.update([&initial](catalogue &next) {
+            next = initial;
             return true;
         });
     }
 
-    /// Runners have ended under attempts of the same request.
+    /// Records runners that ended under attempts of the same request.
     void noteEnds(const std::string &path, int count)
     {
         const endpoint gone{"127.0.0.1", 9};
         ended.insert(gone);
         const http_request request = requestOf("GET", path, {{"Host", "h"}});
         for (int i = 0; i < count; ++i) {
-            runner life;
-            life.id.text = "gone-" + std::to_string(i);
-            life.address = gone;
-            suspects.noteBroken(digestOf(request, parts.digestSeed), life);
+            runner endedRunner;
+            endedRunner.id.text = "gone-" + std::to_string(i);
+            endedRunner.address = gone;
+            suspects.noteBroken(digestOf(request, parts.digestSeed), endedRunner);
         }
     }
 
--- a/tests/gateway/request_relay_test.cpp
+++ b/tests/gateway/request_relay_test.cpp
@@ -19,7 +19,7 @@
 using test::script_end;
 using test::scripted_runner;
 using test::sealed;
-using world = test::relay_world;
+using fixture = test::relay_world;
 
 const std::string refusalText = "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
 const std::string streamHead =
@@ -32,35 +32,35 @@
 
 } // namespace
 
-class request_relay_test : public CppUnit::TestFixture
+class request_proxy_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(request_relay_test);
-    CPPUNIT_TEST(answersPassUnchanged);
-    CPPUNIT_TEST(whatMayHaveRunIsNotSentAgain);
-    CPPUNIT_TEST(whatTrulyHasNotRunIsSentAgain);
-    CPPUNIT_TEST(aRefusalByAllIsTrueAndSaysWhenToComeBack);
-    CPPUNIT_TEST(unreachableRunnersCostNoRetry);
-    CPPUNIT_TEST(repeatableRequestsGoOnElsewhere);
-    CPPUNIT_TEST(aCutAnswerIsNeverPassedAsWhole);
-    CPPUNIT_TEST(anUnframedAnswerIsWholeOnlyAtAnOrderlyEnd);
-    CPPUNIT_TEST(answersToOthersAreSkipped);
-    CPPUNIT_TEST(unsealedSuccessIsNoAnswer);
-    CPPUNIT_TEST(streamsResumeAfterTheLastWholeEvent);
-    CPPUNIT_TEST(aStreamThatCantGoOnNeverLooksWhole);
-    CPPUNIT_TEST(runnersAreLeftWhenTheCallerLeaves);
-    CPPUNIT_TEST(nothingIsSentForACallerThatLeft);
-    CPPUNIT_TEST(unknownRoutesAreDeniedOnlyWhenRoutesAreFresh);
-    CPPUNIT_TEST(withoutConfigurationNothingIsDenied);
-    CPPUNIT_TEST(aRequestThatEndsRunnersIsRefusedAtOnce);
-    CPPUNIT_TEST(afterTwoEndsAnAttemptGoesNowhereElse);
-    CPPUNIT_TEST(endsOfLeavingRunnersCountNothing);
+    CPPUNIT_TEST_SUITE(request_proxy_test);
+    CPPUNIT_TEST(answerIsForwardedUnchanged);
+    CPPUNIT_TEST(requestThatMayHaveRunIsNotRetried);
+    CPPUNIT_TEST(requestThatHasNotRunIsRetried);
+    CPPUNIT_TEST(refusalByAllRunnersHasRetryAfter);
+    CPPUNIT_TEST(unreachableRunnersDoNotUseRetryBudget);
+    CPPUNIT_TEST(idempotentRequestIsRetriedElsewhere);
+    CPPUNIT_TEST(truncatedAnswerIsNotForwarded);
+    CPPUNIT_TEST(answerWithoutLengthNeedsOrderlyClose);
+    CPPUNIT_TEST(answersToOtherRequestsAreSkipped);
+    CPPUNIT_TEST(answerWithoutSealIsRejected);
+    CPPUNIT_TEST(streamResumesAfterLastCompleteEvent);
+    CPPUNIT_TEST(unresumableStreamIsNotEndedNormally);
+    CPPUNIT_TEST(callerDisconnectAbortsRunnerCall);
+    CPPUNIT_TEST(requestOfDisconnectedCallerIsNotSent);
+    CPPUNIT_TEST(unknownRouteIsDeniedOnlyIfRoutesAreFresh);
+    CPPUNIT_TEST(requestsAreNotDeniedWithoutConfiguration);
+    CPPUNIT_TEST(quarantinedRequestIsRefusedAtOnce);
+    CPPUNIT_TEST(requestIsNotRetriedAfterTwoEndedRunners);
+    CPPUNIT_TEST(endsOfLeavingRunnersAreNotRecorded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void answersPassUnchanged()
+    void answerIsForwardedUnchanged()
     {
         scripted_runner runner({{sealed("404 Gone Fishing", "body")}});
-        world test({&runner});
+        fixture test({&runner});
         const auto reply = test.ask("/once/1");
         CPPUNIT_ASSERT_EQUAL(404, reply->status);
         CPPUNIT_ASSERT_EQUAL(std::string("body"), reply->body);
@@ -68,41 +68,42 @@
         CPPUNIT_ASSERT(runner.requests()[0].find("Runner: r0\r\n") != std::string::npos);
     }
 
-    /// The runner takes a request that may not be repeated and resets the connection. It may have
-    /// run, so that a second runner must not get it, and 503 would be a lie.
-    void whatMayHaveRunIsNotSentAgain()
+    /// The runner accepts a request that may not be repeated and resets the connection. The
+    /// request may have run, so it must not be sent to a second runner, and the status must not be
+    /// 503.
+    void requestThatMayHaveRunIsNotRetried()
     {
         scripted_runner first({{"", script_end::Reset}});
         scripted_runner second({{"", script_end::Reset}});
-        world test({&first, &second});
+        fixture test({&first, &second});
         CPPUNIT_ASSERT_EQUAL(502, test.ask("/once/1")->status);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, first.requests().size() + second.requests().size());
     }
 
-    void whatTrulyHasNotRunIsSentAgain()
+    void requestThatHasNotRunIsRetried()
     {
         scripted_runner first({{refusalText}, {sealed("200 OK", "a")}});
         scripted_runner second({{refusalText}, {sealed("200 OK", "a")}});
-        world test({&first, &second});
-        // Whichever is asked first refuses; the other one refuses as well, and both were tried.
+        fixture test({&first, &second});
+        // The runner that is asked first refuses, then the other one: both were tried.
         CPPUNIT_ASSERT_EQUAL(503, test.ask("/once/1")->status);
         CPPUNIT_ASSERT_EQUAL(200, test.ask("/once/1")->status);
     }
 
-    void aRefusalByAllIsTrueAndSaysWhenToComeBack()
+    void refusalByAllRunnersHasRetryAfter()
     {
         scripted_runner runner({{refusalText}});
-        world test({&runner});
+        fixture test({&runner});
         const auto reply = test.ask("/once/1");
         CPPUNIT_ASSERT_EQUAL(503, reply->status);
         CPPUNIT_ASSERT(!headerOf(reply->headers, "Retry-After").empty());
         CPPUNIT_ASSERT(reply->body.find("not_run") != std::string::npos);
     }
 
-    /// Some runners have crashed and refuse connections. A caller whose request met one of them got
-    /// 503, because going on to the next counted as a retry and the budget was used up; but nobody
-    /// had seen a byte of the request.
-    void unreachableRunnersCostNoRetry()
+    /// Some runners have crashed and refuse connections. Going on to the next runner must not
+    /// count as a retry: with the budget used up, callers would get 503 although no runner had
+    /// received a byte of the request.
+    void unreachableRunnersDoNotUseRetryBudget()
     {
         scripted_runner alive({{sealed("200 OK", "a")}});
         std::vector<std::unique_ptr<scripted_runner>> gone;
@@ -111,62 +112,64 @@
             gone.push_back(std::make_unique<scripted_runner>(std::vector<script>{}));
             all.push_back(gone.back().get());
         }
-        world test(all);
+        fixture test(all);
         gone.clear();
         while (test.retries.tryTake({"s"})) { }
         CPPUNIT_ASSERT_EQUAL(200, test.ask("/once/1")->status);
     }
 
-    void repeatableRequestsGoOnElsewhere()
+    void idempotentRequestIsRetriedElsewhere()
     {
         const std::vector<script> scripts{{"", script_end::Reset}, {sealed("200 OK", "a")}};
         scripted_runner first(scripts);
         scripted_runner second(scripts);
-        world test({&first, &second});
+        fixture test({&first, &second});
         CPPUNIT_ASSERT_EQUAL(502, test.ask("/again/1")->status); // Both have failed.
         CPPUNIT_ASSERT_EQUAL(200, test.ask("/again/1")->status);
     }
 
-    /// The runner announces ten bytes, sends four, and closes. Passed on as they came, the caller
-    /// would have to find out by itself that its answer is cut.
-    void aCutAnswerIsNeverPassedAsWhole()
+    /// The runner announces ten bytes, sends four, and closes. If they were passed on, the caller
+    /// would have to detect the truncated answer itself.
+    void truncatedAnswerIsNotForwarded()
     {
         scripted_runner runner(
                 {{"HTTP/1.1 200 OK\r\nId: q1\r\nSeal: x\r\nContent-Length: 10\r\n\r\nabcd"}});
-        world test({&runner});
+        fixture test({&runner});
         CPPUNIT_ASSERT_EQUAL(502, test.ask("/once/1")->status);
     }
 
-    void anUnframedAnswerIsWholeOnlyAtAnOrderlyEnd()
+    void answerWithoutLengthNeedsOrderlyClose()
     {
         const std::string text = "HTTP/1.1 200 OK\r\nId: q1\r\nSeal: x\r\n\r\nabcd";
         scripted_runner good({{text, script_end::Close}});
-        world test({&good});
+        fixture test({&good});
         CPPUNIT_ASSERT_EQUAL(std::string("abcd"), test.ask("/once/1")->body);
         scripted_runner bad({{text, script_end::Reset}});
-        world other({&bad});
+        fixture other({&bad});
         CPPUNIT_ASSERT_EQUAL(502, other.ask("/once/1")->status);
     }
 
-    /// A runner sends a second answer to an earlier request, and it lies where this one's answer is
-    /// expected. Its id tells; passed on, the caller would get another caller's answer.
-    void answersToOthersAreSkipped()
+    /// A runner sends a second answer to an earlier request where this request's answer is
+    /// expected. It must be recognized by its request id: passed on, the caller would get another
+    /// caller's answer.
+    void answersToOtherRequestsAreSkipped()
     {
         scripted_runner runner({{sealed("200 OK", "other", "q0") + sealed("200 OK", "mine")}});
-        world test({&runner});
+        fixture test({&runner});
         CPPUNIT_ASSERT_EQUAL(std::string("mine"), test.ask("/once/1")->body);
     }
 
-    void unsealedSuccessIsNoAnswer()
+    void answerWithoutSealIsRejected()
     {
         scripted_runner runner({{"HTTP/1.1 200 OK\r\nId: q1\r\nContent-Length: 2\r\n\r\nok"}});
-        world test({&runner});
+        fixture test({&runner});
         CPPUNIT_ASSERT_EQUAL(502, test.ask("/once/1")->status);
     }
 
-    /// A stream breaks off in the middle of its third event. It goes on at another runner after the
-    /// second one, within the same answer, without a gap, a repeat or a half event.
-    void streamsResumeAfterTheLastWholeEvent()
+    /// A stream breaks off in the middle of its third event. It must resume on another runner
+    /// after the second event, within the same answer, without a gap, a repeated or a partial
+    /// event.
+    void streamResumesAfterLastCompleteEvent()
     {
         const std::vector<script> scripts{
                 {streamHead + eventText(1) + eventText(2) + "id: 3\nda", script_end::Reset},
@@ -175,8 +178,9 @@
         scripted_runner first(scripts);
         scripted_runner second({{streamHead + eventText(2) + eventText(3) + eventText(4)},
                                 {streamHead + eventText(2) + eventText(3) + eventText(4)}});
-        world test({&first, &second});
-        // Sends go by a draw of the request's id, so that the first runner is forced here.
+        fixture test({&first, &second});
+        // Placement depends on the request's id; the load on the second runner makes it choose the
+        // first one.
         test.ledger.candidatesOf(*test.hub.current(), {"s"}, nullptr, {}, {});
         {
             runner_ledger::open_send busy(test.ledger, {"r1"}, 0, send_class::Urgent);
@@ -188,21 +192,21 @@
         CPPUNIT_ASSERT(second.requests().at(0).find("Last: 2\r\n") != std::string::npos);
     }
 
-    void aStreamThatCantGoOnNeverLooksWhole()
+    void unresumableStreamIsNotEndedNormally()
     {
         scripted_runner only({{streamHead + eventText(1), script_end::Reset}});
-        world test({&only});
+        fixture test({&only});
         CPPUNIT_ASSERT(!test.ask("/stream/1"));
         CPPUNIT_ASSERT_EQUAL(eventText(1), test.caller.body);
         CPPUNIT_ASSERT(!test.caller.isWhole);
     }
 
-    /// The caller closes while an engine still reads its prompt and sends nothing. Noticed only at
-    /// the first byte, the engine would have worked for nobody.
-    void runnersAreLeftWhenTheCallerLeaves()
+    /// The caller closes while an engine prefills its prompt and sends nothing yet. If this were
+    /// detected only at the first byte, the engine would work on an unwanted answer.
+    void callerDisconnectAbortsRunnerCall()
     {
         scripted_runner runner({{"", script_end::Stay}});
-        world test({&runner});
+        fixture test({&runner});
         std::thread leaver([&] {
             while (runner.requests().empty())
                 std::this_thread::yield();
@@ -215,20 +219,20 @@
             std::this_thread::yield();
     }
 
-    void nothingIsSentForACallerThatLeft()
+    void requestOfDisconnectedCallerIsNotSent()
     {
         scripted_runner runner({{sealed("200 OK", "a")}});
-        world test({&runner});
+        fixture test({&runner});
         test.caller.theirs.reset();
         CPPUNIT_ASSERT(!test.ask("/again/1"));
         CPPUNIT_ASSERT(runner.requests().empty());
     }
 
-    /// The store has been out of reach for a while, and operators have added a route meanwhile. A
-    /// 404 would send its callers away for good.
-    void unknownRoutesAreDeniedOnlyWhenRoutesAreFresh()
+    /// The store is unreachable, and operators have added a route in the meantime. A 404 would
+    /// turn its callers away for good.
+    void unknownRouteIsDeniedOnlyIfRoutesAreFresh()
     {
-        world test({});
+        fixture test({});
         CPPUNIT_ASSERT_EQUAL(404, test.ask("/new/1")->status);
         test.hub.update([&](catalogue &next) {
             next.tableConfirmedAt = test.clock.mono() - config::routesTrustTime - 1ms;
@@ -237,9 +241,9 @@
         CPPUNIT_ASSERT_EQUAL(503, test.ask("/new/1")->status);
     }
 
-    void withoutConfigurationNothingIsDenied()
+    void requestsAreNotDeniedWithoutConfiguration()
     {
-        world test({});
+        fixture test({});
         test.hub.update([](catalogue &next) {
             next = catalogue{};
             return true;
@@ -249,11 +253,11 @@
         CPPUNIT_ASSERT(!headerOf(reply->headers, "Retry-After").empty());
     }
 
-    /// Its caller is told at once, truly, and when to come back; others are served.
-    void aRequestThatEndsRunnersIsRefusedAtOnce()
+    /// The caller must get a refusal with a Retry-After at once; other requests are served.
+    void quarantinedRequestIsRefusedAtOnce()
     {
         scripted_runner runner({{sealed("200 OK", "a")}});
-        world test({&runner});
+        fixture test({&runner});
         test.noteEnds("/again/1", 3);
         const auto reply = test.ask("/again/1");
         CPPUNIT_ASSERT_EQUAL(503, reply->status);
@@ -263,27 +267,27 @@
         CPPUNIT_ASSERT_EQUAL(200, test.ask("/again/2")->status);
     }
 
-    /// A request went on at once from one runner that it had ended to the next.
-    void afterTwoEndsAnAttemptGoesNowhereElse()
+    /// Guards against a request that ends one runner after another because it is retried at once.
+    void requestIsNotRetriedAfterTwoEndedRunners()
     {
         const std::vector<script> resets(2, {"", script_end::Reset});
         scripted_runner first(resets);
         scripted_runner second(resets);
-        world test({&first, &second});
+        fixture test({&first, &second});
         test.ended = {first.address(), second.address()};
-        const auto reached = [&] { return first.requests().size() + second.requests().size(); };
+        const auto sendCount = [&] { return first.requests().size() + second.requests().size(); };
         CPPUNIT_ASSERT_EQUAL(502, test.ask("/again/2")->status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, reached());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sendCount());
         test.noteEnds("/again/1", 1);
         CPPUNIT_ASSERT_EQUAL(502, test.ask("/again/1")->status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, reached());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, sendCount());
     }
 
-    void endsOfLeavingRunnersCountNothing()
+    void endsOfLeavingRunnersAreNotRecorded()
     {
         std::function<void()> beginsToLeave;
         scripted_runner leaving({{"", script_end::Reset}}, [&] { beginsToLeave(); });
-        world test({&leaving});
+        fixture test({&leaving});
         test.ended = {leaving.address()};
         beginsToLeave = [&test] {
             test.hub.update([](catalogue &next) {
@@ -300,6 +304,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(request_relay_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(request_proxy_test);
 
 } // namespace poplarspool::gateway
--- a/tests/gateway/runner_call_test.cpp
+++ b/tests/gateway/runner_call_test.cpp
@@ -11,12 +11,12 @@
 
 using namespace std::chrono_literals;
 
-struct pair_of_ends
+struct socket_pair
 {
     descriptor ours;
     descriptor theirs;
 
-    pair_of_ends()
+    socket_pair()
     {
         std::array<int, 2> ends{};
         CPPUNIT_ASSERT(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends.data()) == 0);
@@ -24,7 +24,7 @@
         theirs = descriptor(ends[1]);
     }
 
-    void say(std::string_view bytes) const
+    void sendReply(std::string_view bytes) const
     {
         sendAll(theirs.get(), bytes, socket_clock::now() + 20s, -1);
     }
@@ -52,48 +52,49 @@
 class runner_call_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(runner_call_test);
-    CPPUNIT_TEST(wholeRepliesLeaveAConnectionForTheNext);
-    CPPUNIT_TEST(surplusBytesEndTheConnection);
-    CPPUNIT_TEST(chunksAreReadToTheirEnd);
-    CPPUNIT_TEST(missingLastChunkIsNoEnd);
-    CPPUNIT_TEST(earlyRepliesEndTheConnection);
-    CPPUNIT_TEST(nothingSentIsKnownAsSuch);
+    CPPUNIT_TEST(connectionIsReusableAfterCompleteReply);
+    CPPUNIT_TEST(surplusBytesPreventReuse);
+    CPPUNIT_TEST(chunkedBodyIsReadToItsEnd);
+    CPPUNIT_TEST(missingLastChunkIsAFault);
+    CPPUNIT_TEST(earlyReplyPreventsReuse);
+    CPPUNIT_TEST(failedFirstSendIsReportedAsNotArrived);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void wholeRepliesLeaveAConnectionForTheNext()
+    void connectionIsReusableAfterCompleteReply()
     {
-        pair_of_ends runner;
+        socket_pair runner;
         runner_call call(std::move(runner.ours), -1);
         CPPUNIT_ASSERT(call.send("GET / HTTP/1.1\r\n\r\n", safetyEnd()) == call_fault::None);
-        runner.say("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+        runner.sendReply(
+                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         CPPUNIT_ASSERT_EQUAL(200, std::get<reply_head>(call.readHead(safetyEnd())).status);
         call_fault fault = call_fault::None;
         CPPUNIT_ASSERT_EQUAL(std::string("ok"), bodyOf(call, fault));
         CPPUNIT_ASSERT(call.takeConnection().isOpen());
     }
 
-    /// A faulty runner sends bytes after a whole reply. On a kept connection they would be the
-    /// answer to somebody else's request.
-    void surplusBytesEndTheConnection()
+    /// A faulty runner sends bytes after a complete reply. If the connection were reused, they
+    /// would be read as the answer to another request.
+    void surplusBytesPreventReuse()
     {
-        pair_of_ends runner;
+        socket_pair runner;
         runner_call call(std::move(runner.ours), -1);
         call.send("GET / HTTP/1.1\r\n\r\n", safetyEnd());
-        runner.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
+        runner.sendReply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
         call.readHead(safetyEnd());
         call_fault fault = call_fault::None;
         CPPUNIT_ASSERT_EQUAL(std::string("ok"), bodyOf(call, fault));
         CPPUNIT_ASSERT(!call.takeConnection().isOpen());
     }
 
-    void chunksAreReadToTheirEnd()
+    void chunkedBodyIsReadToItsEnd()
     {
-        pair_of_ends runner;
+        socket_pair runner;
         runner_call call(std::move(runner.ours), -1);
         call.send("GET / HTTP/1.1\r\n\r\n", safetyEnd());
-        runner.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                   "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: 1\r\n\r\n");
+        runner.sendReply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                         "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: 1\r\n\r\n");
         call.readHead(safetyEnd());
         call_fault fault = call_fault::None;
         CPPUNIT_ASSERT_EQUAL(std::string("abcde"), bodyOf(call, fault));
@@ -101,12 +102,12 @@
         CPPUNIT_ASSERT(call.takeConnection().isOpen());
     }
 
-    void missingLastChunkIsNoEnd()
+    void missingLastChunkIsAFault()
     {
-        pair_of_ends runner;
+        socket_pair runner;
         runner_call call(std::move(runner.ours), -1);
         call.send("GET / HTTP/1.1\r\n\r\n", safetyEnd());
-        runner.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
+        runner.sendReply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
         runner.theirs.reset();
         call.readHead(safetyEnd());
         call_fault fault = call_fault::None;
@@ -114,13 +115,13 @@
         CPPUNIT_ASSERT(fault == call_fault::Closed);
     }
 
-    /// A runner answers before it has read a long body and goes on reading. Another request on that
-    /// connection would be read as the rest of the body.
-    void earlyRepliesEndTheConnection()
+    /// A runner answers before it has read a long body and goes on reading. If the connection were
+    /// reused, the next request would be read as the rest of the body.
+    void earlyReplyPreventsReuse()
     {
-        pair_of_ends runner;
+        socket_pair runner;
         runner_call call(std::move(runner.ours), -1);
-        runner.say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+        runner.sendReply("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
         const std::string longBody(64UL * 1024 * 1024, 'x');
         CPPUNIT_ASSERT(call.send(longBody, safetyEnd()) == call_fault::None);
         CPPUNIT_ASSERT_EQUAL(503, std::get<reply_head>(call.readHead(safetyEnd())).status);
@@ -128,9 +129,9 @@
         CPPUNIT_ASSERT(!call.takeConnection().isOpen());
     }
 
-    void nothingSentIsKnownAsSuch()
+    void failedFirstSendIsReportedAsNotArrived()
     {
-        pair_of_ends runner;
+        socket_pair runner;
         runner.theirs.reset();
         runner_call call(std::move(runner.ours), -1);
         CPPUNIT_ASSERT(call.send("GET / HTTP/1.1\r\n\r\n", safetyEnd()) == call_fault::Closed);
--- a/tests/gateway/scripted_runner.h
+++ b/tests/gateway/scripted_runner.h
@@ -12,9 +12,9 @@
 
 /// How a scripted connection ends after its bytes.
 enum class script_end {
-    Close, ///< In order.
+    Close, ///< In an orderly way.
     Reset,
-    Stay, ///< Stays open until the caller ends it.
+    Stay, ///< Stays open until the caller closes it.
 };
 
 struct script
@@ -23,7 +23,7 @@
     script_end end = script_end::Close;
 };
 
-/// A runner that answers its n-th connection by the n-th script, and writes down what it was asked.
+/// A runner that answers its n-th connection with the n-th script and records the requests.
 class scripted_runner
 {
 public:
@@ -40,7 +40,7 @@
         CPPUNIT_ASSERT(bind(listener.get(), raw, size) == 0);
         CPPUNIT_ASSERT(listen(listener.get(), 16) == 0);
         getsockname(listener.get(), raw, &size);
-        at = {"127.0.0.1", ntohs(address.sin_port)};
+        boundAddress = {"127.0.0.1", ntohs(address.sin_port)};
         thread = std::thread([this] { run(); });
     }
 
@@ -50,14 +50,14 @@
         thread.join();
     }
 
-    const endpoint &address() const { return at; }
+    const endpoint &address() const { return boundAddress; }
     std::vector<std::string> requests() const
     {
         const std::lock_guard lock(guard);
-        return asked;
+        return receivedRequests;
     }
-    /// @returns Whether a staying connection was ended by the other side.
-    bool wasLeft() const { return isLeft; }
+    /// @returns Whether a connection that stays open was closed by the other side.
+    bool wasLeft() const { return isDisconnected; }
 
 private:
     void run()
@@ -69,7 +69,7 @@
             std::string request = poplarspool::test::readUntil(connection.get(), "\r\n\r\n");
             {
                 const std::lock_guard lock(guard);
-                asked.push_back(std::move(request));
+                receivedRequests.push_back(std::move(request));
             }
             if (onRequest)
                 onRequest();
@@ -78,7 +78,7 @@
                 abortOnClose(connection.get());
             if (each.end == script_end::Stay) {
                 poplarspool::test::readUntil(connection.get(), {});
-                isLeft = true;
+                isDisconnected = true;
             }
         }
     }
@@ -86,10 +86,10 @@
     const std::vector<script> scripts;
     const std::function<void()> onRequest;
     descriptor listener;
-    endpoint at;
+    endpoint boundAddress;
     mutable std::mutex guard;
-    std::vector<std::string> asked;
-    std::atomic<bool> isLeft{false};
+    std::vector<std::string> receivedRequests;
+    std::atomic<bool> isDisconnected{false};
     std::thread thread;
 };
 
