--- a/include/poplarspool/gateway/catalogue.h
+++ b/include/poplarspool/gateway/catalogue.h
@@ -16,15 +16,16 @@
 #include <string_view>
 #include <vector>
 
-/// What a gateway knows of the world: routes, services and runners. All plain immutable values.
+/// The configuration and state a gateway routes by: routes, services and runners. All of these are
+/// plain immutable values.
 namespace poplarspool::gateway {
 
-using service_id = name_of<struct service_tag>; ///< Runners that are interchangeable.
+using service_id = name_of<struct service_tag>; ///< A group of interchangeable runners.
 
-/// What may be done with a request that has been sent once.
+/// Whether a request that has been sent once may be sent again.
 enum class repeat_rule {
-    Idempotent, ///< May run more than once.
-    AtMostOnce, ///< Another send only where the first truly did not run.
+    Idempotent, ///< May be executed more than once.
+    AtMostOnce, ///< Retried only if the previous try is known not to have been executed.
 };
 
 struct weighted_service
@@ -40,30 +41,31 @@
     std::string name;
     std::string host;
     std::string pathPrefix; ///< Begins and ends with a slash.
-    bool isStream = false; ///< The answer is a series of events.
-    bool isResumable = false; ///< A stream may go on elsewhere after its last event.
+    bool isStream = false; ///< The response is a stream of events.
+    bool isResumable = false; ///< A broken stream can be resumed on another runner.
     repeat_rule repeats = repeat_rule::AtMostOnce;
-    milliseconds timeLimit{0}; ///< Longest time that a caller is kept waiting.
-    milliseconds objective{
-            0}; ///< Time to the first event, or to the whole answer, that is aimed at.
-    std::uint32_t rank = 0; ///< 0 is the most urgent.
-    std::uint32_t maxRunners = 1; ///< Runners on which one request may run.
-    std::vector<weighted_service>
-            services; ///< Traffic is split over them by weight; none: refused.
-    /// Its host or prefix can't be read: any request that no other route takes may be for it.
+    milliseconds timeLimit{0}; ///< Maximum time that a caller waits for a response.
+    /// Latency objective: time to the first event of a stream, or to the complete response.
+    milliseconds objective{0};
+    std::uint32_t rank = 0; ///< Priority; 0 is the highest.
+    std::uint32_t maxRunners = 1; ///< Maximum number of runners a request may be sent to.
+    /// Traffic is split over these by weight. If empty, requests are refused.
+    std::vector<weighted_service> services;
+    /// The configured host or path prefix can't be parsed. A request that matches no other route
+    /// may belong to this one.
     bool isUnplaced = false;
-    bool isAnonymous = false; ///< Its callers need no key.
+    bool isAnonymous = false; ///< Callers need no API key.
 
     bool operator==(const route &) const = default;
 };
 
-/// Of services whose runners are model engines.
+/// Properties of a service whose runners are model engines.
 struct engine_traits
 {
-    std::uint32_t batch = 0; ///< Requests that one engine runs at once.
-    std::uint64_t kvTokens = 0; ///< Memory, in tokens.
+    std::uint32_t batch = 0; ///< Requests that one engine runs concurrently.
+    std::uint64_t kvTokens = 0; ///< Capacity of the KV cache, in tokens.
     std::uint64_t kvBytesPerToken = 0;
-    double linkMbps = 0; ///< Between engines.
+    double linkMbps = 0; ///< Bandwidth between engines, in Mbit/s.
 
     bool operator==(const engine_traits &) const = default;
 };
@@ -71,96 +73,102 @@
 struct service
 {
     service_id id;
-    std::optional<engine_traits> engine; ///< None for plain services.
-    std::optional<poplarspool::scaling::fleet_traits> scaling =
-            {}; ///< None: nobody can order runners.
+    std::optional<engine_traits> engine; ///< Empty for services that are not model engines.
+    /// Empty if the service can't be scaled.
+    std::optional<poplarspool::scaling::fleet_traits> scaling = {};
 
     bool operator==(const service &) const = default;
 };
 
-/// How much a caller may send, and how slowly.
+/// Size limits and timeouts for what callers send.
 struct caller_bounds
 {
     std::size_t headerBytes = 0;
     std::size_t bodyBytes = 0;
-    milliseconds headerTime{0};
-    milliseconds idleTime{0}; ///< Connections idle for less than this are in use.
+    milliseconds headerTime{0}; ///< Maximum time to receive the request header.
+    milliseconds idleTime{0}; ///< Connections idle for less than this are kept open.
 
     bool operator==(const caller_bounds &) const = default;
 };
 
-/// One configuration of the operators; never changed, only replaced.
+/// One version of the operators' routing configuration. Immutable; a new version replaces it.
 struct route_table
 {
     std::uint64_t version = 0;
     std::vector<route> routes;
     std::vector<service> services;
     caller_bounds bounds;
-    bool needsKeys = false; ///< Callers without a workspace's key are refused.
+    bool needsKeys = false; ///< Callers must present the API key of a workspace.
     std::vector<poplarspool::workspaces::workspace> workspaces;
-    /// A workspace, or one of its keys, can't be read: a key that isn't known may be one of these.
+    /// A workspace or one of its keys can't be parsed, so an unknown key may still be valid.
     bool hasUnreadKeys = false;
 
     bool operator==(const route_table &) const = default;
 };
 
 enum class engine_stage {
-    None, ///< A plain service.
-    Prefill, ///< Reads prompts only.
-    Decode, ///< Runs requests; reads prompts too, more slowly.
+    None, ///< Not a staged engine: a plain service, or an engine that does all work.
+    Prefill, ///< Processes prompts only.
+    Decode, ///< Generates tokens; can also process prompts, more slowly.
 };
 
 std::string_view nameOf(engine_stage stage);
 
-/// A target, as it entered itself in the platform's list.
+/// A target, as it registered itself with the platform.
 struct runner
 {
     runner_id id;
-    /// When it was started, in Unix milliseconds. A runner that starts again under its id holds and
-    /// knows nothing of its life before. 0: it doesn't say.
+    /// Start time in Unix milliseconds; identifies the incarnation. A runner that restarts under
+    /// the same id has none of the state of its previous incarnation. 0 if not reported.
     std::uint64_t bornMs = 0;
-    /// Which of the runner's writes the entry came from, counted from its start; 0: it doesn't say.
+    /// Sequence number of the write that produced this entry, counted from the runner's start. 0 if
+    /// not reported.
     std::uint64_t writes = 0;
     service_id service;
     endpoint address;
     zone_id zone;
-    std::uint32_t slots = 1; ///< Requests at once.
+    std::uint32_t slots = 1; ///< Requests that it runs concurrently.
     bool isDraining = false;
     engine_stage stage = engine_stage::None;
-    bool isSpot = false; ///< Cheaper, and may be taken away together with all of its zone.
-    /// Set where it is listed no more, but may come back: not used any more from then on.
+    /// Spot capacity: cheaper, but may be reclaimed together with the whole zone.
+    bool isSpot = false;
+    /// End of the grace period of a runner that is no longer listed but may come back. It gets no
+    /// requests from then on.
     mono_time keptUntil = mono_time::max();
 
     bool operator==(const runner &) const = default;
 };
 
-/// @returns Whether two entries of a runner differ at most in which of its writes they are.
+/// @returns Whether two entries of a runner are equal apart from the sequence number of their
+/// write.
 bool saysTheSame(const runner &one, runner other);
 
 using runner_map = std::map<runner_id, std::shared_ptr<const runner>>;
 
 struct route_index;
 
-/// Everything that a request's path reads of the world.
+/// The state that request handling reads, as one consistent snapshot.
 struct catalogue
 {
-    std::shared_ptr<const route_table> table; ///< Null: none is known yet.
-    std::shared_ptr<const route_index> index; ///< Of the table; null where that is.
+    std::shared_ptr<const route_table> table; ///< Null until the first one is received.
+    std::shared_ptr<const route_index> index; ///< Index of `table`; null if that is null.
     runner_map runners;
-    bool areRunnersKnown = false; ///< The list was read at least once.
-    mono_time tableConfirmedAt{}; ///< When the store last said that the table is the newest.
-    mono_time runnersConfirmedAt{}; ///< The same of the list of runners.
-    store_version runnersVersion; ///< Of the store, at that time.
+    bool areRunnersKnown = false; ///< The list of runners has been received at least once.
+    mono_time tableConfirmedAt{}; ///< When the store last confirmed `table` as the latest.
+    mono_time runnersConfirmedAt{}; ///< The same for `runners`.
+    store_version runnersVersion; ///< Store version as of `runnersConfirmedAt`.
 
     bool operator==(const catalogue &) const = default;
 };
 
 using catalogue_hub = published<catalogue>;
 
-/// @param draw Any number, evenly spread.
-/// @returns The service that the draw falls on by weight; invalid where all weights are 0.
+/// Picks a service of the route for a random number, in proportion to the weights.
+/// @param draw Uniformly distributed over all values.
+/// @returns An invalid id if all weights are 0.
 service_id drawService(const route &chosen, std::uint64_t draw);
 
+/// @returns Null if the table has no such service.
 const service *findService(const route_table &table, const service_id &id);
 
 } // namespace poplarspool::gateway
--- a/include/poplarspool/gateway/catalogue_keeper.h
+++ b/include/poplarspool/gateway/catalogue_keeper.h
@@ -13,92 +13,93 @@
 
 namespace poplarspool::gateway {
 
-/// What the store says of one runner.
+/// A change of one runner's entry in the store.
 struct runner_change
 {
     runner_id id;
-    std::optional<runner> entry; ///< None: it is listed no more, or its entry can't be read.
+    std::optional<runner> entry; ///< Empty if it was removed or can't be parsed.
 
     bool operator==(const runner_change &) const = default;
 };
 
-/// For other instances. Encoding fails with TooLarge where the change breaks a bound of what is
-/// told; decoding with Broken where the text is none.
+/// Wire format in which instances relay store changes to each other. Encoding fails with TooLarge
+/// if the change exceeds a limit of the format, decoding with Broken if the input is malformed.
 result<std::string> encode(const runner_change &change);
 result<runner_change> decodeRunnerChange(std::string_view text);
-/// Routes are told by what differs from the table before: whole, those of one user took 2 KB, and
-/// no datagram holds them.
+/// Encodes a route table as a delta against the previous one: the complete routes of one user took
+/// 2 KB, which does not fit into a datagram.
 result<std::string> encode(const route_table &table, const route_table &before);
-/// @returns The newer of both tables; Stale where the text follows another one than `before`.
+/// @returns The newer of both tables; Stale if the delta is based on another table than `before`.
 result<route_table> decodeRouteTable(std::string_view text, const route_table &before);
 
-/// Turns the store's news into the catalogue. Routes and runners may come from two threads; each
-/// of them in the store's order.
+/// Applies updates from the store to the catalogue. Routes and runners may be updated from two
+/// different threads; the updates of each must arrive in the store's order.
 class catalogue_keeper
 {
 public:
-    /// @param settleTime For which news may be late once the store, or the way to it, is sound
-    /// again.
-    catalogue_keeper(catalogue_hub &hub, milliseconds settleTime, clock_source clock,
+    /// @param settleTime Maximum delay of updates after the store, or the network path to it, has
+    /// recovered.
+    catalogue_keeper(catalogue_hub &publisher, milliseconds settleTime, clock_source clock,
                      journal &events);
 
-    // Of the thread that follows the routes.
+    // To be called from the thread that watches the routes.
 
-    /// Takes a newer table; an older one is dropped.
+    /// Publishes the table if it is newer than the current one; ignores it otherwise.
     void setTable(route_table table);
-    /// @returns The newest; null where there is none yet.
+    /// @returns The latest table; null if none has been received.
     std::shared_ptr<const route_table> table() const;
-    /// The store has just said that the table is the newest.
-    /// @param at When it was asked, or later.
+    /// Records that the store confirmed the current table as the latest.
+    /// @param at When the query was sent, or later.
     void confirmTable(mono_time at);
 
-    // Of the thread that follows the runners.
+    // To be called from the thread that watches the runners.
 
-    /// Takes the whole list.
+    /// Replaces the complete list of runners.
     void setRunners(const std::vector<runner> &listed);
-    /// Takes changes, oldest first, as one: requests see all of them or none. Told again together
-    /// with those that followed, they lead to the same list.
+    /// Applies changes, oldest first, atomically: requests see all of them or none. Applying them
+    /// again together with later changes gives the same list.
     void takeChanges(const std::vector<runner_change> &changes);
-    /// The store has just said what the list holds.
-    /// @param at When it was asked, or later.
-    /// @param version Of the store: all changes up to it have been taken.
+    /// Records that the store confirmed the list of runners.
+    /// @param at When the query was sent, or later.
+    /// @param version Store version up to which all changes have been applied.
     void confirmRunners(mono_time at, store_version version);
-    /// A call to the store failed.
-    /// @param askedAt When it was sent: the store may have been back from then on.
+    /// Records that a call to the store failed.
+    /// @param askedAt When the call was sent; the store may have recovered any time after that.
     void noteStoreLost(mono_time askedAt);
-    /// The store answered.
+    /// Records that the store answered a call.
     void noteStoreAnswer();
-    /// The store has come back from an older copy; the next list is of that copy.
-    /// @param lastSeenAt When it was last known not to have.
+    /// Records that the store was restored from an older snapshot. The next list of runners is
+    /// taken to be from that snapshot.
+    /// @param lastSeenAt When the store was last known not to have been rolled back.
     void noteOlderCopy(mono_time lastSeenAt);
-    /// What an instance that starts now should know of the last older copy.
-    const std::vector<entry_mark> &copyMarks() const { return copies.marks(); }
-    /// Leaves runners alone whose entries others know to be outdated, where this instance has
-    /// started too late to know it.
-    void doubt(const std::vector<entry_mark> &told);
-    /// Drops the runners whose time to come back is over, and takes entries of an older copy that
-    /// still stand. To be called after each answer.
+    /// @returns Markers of the last store rollback, for instances that start now.
+    const std::vector<entry_mark> &copyMarks() const { return rollbackFilter.marks(); }
+    /// Stops using runners whose entries other instances have marked as outdated. Has no effect if
+    /// this instance has observed a store rollback itself.
+    void doubt(const std::vector<entry_mark> &received);
+    /// Removes runners whose grace period is over, and accepts entries of an older snapshot that
+    /// are still listed after a timeout. To be called after each answer of the store.
     void settle();
 
 private:
-    bool isForgiving() const;
-    void forgiveFrom(mono_time lastTroubleAt);
-    void put(catalogue &next, const runner &entry);
-    void takeAway(catalogue &next, const runner_id &id);
-    void drop(catalogue &next, const runner_id &id);
+    bool isInGracePeriod() const;
+    void startGracePeriod(mono_time outageSeenAt);
+    void putRunner(catalogue &next, const runner &entry);
+    void handleRemoval(catalogue &next, const runner_id &id);
+    void removeRunner(catalogue &next, const runner_id &id);
 
-    catalogue_hub &hub;
+    catalogue_hub &publisher;
     const milliseconds settleTime;
     const clock_source clock;
     journal &events;
-    mono_time lostAt{}; ///< First failure since the last answer; 0: none.
-    mono_time failedAt{}; ///< When the last call that failed was sent.
-    mono_time backAt{}; ///< When the store came back last.
-    mono_time forgivenUntil{}; ///< Until when what was missing then is kept.
-    std::set<runner_id> missing; ///< Kept although listed no more.
-    copied_entries copies;
-    bool isCopyNext = false; ///< The next list is of an older copy.
-    bool hasSeenCopy = false; ///< What was lost is known here.
+    mono_time failingSince{}; ///< First failure since the last answer; 0 if none.
+    mono_time lastFailureSentAt{}; ///< When the last failed call was sent.
+    mono_time recoveredAt{}; ///< When the store last recovered.
+    mono_time graceEndsAt{}; ///< End of the grace period that began at `recoveredAt`.
+    std::set<runner_id> missing; ///< No longer listed, but in their grace period.
+    copied_entries rollbackFilter;
+    bool isSnapshotNext = false; ///< The next list is from an older snapshot.
+    bool hasSeenRollback = false; ///< This instance has observed a rollback itself.
 };
 
 } // namespace poplarspool::gateway
--- a/include/poplarspool/gateway/copied_entries.h
+++ b/include/poplarspool/gateway/copied_entries.h
@@ -8,7 +8,7 @@
 
 namespace poplarspool::gateway {
 
-/// Names an entry of a runner that is outdated, and all that the runner wrote before it.
+/// Marks an entry of a runner, and all earlier entries of that runner, as outdated.
 struct entry_mark
 {
     runner_id id;
@@ -18,60 +18,63 @@
     bool operator==(const entry_mark &) const = default;
 };
 
-/// Tells which entries of runners come from an older copy of the store and are outdated.
+/// Detects entries of runners that are outdated because the store was rolled back.
 ///
-/// A store that comes back from an older copy shows runners in service that have said since that
-/// they leave, and whose word was lost. Believed, they would get requests until they end, and
-/// callers would be cut off. They say it again, but later; until then, what was known before
-/// counts. A runner that lives writes its entry anew, and is believed from then on; so is an entry
-/// that still stands when those of runners that have ended have long lapsed.
+/// A store that is restored from an older snapshot lists runners as in service although they have
+/// announced since that they are draining; that write was lost. If the entries were accepted, the
+/// runners would get requests until they exit, and callers would be cut off. The runners announce
+/// it again, but only later; until then the state known before the rollback is used. An entry is
+/// accepted once the runner has written it again, or if it is still listed after the entries of
+/// runners that have exited must have expired.
 class copied_entries
 {
 public:
-    /// A runner is listed no more.
+    /// Records that a runner was removed from the list.
     void noteGone(const runner &entry, mono_time now);
-    /// The store has come back; all entries of its copy.
-    void setCopy(const runner_map &known, const std::vector<runner> &copy, mono_time now);
-    /// Takes the word of an instance that has known more than the copy shows; each mark counts
-    /// once.
-    void doubt(const std::vector<entry_mark> &told, mono_time now);
-    /// @returns What an instance that starts should know of the copy that was set last; nothing
-    ///          once all doubt is over.
-    const std::vector<entry_mark> &marks() const { return marksOfCopy; }
-    /// @returns Whether less was known when the entry was written than is known by now.
+    /// Compares all entries of the restored snapshot with the runners known before the rollback.
+    void setCopy(const runner_map &known, const std::vector<runner> &snapshot, mono_time now);
+    /// Adds markers received from an instance that knows more than the snapshot contains. Each
+    /// marker is applied only once.
+    void doubt(const std::vector<entry_mark> &received, mono_time now);
+    /// @returns Markers of the last snapshot, for instances that start now; empty after a
+    ///          timeout.
+    const std::vector<entry_mark> &marks() const { return ownMarkers; }
+    /// @returns Whether the entry is older than what is known of the runner. Forgets the outdated
+    /// entry if a newer one is passed.
     bool isOutdated(const runner &entry);
-    /// @returns Outdated entries that still stand, and have to be believed by now.
+    /// Removes the outdated entries whose timeout has passed.
+    /// @returns Those that are still listed; they have to be accepted.
     std::vector<runner> takeOverdue(mono_time now);
-    /// The store has removed the entry.
+    /// To be called when the store has removed the entry.
     void forget(const runner_id &id) { outdated.erase(id); }
 
     std::size_t countOutdated() const { return outdated.size(); }
 
 private:
-    struct gone_runner
+    struct removed_runner
     {
         std::uint64_t bornMs = 0;
         mono_time at{};
     };
 
-    /// An entry as it stands in the copy.
-    struct doubted_entry
+    /// An outdated entry, as listed in the snapshot.
+    struct outdated_entry
     {
         std::uint64_t bornMs = 0;
         std::uint64_t writes = 0;
         mono_time since{};
-        std::optional<runner> listed; ///< None: only its mark is known yet.
+        std::optional<runner> listed; ///< Empty while only its marker is known.
     };
 
-    void forgetOld(mono_time now);
-    bool isLessThanKnown(const runner_map &known, const runner &entry) const;
-    void mark(const runner &entry);
+    void forgetExpired(mono_time now);
+    bool isOlderThanKnown(const runner_map &known, const runner &entry) const;
+    void addOwnMarker(const runner &entry);
 
-    std::map<runner_id, gone_runner> gone;
-    std::map<runner_id, doubted_entry> outdated;
-    std::vector<entry_mark> marksOfCopy;
-    mono_time copiedAt{};
-    std::map<runner_id, entry_mark> toldMarks; ///< Have counted.
+    std::map<runner_id, removed_runner> removed;
+    std::map<runner_id, outdated_entry> outdated;
+    std::vector<entry_mark> ownMarkers;
+    mono_time rolledBackAt{};
+    std::map<runner_id, entry_mark> appliedMarkers; ///< Markers that have been applied.
 };
 
 } // namespace poplarspool::gateway
--- a/include/poplarspool/gateway/fleet_sink.h
+++ b/include/poplarspool/gateway/fleet_sink.h
@@ -8,11 +8,12 @@
 
 namespace poplarspool::gateway {
 
-/// The platform, as far as orders of runners need it.
+/// Interface to the platform for ordering runners.
 struct fleet_sink
 {
-    /// Gives one order in the holder's name. Nothing leaves once the term is over.
-    /// @returns Conflict where none of that kind are to be had there for now.
+    /// Places one order on behalf of the lease holder. Nothing is sent after the lease term has
+    /// ended.
+    /// @returns Conflict if the zone currently has no capacity of the requested kind.
     std::function<result<unit>(const scaling::given_order &order, const duties::lease_term &term)>
             give;
 };
--- a/include/poplarspool/gateway/route_index.h
+++ b/include/poplarspool/gateway/route_index.h
@@ -12,7 +12,7 @@
 
 namespace poplarspool::gateway {
 
-/// Hosts are the same whatever the case of their letters.
+/// Host names are compared case-insensitively.
 struct host_hash
 {
     using is_transparent = void;
@@ -25,16 +25,16 @@
     bool operator()(std::string_view left, std::string_view right) const;
 };
 
-/// From one slash of a path to the next.
+/// An edge of the prefix tree: one path segment below a node.
 struct path_step
 {
-    std::uint32_t from = 0; ///< Number of the node that the step leaves.
-    std::string word; ///< Between the two slashes.
+    std::uint32_t from = 0; ///< Number of the parent node.
+    std::string word; ///< The segment, without slashes.
 
     bool operator==(const path_step &) const = default;
 };
 
-/// A step of a request's path, that is only looked up.
+/// Non-owning variant of path_segment, used for lookups.
 struct path_step_view
 {
     std::uint32_t from = 0;
@@ -56,42 +56,45 @@
     bool operator()(const path_step &left, const path_step_view &right) const;
 };
 
-/// Where a prefix ends, or a longer one goes on.
+/// A node of the prefix tree.
 struct path_node
 {
     std::uint32_t number = 0;
-    std::optional<std::uint32_t> route; ///< Place in the table of the first with this prefix.
+    std::optional<std::uint32_t> route; ///< Index in the table of the first route with this prefix.
 
     bool operator==(const path_node &) const = default;
 };
 
 struct host_routes
 {
-    path_node root; ///< The first slash.
-    /// Places of routes whose prefix doesn't begin and end with a slash. Each lookup passes all.
+    path_node root; ///< The path `/`.
+    /// Indexes of routes whose prefix doesn't begin and end with a slash. Each lookup scans them
+    /// all.
     std::vector<std::uint32_t> odd;
 
     bool operator==(const host_routes &) const = default;
 };
 
-/// Finds the route of a request without a walk over all; made once of a table, never changed.
+/// Index of a route table, so that a lookup doesn't scan all routes. Immutable.
 struct route_index
 {
     std::unordered_map<std::string, host_routes, host_hash, host_equal> hosts;
     std::unordered_map<path_step, path_node, path_step_hash, path_step_equal> steps;
-    std::optional<std::uint32_t> unplaced; ///< Place of the first route that has none.
-    workspaces::key_index keys; ///< Place of the workspace that holds each.
+    /// Index of the first route with an invalid host or prefix.
+    std::optional<std::uint32_t> unplaced;
+    workspaces::key_index keys; ///< Maps each key to the index of its workspace.
 
     bool operator==(const route_index &) const = default;
 };
 
 route_index indexOf(const route_table &table);
 
-/// @param index Of the table.
+/// @param index Index of `table`.
 /// @param host With or without a port.
 /// @param path With or without a query.
-/// @returns The host's route with the longest prefix that begins the path, of several the first;
-/// where there is none, one that can't be placed; null where there is none either.
+/// @returns The host's route with the longest matching prefix, the first one if several have the
+/// same prefix. If none matches, the first route whose host or prefix is invalid; null if there is
+/// none.
 const route *findRoute(const route_table &table, const route_index &index, std::string_view host,
                        std::string_view path);
 
--- a/include/poplarspool/gateway/stage_plan.h
+++ b/include/poplarspool/gateway/stage_plan.h
@@ -5,17 +5,18 @@
 #include <span>
 #include <vector>
 
-/// Which engines read prompts and which run requests. Pure functions over plain values.
+/// Splits the engines of a service into the prefill and the decode stage. Pure functions over plain
+/// values.
 namespace poplarspool::gateway {
 
-/// One engine, as its planner sees it.
+/// An engine, as input to the planner.
 struct stage_engine
 {
     runner_id id;
     zone_id zone;
-    engine_stage stage = engine_stage::None; ///< Where an order is under way: the one it wants.
-    std::uint32_t open = 0; ///< Requests sent to it and not ended, of all instances.
-    bool isChanging = false; ///< An order is under way: it serves nobody, and gets no other one.
+    engine_stage stage = engine_stage::None; ///< While an order is pending: the ordered stage.
+    std::uint32_t open = 0; ///< Requests in flight, from all instances.
+    bool isChanging = false; ///< An order is pending: it takes no requests and no other order.
 
     bool operator==(const stage_engine &) const = default;
 };
@@ -28,30 +29,32 @@
     bool operator==(const stage_change &) const = default;
 };
 
-/// What a planner remembers of one service from look to look.
+/// State that the planner keeps for a service between iterations.
 struct stage_memory
 {
-    double meanRunning = 0; ///< Moving mean of the requests open at all engines that run them.
-    mono_time lookedAt{}; ///< 0: never.
-    mono_time unevenSince{}; ///< Since when another split has been wanted; 0: it isn't.
+    double meanRunning = 0; ///< Moving average of the requests in flight on all decode engines.
+    mono_time lookedAt{}; ///< 0 if never updated.
+    /// Since when the plan differs from the current split; 0 if it doesn't.
+    mono_time unevenSince{};
 
     bool operator==(const stage_memory &) const = default;
 };
 
-/// @returns The memory after one more look.
+/// @returns The state after one more iteration at `now`.
 stage_memory noteRunning(const stage_memory &memory, std::span<const stage_engine> engines,
                          mono_time now);
 
-/// @returns Engines that should run requests; the others read prompts.
+/// @returns The number of engines wanted in the decode stage; the others do prefill.
 std::uint32_t wantedDecoders(std::size_t engines, std::uint32_t decodersNow,
                              const engine_traits &traits, double meanRunning);
 
-/// @returns Changes that lead to the wanted split; none where it is good enough.
+/// @returns Changes that lead to the wanted split; empty if the current split is acceptable.
 std::vector<stage_change> planStages(std::span<const stage_engine> engines,
                                      const engine_traits &traits, const stage_memory &memory);
 
-/// @returns Those that are to be ordered now: planned ones that have been wanted for long enough.
-/// @param memory Takes note of since when.
+/// @returns The planned changes that are to be ordered now, because the plan has differed from the
+/// current split for long enough.
+/// @param memory Is updated with the time since when the plan differs.
 std::vector<stage_change> dueChanges(std::span<const stage_engine> engines,
                                      const engine_traits &traits, stage_memory &memory);
 
--- a/include/poplarspool/gateway/suspects.h
+++ b/include/poplarspool/gateway/suspects.h
@@ -9,52 +9,54 @@
 #include <functional>
 #include <vector>
 
-/// Requests under which runners end. One that ends each runner that begins it would, tried again
-/// and again by its caller, take a whole service away from all others.
+/// Records of requests during which runners crashed. A request that crashes each runner that
+/// executes it could, if its caller keeps retrying, bring down a whole service for all callers.
 namespace poplarspool::gateway {
 
-/// One life of a runner that has ended.
+/// An incarnation of a runner that has ended.
 struct ended_life
 {
-    std::uint64_t life = 0; ///< lifeKeyOf() the runner.
-    std::int64_t endedMs = 0; ///< Unix time, by the clock of who saw it.
+    std::uint64_t life = 0; ///< incarnationKeyOf() the runner.
+    std::int64_t endedMs = 0; ///< Unix time in ms, by the clock of the observing instance.
 
     bool operator==(const ended_life &) const = default;
 };
 
-/// @returns The number that stands for one life of a runner, the same at all instances.
+/// @returns A key of one incarnation of a runner; the same on all instances.
 std::uint64_t lifeKeyOf(const runner &target);
 
-/// What is known against a request: the lives of runners that ended while they ran it. A set: told
-/// twice, or seen by two instances, an end counts once.
+/// The incarnations of runners that ended while they executed a request. A set: an end that is
+/// received twice, or observed by two instances, counts once.
 struct suspect
 {
-    std::uint64_t digest = 0; ///< Of the request.
-    std::vector<ended_life> lives; ///< By key, each once; at most config::maxSuspectLives.
-    std::int64_t servedMs = 0; ///< When it was last served whole: ends up to then don't count.
+    std::uint64_t digest = 0; ///< Digest of the request.
+    /// Sorted by key, without duplicates; at most config::maxSuspectLives.
+    std::vector<ended_life> lives;
+    /// When the request last completed, in Unix ms; ends up to then don't count.
+    std::int64_t servedMs = 0;
 
     bool operator==(const suspect &) const = default;
 };
 
-/// @returns The join of both: commutative and idempotent.
-/// @attention Only for one digest.
+/// @returns The union of both records; commutative and idempotent.
+/// @attention Both must have the same digest.
 suspect joined(const suspect &a, const suspect &b);
 
-/// What the store keeps, so that it outlasts all instances.
+/// The records as persisted in the store, so that they survive a restart of all instances.
 struct suspect_list
 {
     std::vector<suspect> suspects;
-    store_version version; ///< Of the object in the store; revision 0: there is none yet.
+    store_version version; ///< Version of the stored object; revision 0 if it doesn't exist yet.
 
     bool operator==(const suspect_list &) const = default;
 };
 
-/// The store, as far as suspects need it.
+/// Access to the crash records in the store.
 struct suspect_store
 {
     std::function<result<suspect_list>()> read;
-    /// Replaces the list of that very revision, or creates it where the revision is 0.
-    /// @returns Conflict where another one stands there.
+    /// Replaces the list if the store has version `next.version`; creates it if that revision is 0.
+    /// @returns Conflict if the store has another version.
     std::function<result<unit>(const suspect_list &next)> write;
 };
 
--- a/src/gateway/catalogue.cpp
+++ b/src/gateway/catalogue.cpp
@@ -31,11 +31,11 @@
             [](std::uint64_t sum, const weighted_service &one) { return sum + one.weight; });
     if (total == 0)
         return {};
-    std::uint64_t left = draw % total;
+    std::uint64_t remaining = draw % total;
     for (const weighted_service &one : chosen.services) {
-        if (left < one.weight)
+        if (remaining < one.weight)
             return one.service;
-        left -= one.weight;
+        remaining -= one.weight;
     }
     return {};
 }
--- a/src/gateway/catalogue_keeper.cpp
+++ b/src/gateway/catalogue_keeper.cpp
@@ -8,12 +8,12 @@
 
 namespace poplarspool::gateway {
 
-catalogue_keeper::catalogue_keeper(catalogue_hub &hub, milliseconds settleTime, clock_source clock,
-                                   journal &events)
-    : hub(hub), settleTime(settleTime), clock(std::move(clock)), events(events)
+catalogue_keeper::catalogue_keeper(catalogue_hub &publisher, milliseconds settleTime,
+                                   clock_source clock, journal &events)
+    : publisher(publisher), settleTime(settleTime), clock(std::move(clock)), events(events)
 { }
 
-/// Versions only rise: a late answer must not bring back routes that were replaced since.
+/// Versions only increase: a delayed answer must not restore routes that have been replaced since.
 void catalogue_keeper::setTable(route_table table)
 {
     const std::uint64_t version = table.version;
@@ -21,12 +21,12 @@
     const auto isNewer = [version](const catalogue &known) {
         return !known.table || known.table->version < version;
     };
-    if (!isNewer(*hub.current()))
+    if (!isNewer(*publisher.current()))
         return;
     bool isTaken = false;
     const auto shared = std::make_shared<const route_table>(std::move(table));
     const auto index = std::make_shared<const route_index>(indexOf(*shared));
-    hub.update([&](catalogue &next) {
+    publisher.update([&](catalogue &next) {
         if (!isNewer(next))
             return false;
         next.table = shared;
@@ -41,12 +41,12 @@
 
 std::shared_ptr<const route_table> catalogue_keeper::table() const
 {
-    return hub.current()->table;
+    return publisher.current()->table;
 }
 
 void catalogue_keeper::confirmTable(mono_time at)
 {
-    hub.update([at](catalogue &next) {
+    publisher.update([at](catalogue &next) {
         next.tableConfirmedAt = at;
         return true;
     });
@@ -54,81 +54,86 @@
 
 void catalogue_keeper::confirmRunners(mono_time at, store_version version)
 {
-    hub.update([at, version](catalogue &next) {
+    publisher.update([at, version](catalogue &next) {
         next.runnersConfirmedAt = at;
         next.runnersVersion = version;
         return true;
     });
 }
 
-/// While the store is away, runners can't renew their entries, and the store drops them although
-/// they live. An instance that believed this at once would have nobody left to send to, just when
-/// the store is back. They renew within about two seconds of its return. Only what is missing at
-/// the return is forgiven: a runner that is taken away later is on its way out, and the bound for
-/// leaving it alone runs.
-bool catalogue_keeper::isForgiving() const
+/// While the store is unavailable, runners can't renew their entries, and the store expires them
+/// although the runners are alive. An instance that removed them at once would have no runners left
+/// just when the store has recovered. Runners renew their entries within about two seconds of the
+/// recovery. The grace period applies only to entries that are missing right after the recovery: a
+/// runner that is removed later is shutting down, and must get no requests after the time allowed
+/// for updates to arrive.
+bool catalogue_keeper::isInGracePeriod() const
 {
     const mono_time now = clock.mono();
-    return backAt != mono_time{} && now - backAt < config::entryLapseTime && now < forgivenUntil;
+    return recoveredAt != mono_time{} && now - recoveredAt < config::entryLapseTime
+            && now < graceEndsAt;
 }
 
 void catalogue_keeper::noteStoreLost(mono_time askedAt)
 {
-    if (lostAt == mono_time{})
-        lostAt = clock.mono();
-    failedAt = std::max(failedAt, askedAt);
+    if (failingSince == mono_time{})
+        failingSince = clock.mono();
+    lastFailureSentAt = std::max(lastFailureSentAt, askedAt);
 }
 
-/// An instance that was itself cut off can't tell that from an outage, and runners that left
-/// meanwhile are really gone. It notices late that the cut is over: counted from then alone, it
-/// sent to them for longer than news may be late. The end lies after the last call that failed was
-/// sent, so that a time counted from there is short enough in either case.
+/// An instance that was itself partitioned can't distinguish this from an outage of the store, and
+/// runners that left meanwhile are really gone. It also notices late that the partition has ended:
+/// a grace period counted from that moment let it send to them for longer than updates may be
+/// delayed. Partitions and outages end after the last failed call was sent, so the time is counted
+/// from there.
 void catalogue_keeper::noteStoreAnswer()
 {
-    if (lostAt == mono_time{})
+    if (failingSince == mono_time{})
         return;
     const mono_time now = clock.mono();
-    if (now - lostAt >= config::storeOutageTime)
-        forgiveFrom(failedAt);
-    lostAt = {};
+    if (now - failingSince >= config::storeOutageTime)
+        startGracePeriod(lastFailureSentAt);
+    failingSince = {};
 }
 
-void catalogue_keeper::forgiveFrom(mono_time lastTroubleAt)
+void catalogue_keeper::startGracePeriod(mono_time outageSeenAt)
 {
-    backAt = clock.mono();
-    forgivenUntil = std::min(backAt + config::entryReturnTime,
-                             lastTroubleAt + settleTime - config::forgivenMargin);
+    recoveredAt = clock.mono();
+    graceEndsAt = std::min(recoveredAt + config::entryReturnTime,
+                           outageSeenAt + settleTime - config::forgivenMargin);
     events.emit("lapses_forgiven",
-                {{"lost_ms", lostAt == mono_time{} ? "" : millisecondsText(backAt - lostAt)},
-                 {"failed_ms_ago", millisecondsText(backAt - lastTroubleAt)},
-                 {"for_ms", millisecondsText(forgivenUntil - backAt)}});
+                {{"lost_ms",
+                  failingSince == mono_time{} ? "" : millisecondsText(recoveredAt - failingSince)},
+                 {"failed_ms_ago", millisecondsText(recoveredAt - outageSeenAt)},
+                 {"for_ms", millisecondsText(graceEndsAt - recoveredAt)}});
 }
 
-/// Runners that entered themselves since the copy was made are missing in it, and live: they write
-/// again, like those whose entries lapsed.
+/// Runners that registered after the snapshot was made are missing in it although they are alive.
+/// They write their entries again, like those whose entries have expired.
 void catalogue_keeper::noteOlderCopy(mono_time lastSeenAt)
 {
-    forgiveFrom(std::max(failedAt, lastSeenAt));
-    lostAt = {};
-    isCopyNext = true;
-    hasSeenCopy = true;
+    startGracePeriod(std::max(lastFailureSentAt, lastSeenAt));
+    failingSince = {};
+    isSnapshotNext = true;
+    hasSeenRollback = true;
 }
 
-/// The marks may be here before the list that they are about. Whoever has seen the store go back
-/// judges by itself: what it has come to believe since must not be doubted anew.
-void catalogue_keeper::doubt(const std::vector<entry_mark> &told)
+/// The markers may arrive before the list that they refer to. An instance that has observed the
+/// store rollback itself ignores them: entries that it has accepted since must not be rejected
+/// again.
+void catalogue_keeper::doubt(const std::vector<entry_mark> &received)
 {
-    if (hasSeenCopy || told.empty())
+    if (hasSeenRollback || received.empty())
         return;
-    copies.doubt(told, clock.mono());
-    hub.update([&](catalogue &next) {
+    rollbackFilter.doubt(received, clock.mono());
+    publisher.update([&](catalogue &next) {
         bool isChanged = false;
-        for (const entry_mark &mark : told) {
-            const auto found = next.runners.find(mark.id);
-            if (found == next.runners.end() || !copies.isOutdated(*found->second))
+        for (const entry_mark &marker : received) {
+            const auto found = next.runners.find(marker.id);
+            if (found == next.runners.end() || !rollbackFilter.isOutdated(*found->second))
                 continue;
             events.emit("runner_doubted",
-                        {{"runner", mark.id.text}, {"writes", std::to_string(mark.writes)}});
+                        {{"runner", marker.id.text}, {"writes", std::to_string(marker.writes)}});
             next.runners.erase(found);
             isChanged = true;
         }
@@ -136,42 +141,42 @@
     });
 }
 
-void catalogue_keeper::takeAway(catalogue &next, const runner_id &id)
+void catalogue_keeper::handleRemoval(catalogue &next, const runner_id &id)
 {
     const auto found = next.runners.find(id);
-    copies.forget(id);
+    rollbackFilter.forget(id);
     if (found == next.runners.end() || missing.contains(id))
         return;
-    // One that was leaving anyway has no reason to come back.
-    if (!isForgiving() || found->second->isDraining)
-        return drop(next, id);
+    // A draining runner was leaving anyway and has no reason to come back.
+    if (!isInGracePeriod() || found->second->isDraining)
+        return removeRunner(next, id);
     runner kept = *found->second;
-    kept.keptUntil = forgivenUntil;
+    kept.keptUntil = graceEndsAt;
     found->second = std::make_shared<const runner>(std::move(kept));
     missing.insert(id);
     events.emit("runner_missing",
-                {{"runner", id.text}, {"kept_ms", millisecondsText(forgivenUntil - clock.mono())}});
+                {{"runner", id.text}, {"kept_ms", millisecondsText(graceEndsAt - clock.mono())}});
 }
 
-void catalogue_keeper::drop(catalogue &next, const runner_id &id)
+void catalogue_keeper::removeRunner(catalogue &next, const runner_id &id)
 {
     const auto found = next.runners.find(id);
     if (found == next.runners.end())
         return;
     events.emit("runner_gone", {{"runner", id.text}, {"address", textOf(found->second->address)}});
-    copies.noteGone(*found->second, clock.mono());
+    rollbackFilter.noteGone(*found->second, clock.mono());
     next.runners.erase(found);
 }
 
 void catalogue_keeper::setRunners(const std::vector<runner> &listed)
 {
-    hub.update([&](catalogue &next) {
-        if (std::exchange(isCopyNext, false))
-            copies.setCopy(next.runners, listed, clock.mono());
+    publisher.update([&](catalogue &next) {
+        if (std::exchange(isSnapshotNext, false))
+            rollbackFilter.setCopy(next.runners, listed, clock.mono());
         std::set<runner_id> present;
         for (const runner &entry : listed) {
             present.insert(entry.id);
-            if (copies.isOutdated(entry))
+            if (rollbackFilter.isOutdated(entry))
                 continue;
             missing.erase(entry.id);
             next.runners[entry.id] = std::make_shared<const runner>(entry);
@@ -182,18 +187,18 @@
                 absent.push_back(known.first);
         }
         for (const runner_id &id : absent)
-            takeAway(next, id);
+            handleRemoval(next, id);
         next.areRunnersKnown = true;
         return true;
     });
     events.emit("runners_listed",
                 {{"count", std::to_string(listed.size())},
-                 {"outdated", std::to_string(copies.countOutdated())}});
+                 {"outdated", std::to_string(rollbackFilter.countOutdated())}});
 }
 
-void catalogue_keeper::put(catalogue &next, const runner &entry)
+void catalogue_keeper::putRunner(catalogue &next, const runner &entry)
 {
-    if (copies.isOutdated(entry))
+    if (rollbackFilter.isOutdated(entry))
         return;
     missing.erase(entry.id);
     std::shared_ptr<const runner> &known = next.runners[entry.id];
@@ -211,12 +216,12 @@
 
 void catalogue_keeper::takeChanges(const std::vector<runner_change> &changes)
 {
-    hub.update([&](catalogue &next) {
+    publisher.update([&](catalogue &next) {
         for (const runner_change &change : changes) {
             if (change.entry)
-                put(next, *change.entry);
+                putRunner(next, *change.entry);
             else
-                takeAway(next, change.id);
+                handleRemoval(next, change.id);
         }
         return true;
     });
@@ -224,20 +229,20 @@
 
 void catalogue_keeper::settle()
 {
-    const std::vector<runner> believed = copies.takeOverdue(clock.mono());
-    if (!believed.empty()) {
-        hub.update([&](catalogue &next) {
-            for (const runner &entry : believed)
-                put(next, entry);
+    const std::vector<runner> accepted = rollbackFilter.takeOverdue(clock.mono());
+    if (!accepted.empty()) {
+        publisher.update([&](catalogue &next) {
+            for (const runner &entry : accepted)
+                putRunner(next, entry);
             return true;
         });
     }
-    if (missing.empty() || clock.mono() < forgivenUntil)
+    if (missing.empty() || clock.mono() < graceEndsAt)
         return;
-    const auto overdue = std::exchange(missing, {});
-    hub.update([&](catalogue &next) {
-        for (const runner_id &id : overdue)
-            drop(next, id);
+    const auto expired = std::exchange(missing, {});
+    publisher.update([&](catalogue &next) {
+        for (const runner_id &id : expired)
+            removeRunner(next, id);
         return true;
     });
 }
--- a/src/gateway/copied_entries.cpp
+++ b/src/gateway/copied_entries.cpp
@@ -8,23 +8,23 @@
 
 void copied_entries::noteGone(const runner &entry, mono_time now)
 {
-    forgetOld(now);
-    gone[entry.id] = {entry.bornMs, now};
-    // It was kept for a while, since the copy before lacked it: now it is known to have left.
-    const auto copied = outdated.find(entry.id);
-    if (copied != outdated.end() && copied->second.listed)
-        mark(*copied->second.listed);
+    forgetExpired(now);
+    removed[entry.id] = {entry.bornMs, now};
+    // It was in its grace period, since the snapshot lacked it; now it is known to have left.
+    const auto rejected = outdated.find(entry.id);
+    if (rejected != outdated.end() && rejected->second.listed)
+        addOwnMarker(*rejected->second.listed);
 }
 
-void copied_entries::forgetOld(mono_time now)
+void copied_entries::forgetExpired(mono_time now)
 {
-    std::erase_if(gone,
+    std::erase_if(removed,
                   [now](const auto &one) { return now - one.second.at > config::lostWritesTime; });
 }
 
-/// A runner that has started again under its id is in a new life, whatever was known of the one
-/// before; and a copy may show a life that is long over.
-bool copied_entries::isLessThanKnown(const runner_map &known, const runner &entry) const
+/// A restarted runner is a new incarnation, and the state of the previous one says nothing about
+/// it. The snapshot may also list an incarnation that ended long ago.
+bool copied_entries::isOlderThanKnown(const runner_map &known, const runner &entry) const
 {
     const auto present = known.find(entry.id);
     if (present != known.end()) {
@@ -34,49 +34,49 @@
         const bool isMissing = newer.keptUntil != mono_time::max();
         return !entry.isDraining && (newer.isDraining || isMissing || newer.writes > entry.writes);
     }
-    const auto before = gone.find(entry.id);
-    return before != gone.end() && before->second.bornMs >= entry.bornMs;
+    const auto before = removed.find(entry.id);
+    return before != removed.end() && before->second.bornMs >= entry.bornMs;
 }
 
-/// One that the copy shows as leaving is left alone anyway, and one without a count of its writes
-/// would be doubted at each start from then on.
-void copied_entries::mark(const runner &entry)
+/// Entries that are draining in the snapshot get no requests anyway. An entry without a write
+/// number would be rejected by each instance that starts from then on, so it is not marked.
+void copied_entries::addOwnMarker(const runner &entry)
 {
-    if (!entry.isDraining && entry.writes > 0 && marksOfCopy.size() < config::maxEntryMarks)
-        marksOfCopy.push_back({entry.id, entry.bornMs, entry.writes});
+    if (!entry.isDraining && entry.writes > 0 && ownMarkers.size() < config::maxEntryMarks)
+        ownMarkers.push_back({entry.id, entry.bornMs, entry.writes});
 }
 
-void copied_entries::setCopy(const runner_map &known, const std::vector<runner> &copy,
+void copied_entries::setCopy(const runner_map &known, const std::vector<runner> &snapshot,
                              mono_time now)
 {
-    forgetOld(now);
+    forgetExpired(now);
     outdated.clear();
-    marksOfCopy.clear();
-    copiedAt = now;
-    for (const runner &entry : copy) {
-        if (!isLessThanKnown(known, entry))
+    ownMarkers.clear();
+    rolledBackAt = now;
+    for (const runner &entry : snapshot) {
+        if (!isOlderThanKnown(known, entry))
             continue;
         outdated[entry.id] = {entry.bornMs, entry.writes, now, entry};
         const auto present = known.find(entry.id);
         const bool hasLeft = present == known.end() || present->second->isDraining;
-        // One that lives though its entry is older is needed.
+        // A runner that is alive stays in use although its entry in the snapshot is older.
         if (hasLeft)
-            mark(entry);
+            addOwnMarker(entry);
     }
 }
 
-void copied_entries::doubt(const std::vector<entry_mark> &told, mono_time now)
+void copied_entries::doubt(const std::vector<entry_mark> &received, mono_time now)
 {
-    for (const entry_mark &mark : told) {
-        const auto before = toldMarks.find(mark.id);
-        if (before != toldMarks.end()
+    for (const entry_mark &marker : received) {
+        const auto before = appliedMarkers.find(marker.id);
+        if (before != appliedMarkers.end()
             && std::tie(before->second.bornMs, before->second.writes)
-                    >= std::tie(mark.bornMs, mark.writes))
+                    >= std::tie(marker.bornMs, marker.writes))
             continue;
-        toldMarks[mark.id] = mark;
-        outdated[mark.id] = {mark.bornMs, mark.writes, now, std::nullopt};
-        // Against the next copy.
-        gone[mark.id] = {mark.bornMs, now};
+        appliedMarkers[marker.id] = marker;
+        outdated[marker.id] = {marker.bornMs, marker.writes, now, std::nullopt};
+        // Also rejects it if it appears in the next snapshot.
+        removed[marker.id] = {marker.bornMs, now};
     }
 }
 
@@ -85,12 +85,12 @@
     const auto found = outdated.find(entry.id);
     if (found == outdated.end())
         return false;
-    doubted_entry &copied = found->second;
+    outdated_entry &rejected = found->second;
     const bool isNewer =
-            std::tie(entry.bornMs, entry.writes) > std::tie(copied.bornMs, copied.writes);
-    const bool wasLeaving = copied.listed && copied.listed->isDraining;
+            std::tie(entry.bornMs, entry.writes) > std::tie(rejected.bornMs, rejected.writes);
+    const bool wasLeaving = rejected.listed && rejected.listed->isDraining;
     if (!isNewer && (!entry.isDraining || wasLeaving)) {
-        copied.listed = entry;
+        rejected.listed = entry;
         return true;
     }
     outdated.erase(found);
@@ -99,20 +99,20 @@
 
 std::vector<runner> copied_entries::takeOverdue(mono_time now)
 {
-    if (now - copiedAt >= config::copyDoubtTime)
-        marksOfCopy.clear();
-    std::vector<runner> overdue;
+    if (now - rolledBackAt >= config::copyDoubtTime)
+        ownMarkers.clear();
+    std::vector<runner> timedOut;
     for (auto at = outdated.begin(); at != outdated.end();) {
-        const doubted_entry &one = at->second;
+        const outdated_entry &one = at->second;
         if (now - one.since < config::copyDoubtTime) {
             ++at;
             continue;
         }
         if (one.listed)
-            overdue.push_back(*one.listed);
+            timedOut.push_back(*one.listed);
         at = outdated.erase(at);
     }
-    return overdue;
+    return timedOut;
 }
 
 } // namespace poplarspool::gateway
--- a/src/gateway/fleet_keeper.cpp
+++ b/src/gateway/fleet_keeper.cpp
@@ -17,25 +17,26 @@
              [this] { look(); })
 { }
 
-/// The fleet's first size is the one to hold; what it is later, orders and losses have made of it.
-/// While a fleet starts, its runners enter themselves one after the other.
-void fleet_keeper::noteRegular(const catalogue &known)
+/// The initial size of the fleet is the one to maintain; later sizes are the result of orders and
+/// losses. While a fleet starts, its runners register one after the other, so the size is final
+/// only once it has not grown for a while.
+void fleet_keeper::updateSizesSettled(const catalogue &known)
 {
     const mono_time now = tools.clock.mono();
     const auto regular = static_cast<std::size_t>(std::ranges::count_if(
             known.runners, [](const auto &entry) { return !entry.second->isSpot; }));
-    if (regular > regularSeen || changedAt == mono_time{}) {
-        regularSeen = regular;
+    if (regular > maxRegularSeen || changedAt == mono_time{}) {
+        maxRegularSeen = regular;
         changedAt = now;
     }
     if (now - changedAt >= config::fleetSettleTime && !sizes.empty())
         areSizesSettled = true;
 }
 
-/// @returns Whether it is known what was ordered by now.
-bool fleet_keeper::readNote()
+/// @returns Whether the orders placed by previous lease holders are known.
+bool fleet_keeper::readCheckpoint()
 {
-    if (isNoteRead)
+    if (isCheckpointRead)
         return true;
     const auto present = lease.findFree();
     if (!present)
@@ -46,13 +47,13 @@
     if (note) {
         const mono_time now = tools.clock.mono();
         for (const scaling::given_order &one : note->given)
-            subjects[{one.service, one.order.zone, one.order.isSpot}] = {
+            capacities[{one.service, one.order.zone, one.order.isSpot}] = {
                     .ordered = one.order.wanted, .orderedAt = now};
         for (const scaling::given_order &one : note->sizes)
             sizes[{one.service, one.order.zone}] = one.order.wanted;
         areSizesSettled = !sizes.empty();
     }
-    isNoteRead = true;
+    isCheckpointRead = true;
     return true;
 }
 
@@ -60,32 +61,32 @@
 {
     const auto known = tools.hub.current();
     if (!known->table || !known->areRunnersKnown || !tools.isOwner()) {
-        isNoteRead = areSizesSettled = false;
-        subjects.clear();
+        isCheckpointRead = areSizesSettled = false;
+        capacities.clear();
         sizes.clear();
         return;
     }
     const auto canScale = [](const service &one) { return one.scaling.has_value(); };
     const mono_time now = tools.clock.mono();
-    if (!std::ranges::any_of(known->table->services, canScale) || now < nextTryAt)
+    if (!std::ranges::any_of(known->table->services, canScale) || now < nextAttemptAt)
         return;
-    if (!readNote()) {
-        nextTryAt = now + config::dutyTryPause;
+    if (!readCheckpoint()) {
+        nextAttemptAt = now + config::dutyTryPause;
         return;
     }
-    noteRegular(*known);
+    updateSizesSettled(*known);
     const std::vector<scaling::given_order> orders = planAll(*known);
     if (orders.empty())
         return;
-    nextTryAt = now + config::dutyTryPause;
+    nextAttemptAt = now + config::dutyTryPause;
     const auto present = lease.findFree();
     if (!present)
         return;
-    const auto term = lease.take(*present, scaling::encode(noteWith(orders)));
+    const auto term = lease.take(*present, scaling::encode(checkpointWith(orders)));
     if (!term)
         return;
     for (const scaling::given_order &one : orders)
-        give(one, *term);
+        placeOrder(one, *term);
 }
 
 std::vector<scaling::zone_fleet> fleet_keeper::zonesOf(const catalogue &known, const service &one)
@@ -98,7 +99,7 @@
         scaling::zone_fleet &zone = zones[target.zone];
         ++(target.isSpot ? zone.spot : zone.regular);
     }
-    // Also those where all are gone.
+    // Include zones that have lost all runners.
     for (const auto &entry : sizes) {
         if (entry.first.first == one.id.text)
             zones[entry.first.second];
@@ -110,31 +111,32 @@
         if (!areSizesSettled)
             size = std::max(size, zone.regular);
         zone.size = size;
-        noteMissing(*one.scaling, one.id.text, zone);
-        const subject_state &spot = subjects[{one.id.text, id, true}];
-        zone.regularOrdered = subjects[{one.id.text, id, false}].ordered;
+        expireUnfilledOrders(*one.scaling, one.id.text, zone);
+        const capacity_state &spot = capacities[{one.id.text, id, true}];
+        zone.regularOrdered = capacities[{one.id.text, id, false}].ordered;
         zone.spotOrdered = spot.ordered;
-        zone.isSpotDry = tools.clock.mono() < spot.dryUntil;
+        zone.isSpotDry = tools.clock.mono() < spot.noCapacityUntil;
         found.push_back(zone);
     }
     return found;
 }
 
-/// Runners that were ordered and aren't there: the order was lost, or they were taken away.
-void fleet_keeper::noteMissing(const scaling::fleet_traits &traits, const std::string &service,
-                               const scaling::zone_fleet &zone)
+/// Discards orders whose runners are missing, so that they are ordered again: the order was lost,
+/// or the runners were reclaimed.
+void fleet_keeper::expireUnfilledOrders(const scaling::fleet_traits &traits,
+                                        const std::string &service, const scaling::zone_fleet &zone)
 {
     const mono_time now = tools.clock.mono();
-    const milliseconds patience = traits.bootTime + config::fleetPatience;
+    const milliseconds timeout = traits.bootTime + config::fleetPatience;
     for (const bool isSpot : {false, true}) {
-        subject_state &state = subjects[{service, zone.zone, isSpot}];
+        capacity_state &state = capacities[{service, zone.zone, isSpot}];
         const std::uint32_t present = isSpot ? zone.spot : zone.regular;
         if (!state.ordered)
             continue;
         if (present >= *state.ordered)
-            state.wereThere = true;
-        else if (state.wereThere || now - state.orderedAt >= patience)
-            state = {.dryUntil = state.dryUntil};
+            state.wasFilled = true;
+        else if (state.wasFilled || now - state.orderedAt >= timeout)
+            state = {.noCapacityUntil = state.noCapacityUntil};
     }
 }
 
@@ -151,10 +153,12 @@
     return orders;
 }
 
-/// With what is about to be ordered: a successor must not think that less was.
-scaling::fleet_note fleet_keeper::noteWith(const std::vector<scaling::given_order> &orders) const
+/// Includes the orders that are about to be placed: the next lease holder must not assume that less
+/// was ordered.
+scaling::fleet_note
+fleet_keeper::checkpointWith(const std::vector<scaling::given_order> &orders) const
 {
-    auto all = subjects;
+    auto all = capacities;
     for (const scaling::given_order &one : orders)
         all[{one.service, one.order.zone, one.order.isSpot}].ordered = one.order.wanted;
     scaling::fleet_note note;
@@ -168,15 +172,15 @@
     return note;
 }
 
-void fleet_keeper::give(const scaling::given_order &order, const duties::lease_term &term)
+void fleet_keeper::placeOrder(const scaling::given_order &order, const duties::lease_term &term)
 {
     const auto taken = tools.sink.give(order, term);
-    subject_state &state = subjects[{order.service, order.order.zone, order.order.isSpot}];
+    capacity_state &state = capacities[{order.service, order.order.zone, order.order.isSpot}];
     const mono_time now = tools.clock.mono();
     if (succeeded(taken))
         state = {.ordered = order.order.wanted, .orderedAt = now};
     else if (errorOf(taken).code == error_code::Conflict)
-        state.dryUntil = now + config::fleetDryTime;
+        state.noCapacityUntil = now + config::fleetDryTime;
     (succeeded(taken) ? given : refused).add();
     tools.events.emit("fleet_order",
                       {{"service", order.service},
--- a/src/gateway/fleet_keeper.h
+++ b/src/gateway/fleet_keeper.h
@@ -12,7 +12,7 @@
 
 namespace poplarspool::gateway {
 
-/// What the keeper works with.
+/// What the fleet scaler needs from its instance.
 struct fleet_tools
 {
     const catalogue_hub &hub;
@@ -20,11 +20,13 @@
     const clock_source clock;
     journal &events;
     metrics_registry &metrics;
-    /// Whether the duty falls on this instance. Two may think so: the lease keeps them apart.
+    /// Whether this instance is responsible. Two instances may briefly both be; the lease ensures
+    /// that only one of them acts.
     std::function<bool()> isOwner;
 };
 
-/// Orders the runners of services that can be scaled, as planned, on a thread of its own.
+/// Periodically plans the runners of all scalable services and orders them from the platform, on a
+/// thread of its own.
 class fleet_keeper
 {
 public:
@@ -35,43 +37,45 @@
     void requestStop() { thread.requestStop(); }
     void stop() { thread.stop(); }
 
-    /// One look, and the orders that follow from it. Of the keeper's thread, and of tests.
+    /// Runs one iteration: plans, and places the resulting orders. Called by the own thread and by
+    /// tests.
     void look();
 
 private:
-    /// Service, zone, and whether of the spot kind.
-    using subject = std::tuple<std::string, zone_id, bool>;
+    /// Service, zone, and whether it is spot capacity.
+    using capacity_key = std::tuple<std::string, zone_id, bool>;
 
-    /// What is known of the runners of one service, zone and kind.
-    struct subject_state
+    /// The last order of one kind of capacity in one zone for one service.
+    struct capacity_state
     {
         std::optional<std::uint32_t> ordered = {};
         mono_time orderedAt{};
-        bool wereThere = false; ///< All that were ordered have been in service.
-        mono_time dryUntil{}; ///< None are to be had until then.
+        bool wasFilled = false; ///< All ordered runners have been in service.
+        mono_time noCapacityUntil{}; ///< The platform has no capacity; no orders until then.
     };
 
-    void noteRegular(const catalogue &known);
-    bool readNote();
+    void updateSizesSettled(const catalogue &known);
+    bool readCheckpoint();
     std::vector<scaling::zone_fleet> zonesOf(const catalogue &known, const service &one);
     std::vector<scaling::given_order> planAll(const catalogue &known);
-    void noteMissing(const scaling::fleet_traits &traits, const std::string &service,
-                     const scaling::zone_fleet &zone);
-    void give(const scaling::given_order &order, const duties::lease_term &term);
-    scaling::fleet_note noteWith(const std::vector<scaling::given_order> &orders) const;
+    void expireUnfilledOrders(const scaling::fleet_traits &traits, const std::string &service,
+                              const scaling::zone_fleet &zone);
+    void placeOrder(const scaling::given_order &order, const duties::lease_term &term);
+    scaling::fleet_note checkpointWith(const std::vector<scaling::given_order> &orders) const;
 
     const fleet_tools tools;
     duties::duty_lease lease;
     counter &given;
     counter &refused;
-    bool isNoteRead = false;
-    std::map<subject, subject_state> subjects;
-    std::map<std::pair<std::string, zone_id>, std::uint32_t> sizes; ///< Wanted, by service, zone.
-    bool areSizesSettled = false; ///< Else the fleet is still starting, and they may grow.
-    std::size_t regularSeen = 0;
-    mono_time changedAt{}; ///< When the number of regular runners last changed.
-    mono_time nextTryAt{};
-    look_thread thread; ///< Ends before what it looks at.
+    bool isCheckpointRead = false;
+    std::map<capacity_key, capacity_state> capacities;
+    /// Target sizes, by service and zone.
+    std::map<std::pair<std::string, zone_id>, std::uint32_t> sizes;
+    bool areSizesSettled = false; ///< If false, the fleet is still starting and sizes may grow.
+    std::size_t maxRegularSeen = 0;
+    mono_time changedAt{}; ///< When the maximum number of regular runners last grew.
+    mono_time nextAttemptAt{};
+    look_thread thread; ///< Declared last: stops before the members it uses are destroyed.
 };
 
 } // namespace poplarspool::gateway
--- a/src/gateway/route_index.cpp
+++ b/src/gateway/route_index.cpp
@@ -9,21 +9,21 @@
 
 constexpr char slash = '/';
 
-/// A Host header may name the port as well.
+/// Strips the optional port of a Host header.
 std::string_view withoutPort(std::string_view host)
 {
     return host.substr(0, host.rfind(':'));
 }
 
-bool isOdd(std::string_view prefix)
+bool isUnaligned(std::string_view prefix)
 {
     return !prefix.starts_with(slash) || !prefix.ends_with(slash);
 }
 
-/// Calls `each(word)` for what stands between two slashes of a path that begins with one, until it
-/// returns false.
+/// Calls `each(segment)` for each segment between two slashes of a path that begins with a slash,
+/// until it returns false.
 template <class Each>
-void walkSteps(std::string_view path, const Each &each)
+void forEachSegment(std::string_view path, const Each &each)
 {
     std::size_t begin = 1;
     for (std::size_t end = path.find(slash, begin); end != std::string_view::npos;
@@ -34,45 +34,45 @@
     }
 }
 
-/// Numbers the nodes of a new index.
-class index_maker
+/// Fills a new index and numbers its nodes.
+class index_builder
 {
 public:
-    explicit index_maker(route_index &made) : made(made) { }
+    explicit index_builder(route_index &built) : built(built) { }
 
-    void add(const route &one, std::uint32_t place)
+    void add(const route &one, std::uint32_t position)
     {
         if (one.isUnplaced) {
-            made.unplaced = made.unplaced.value_or(place);
+            built.unplaced = built.unplaced.value_or(position);
             return;
         }
-        auto [host, isNew] = made.hosts.try_emplace(one.host);
+        auto [host, isNew] = built.hosts.try_emplace(one.host);
         if (isNew)
             host->second.root.number = count++;
-        if (isOdd(one.pathPrefix)) {
-            host->second.odd.push_back(place);
+        if (isUnaligned(one.pathPrefix)) {
+            host->second.odd.push_back(position);
             return;
         }
         path_node &end = nodeOf(host->second.root, one.pathPrefix);
         if (!end.route)
-            end.route = place;
+            end.route = position;
     }
 
 private:
     path_node &nodeOf(path_node &root, std::string_view prefix)
     {
         path_node *node = &root;
-        walkSteps(prefix, [&](std::string_view word) {
-            auto [step, isNew] = made.steps.try_emplace({node->number, std::string(word)});
+        forEachSegment(prefix, [&](std::string_view segment) {
+            auto [child, isNew] = built.steps.try_emplace({node->number, std::string(segment)});
             if (isNew)
-                step->second.number = count++;
-            node = &step->second;
+                child->second.number = count++;
+            node = &child->second;
             return true;
         });
         return *node;
     }
 
-    route_index &made;
+    route_index &built;
     std::uint32_t count = 0;
 };
 
@@ -82,14 +82,14 @@
     if (!path.starts_with(slash))
         return std::nullopt;
     std::optional<std::uint32_t> deepest = root.route;
-    std::uint32_t from = root.number;
-    walkSteps(path, [&](std::string_view word) {
-        const auto step = index.steps.find(path_step_view{from, word});
-        if (step == index.steps.end())
+    std::uint32_t node = root.number;
+    forEachSegment(path, [&](std::string_view segment) {
+        const auto child = index.steps.find(path_step_view{node, segment});
+        if (child == index.steps.end())
             return false;
-        from = step->second.number;
-        if (step->second.route)
-            deepest = step->second.route;
+        node = child->second.number;
+        if (child->second.route)
+            deepest = child->second.route;
         return true;
     });
     return deepest;
@@ -97,7 +97,8 @@
 
 } // namespace
 
-/// Folds more letters than are equal, which only makes a few hosts share a hash.
+/// FNV-1a with the case bit set on every byte. This also folds some characters that are not
+/// letters, which only adds a few collisions.
 std::size_t host_hash::operator()(std::string_view host) const
 {
     constexpr std::uint64_t offset = 0xcbf29ce484222325;
@@ -114,14 +115,14 @@
     return equalsIgnoringCase(left, right);
 }
 
-std::size_t path_step_hash::operator()(const path_step &step) const
+std::size_t path_step_hash::operator()(const path_step &segment) const
 {
-    return hashOf(step.word, step.from);
+    return hashOf(segment.word, segment.from);
 }
 
-std::size_t path_step_hash::operator()(const path_step_view &step) const
+std::size_t path_step_hash::operator()(const path_step_view &segment) const
 {
-    return hashOf(step.word, step.from);
+    return hashOf(segment.word, segment.from);
 }
 
 bool path_step_equal::operator()(const path_step &left, const path_step &right) const
@@ -141,27 +142,27 @@
 
 route_index indexOf(const route_table &table)
 {
-    route_index made;
-    index_maker maker(made);
-    for (std::uint32_t place = 0; place < table.routes.size(); ++place)
-        maker.add(table.routes[place], place);
-    made.keys = workspaces::indexOf(table.workspaces);
-    return made;
+    route_index built;
+    index_builder builder(built);
+    for (std::uint32_t position = 0; position < table.routes.size(); ++position)
+        builder.add(table.routes[position], position);
+    built.keys = workspaces::indexOf(table.workspaces);
+    return built;
 }
 
 namespace {
 
-const route *findPlacedRoute(const route_table &table, const route_index &index,
-                             std::string_view host, std::string_view path)
+const route *findMatchingRoute(const route_table &table, const route_index &index,
+                               std::string_view host, std::string_view path)
 {
-    const auto known = index.hosts.find(withoutPort(host));
-    if (known == index.hosts.end())
+    const auto hostRoutes = index.hosts.find(withoutPort(host));
+    if (hostRoutes == index.hosts.end())
         return nullptr;
     const std::string_view plainPath = path.substr(0, path.find('?'));
-    const auto deepest = deepestRoute(index, known->second.root, plainPath);
+    const auto deepest = deepestRoute(index, hostRoutes->second.root, plainPath);
     const route *best = deepest ? &table.routes[*deepest] : nullptr;
-    for (const std::uint32_t place : known->second.odd) {
-        const route &one = table.routes[place];
+    for (const std::uint32_t position : hostRoutes->second.odd) {
+        const route &one = table.routes[position];
         if (plainPath.starts_with(one.pathPrefix)
             && (best == nullptr || one.pathPrefix.size() > best->pathPrefix.size()))
             best = &one;
@@ -174,8 +175,8 @@
 const route *findRoute(const route_table &table, const route_index &index, std::string_view host,
                        std::string_view path)
 {
-    const route *placed = findPlacedRoute(table, index, host, path);
-    return placed == nullptr && index.unplaced ? &table.routes[*index.unplaced] : placed;
+    const route *matching = findMatchingRoute(table, index, host, path);
+    return matching == nullptr && index.unplaced ? &table.routes[*index.unplaced] : matching;
 }
 
 } // namespace poplarspool::gateway
--- a/src/gateway/stage_keeper.cpp
+++ b/src/gateway/stage_keeper.cpp
@@ -14,15 +14,15 @@
       thread("stages", config::stageLookTime, this->tools.faults, [this] { look(); })
 { }
 
-/// While a fleet starts, its runners enter themselves one after the other: a split of the first few
-/// would be another one than that of all. Those that leave are not waited for.
-bool stage_keeper::hasSettled(const catalogue &known)
+/// While a fleet starts, its runners register one after the other, and a split of the first few
+/// would differ from that of all. Draining runners are not counted.
+bool stage_keeper::isFleetSettled(const catalogue &known)
 {
     const mono_time now = tools.clock.mono();
     const auto serving = static_cast<std::size_t>(std::ranges::count_if(
             known.runners, [](const auto &entry) { return !entry.second->isDraining; }));
-    if (serving != runnersSeen || changedAt == mono_time{}) {
-        runnersSeen = serving;
+    if (serving != servingCount || changedAt == mono_time{}) {
+        servingCount = serving;
         changedAt = now;
     }
     return now - changedAt >= config::stageSettleTime;
@@ -31,30 +31,30 @@
 void stage_keeper::look()
 {
     const auto known = tools.hub.current();
-    const bool isSettled = hasSettled(*known);
+    const bool isSettled = isFleetSettled(*known);
     if (!known->table || !known->areRunnersKnown || !tools.isOwner()) {
-        memories.clear();
+        planStates.clear();
         return;
     }
-    forgetDone(*known);
+    forgetSettledOrders(*known);
     if (!isSettled)
         return;
     for (const service &one : known->table->services) {
         if (one.engine)
-            lookAt(*known, one);
+            planService(*known, one);
     }
 }
 
-/// An order is done when the list shows its stage, or that the engine has started again. One that
-/// was lost is given up after a while, so that it can be given anew.
-void stage_keeper::forgetDone(const catalogue &known)
+/// An order is complete when the engine's entry has the ordered stage, or when the engine has
+/// restarted. An order that was lost is discarded after a timeout, so that it can be sent again.
+void stage_keeper::forgetSettledOrders(const catalogue &known)
 {
     const mono_time now = tools.clock.mono();
-    std::erase_if(given, [&](const auto &entry) {
+    std::erase_if(pendingOrders, [&](const auto &entry) {
         const auto found = known.runners.find(entry.first);
         return found == known.runners.end() || found->second->stage == entry.second.wanted
                 || found->second->bornMs != entry.second.bornMs
-                || now - entry.second.givenAt >= config::stageOrderTime;
+                || now - entry.second.orderedAt >= config::stageOrderTime;
     });
 }
 
@@ -65,12 +65,12 @@
     for (const place_candidate &one :
          tools.ledger.candidatesOf(known, engines.id, &*engines.engine, {}, {})) {
         const runner &target = *one.target;
-        // One that names no stage does all the work, and refuses each order for one.
+        // An engine without a stage does all work and refuses orders to change stage.
         if (target.isDraining || target.keptUntil <= now || target.stage == engine_stage::None)
             continue;
         stage_engine seen{target.id, target.zone, target.stage, one.load.open, false};
-        const auto order = given.find(target.id);
-        if (order != given.end()) {
+        const auto order = pendingOrders.find(target.id);
+        if (order != pendingOrders.end()) {
             seen.stage = order->second.wanted;
             seen.isChanging = true;
         }
@@ -79,10 +79,10 @@
     return found;
 }
 
-void stage_keeper::lookAt(const catalogue &known, const service &engines)
+void stage_keeper::planService(const catalogue &known, const service &engines)
 {
     const std::vector<stage_engine> seen = enginesOf(known, engines);
-    stage_memory &memory = memories[engines.id];
+    stage_memory &memory = planStates[engines.id];
     memory = noteRunning(memory, seen, tools.clock.mono());
     const std::vector<stage_change> changes = dueChanges(seen, *engines.engine, memory);
     if (changes.empty())
@@ -91,14 +91,14 @@
     if (!term)
         return;
     for (const stage_change &change : changes)
-        order(known, change, *term);
+        placeOrder(known, change, *term);
 }
 
-/// Orders can be carried out long after they were sent, also after newer ones. Each names the
-/// number of orders that the engine had taken when it was asked: one that comes late finds another
-/// number, and is dropped.
-void stage_keeper::order(const catalogue &known, const stage_change &change,
-                         const duties::lease_term &term)
+/// Orders may be executed long after they were sent, also after newer ones. Each contains the
+/// number of orders that the engine had taken when it was last queried; the engine drops a delayed
+/// order because that number has changed since.
+void stage_keeper::placeOrder(const catalogue &known, const stage_change &change,
+                              const duties::lease_term &term)
 {
     const auto found = known.runners.find(change.engine);
     if (found == known.runners.end())
@@ -120,19 +120,19 @@
         tools.events.emit("stage_order_skipped",
                           {{"runner", target.id.text},
                            {"reason",
-                            !state                      ? "no report"
-                                    : state->isChanging ? "it is changing"
-                                                        : "the term is over"}});
+                            !state                      ? "engine gave no report"
+                                    : state->isChanging ? "stage change in progress"
+                                                        : "lease term expired"}});
         return;
     }
     const engine_order wanted{change.wanted, self, term.fence, state->ordersTaken};
-    // Noted before it is sent: a call that fails may have given the order all the same.
-    given[target.id] = {change.wanted, tools.clock.mono(), target.bornMs};
+    // Recorded before it is sent: even if the call fails, the engine may have taken the order.
+    pendingOrders[target.id] = {change.wanted, tools.clock.mono(), target.bornMs};
     const auto reply = askRunner(tools.connections, tools.names, target,
                                  tools.names.orderStage(wanted), timeLeft(), isInTerm);
     const bool isNotGiven = !succeeded(reply) && errorOf(reply).ran == verdict::NotRun;
     if (isNotGiven)
-        given.erase(target.id);
+        pendingOrders.erase(target.id);
     else
         tools.orders.add();
     tools.events.emit("stage_order",
--- a/src/gateway/stage_keeper.h
+++ b/src/gateway/stage_keeper.h
@@ -12,7 +12,7 @@
 
 namespace poplarspool::gateway {
 
-/// What the keeper works with.
+/// What the stage manager needs from its instance.
 struct stage_tools
 {
     const catalogue_hub &hub;
@@ -23,11 +23,13 @@
     journal &events;
     counter &orders;
     const step_faults faults;
-    /// Whether the planning falls on this instance. Two may think so: the lease keeps them apart.
+    /// Whether this instance is responsible for planning. Two instances may briefly both be; the
+    /// lease ensures that only one of them acts.
     std::function<bool()> isOwner;
 };
 
-/// Keeps the engines' stages as planned, on a thread of its own.
+/// Periodically plans the stages of all engines and orders engines to change stage, on a thread of
+/// its own.
 class stage_keeper
 {
 public:
@@ -38,32 +40,34 @@
     void requestStop() { thread.requestStop(); }
     void stop() { thread.stop(); }
 
-    /// One look, and the orders that follow from it. Of the keeper's thread, and of tests.
+    /// Runs one iteration: plans, and sends the resulting orders. Called by the own thread and by
+    /// tests.
     void look();
 
 private:
-    /// An order that was given, or may have been.
-    struct open_order
+    /// An order that the engine has taken, or may have taken.
+    struct pending_order
     {
         engine_stage wanted = engine_stage::None;
-        mono_time givenAt{};
-        std::uint64_t bornMs = 0; ///< The engine's life that it was given in.
+        mono_time orderedAt{};
+        std::uint64_t bornMs = 0; ///< The engine's incarnation at the time of the order.
     };
 
-    bool hasSettled(const catalogue &known);
-    void lookAt(const catalogue &known, const service &engines);
+    bool isFleetSettled(const catalogue &known);
+    void planService(const catalogue &known, const service &engines);
     std::vector<stage_engine> enginesOf(const catalogue &known, const service &engines);
-    void forgetDone(const catalogue &known);
-    void order(const catalogue &known, const stage_change &change, const duties::lease_term &term);
+    void forgetSettledOrders(const catalogue &known);
+    void placeOrder(const catalogue &known, const stage_change &change,
+                    const duties::lease_term &term);
 
     const stage_tools tools;
     const instance_id self;
     duties::duty_lease lease;
-    std::map<runner_id, open_order> given;
-    std::map<service_id, stage_memory> memories;
-    std::size_t runnersSeen = 0;
-    mono_time changedAt{}; ///< When the number of serving runners last changed.
-    look_thread thread; ///< Ends before what it looks at.
+    std::map<runner_id, pending_order> pendingOrders;
+    std::map<service_id, stage_memory> planStates;
+    std::size_t servingCount = 0;
+    mono_time changedAt{}; ///< When the number of runners in service last changed.
+    look_thread thread; ///< Declared last: stops before the members it uses are destroyed.
 };
 
 } // namespace poplarspool::gateway
--- a/src/gateway/stage_plan.cpp
+++ b/src/gateway/stage_plan.cpp
@@ -15,13 +15,13 @@
     return static_cast<std::uint32_t>(std::ranges::count(engines, stage, &stage_engine::stage));
 }
 
-/// Requests at once up to which an engine makes tokens at a good pace.
-double comfortableRunning(const engine_traits &traits)
+/// Number of concurrent requests up to which an engine decodes without queueing.
+double maxUnqueuedRequests(const engine_traits &traits)
 {
     return std::max(1.0, traits.batch * config::decodeFillShare);
 }
 
-std::uint32_t leastDecoders(std::size_t engines, const engine_traits &traits)
+std::uint32_t minDecoders(std::size_t engines, const engine_traits &traits)
 {
     const double share = traits.batch >= config::largeBatch ? config::decodeShareLargeBatch
                                                             : config::decodeShareSmallBatch;
@@ -29,39 +29,41 @@
     return std::max(byShare, config::decodersAtLeast);
 }
 
-/// The engine of that stage that loses least by a change: from the zone that has most of the stage,
-/// so that KV cache need not cross zones, and among those the one that runs least.
-const stage_engine *cheapest(std::span<const stage_engine> engines, engine_stage stage,
-                             const std::vector<stage_change> &taken)
+/// Selects the engine of that stage whose change costs least: from the zone with the most engines
+/// of the stage, so that KV cache need not cross zones, and of those the one with the fewest
+/// requests in flight.
+const stage_engine *cheapestToChange(std::span<const stage_engine> engines, engine_stage stage,
+                                     const std::vector<stage_change> &taken)
 {
-    std::map<zone_id, std::uint32_t> left;
-    const auto isOpen = [&](const stage_engine &one) {
+    std::map<zone_id, std::uint32_t> remaining;
+    const auto isCandidate = [&](const stage_engine &one) {
         return one.stage == stage
                 && std::ranges::find(taken, one.id, &stage_change::engine) == taken.end();
     };
     for (const stage_engine &one : engines) {
-        if (isOpen(one))
-            ++left[one.zone];
+        if (isCandidate(one))
+            ++remaining[one.zone];
     }
     const stage_engine *best = nullptr;
     for (const stage_engine &one : engines) {
-        if (!isOpen(one) || one.isChanging)
+        if (!isCandidate(one) || one.isChanging)
             continue;
-        const bool isBetter = best == nullptr || left[one.zone] > left[best->zone]
-                || (left[one.zone] == left[best->zone] && one.open < best->open);
+        const bool isBetter = best == nullptr || remaining[one.zone] > remaining[best->zone]
+                || (remaining[one.zone] == remaining[best->zone] && one.open < best->open);
         if (isBetter)
             best = &one;
     }
     return best;
 }
 
-/// @returns Engines that may begin to change while requests run.
-std::size_t changesLeft(std::span<const stage_engine> engines)
+/// @returns The number of further engines that may start a change while requests are running.
+std::size_t allowedChanges(std::span<const stage_engine> engines)
 {
-    const std::size_t most = std::max<std::size_t>(engines.size() / config::enginesPerChange, 1);
-    const auto under =
+    const std::size_t maxChanges =
+            std::max<std::size_t>(engines.size() / config::enginesPerChange, 1);
+    const auto changing =
             static_cast<std::size_t>(std::ranges::count(engines, true, &stage_engine::isChanging));
-    return most - std::min(most, under);
+    return maxChanges - std::min(maxChanges, changing);
 }
 
 } // namespace
@@ -79,22 +81,23 @@
     return {memory.meanRunning + newest * (running - memory.meanRunning), now, memory.unevenSince};
 }
 
-/// Engines read prompts in the prefill stage at more than twice the pace of the decode stage, and
-/// a prompt that is read at a decode engine holds up all that runs there. So no more engines run
-/// requests than have to.
+/// Prefill engines process prompts more than twice as fast as decode engines, and a prompt that is
+/// processed on a decode engine delays all requests running there. So the number of decode engines
+/// is kept to the minimum.
 std::uint32_t wantedDecoders(std::size_t engines, std::uint32_t decodersNow,
                              const engine_traits &traits, double meanRunning)
 {
     const auto total = static_cast<std::uint32_t>(engines);
-    const std::uint32_t least = leastDecoders(engines, traits);
-    const auto readers = static_cast<std::uint32_t>(std::ceil(config::prefillShareLeast * total));
-    const std::uint32_t most = std::max(total - std::min(total, readers), least);
-    const double needed = meanRunning / comfortableRunning(traits);
+    const std::uint32_t minCount = minDecoders(engines, traits);
+    const auto minPrefill =
+            static_cast<std::uint32_t>(std::ceil(config::prefillShareLeast * total));
+    const std::uint32_t maxCount = std::max(total - std::min(total, minPrefill), minCount);
+    const double needed = meanRunning / maxUnqueuedRequests(traits);
     if (needed > decodersNow)
-        return std::clamp(static_cast<std::uint32_t>(std::ceil(needed)), least, most);
-    // An engine is given back only where the others have room for what it ran, and more.
+        return std::clamp(static_cast<std::uint32_t>(std::ceil(needed)), minCount, maxCount);
+    // An engine returns to prefill only if the others can take over its load with some headroom.
     const auto kept = static_cast<std::uint32_t>(std::ceil(needed / config::decodeGiveBackShare));
-    return std::clamp(std::min(decodersNow, kept), least, most);
+    return std::clamp(std::min(decodersNow, kept), minCount, maxCount);
 }
 
 std::vector<stage_change> planStages(std::span<const stage_engine> engines,
@@ -111,7 +114,7 @@
     const engine_stage to = isMoreWanted ? engine_stage::Decode : engine_stage::Prefill;
     const std::uint32_t count = isMoreWanted ? wanted - decoders : decoders - wanted;
     while (changes.size() < count) {
-        const stage_engine *next = cheapest(engines, from, changes);
+        const stage_engine *next = cheapestToChange(engines, from, changes);
         if (next == nullptr)
             break;
         changes.push_back({next->id, to});
@@ -119,9 +122,9 @@
     return changes;
 }
 
-/// An engine that crashed is back after a few seconds, and a change takes as long: made at once, it
-/// is undone as soon as it is done, and both take engines away when they are short. Where nothing
-/// runs, a change costs nothing.
+/// A crashed engine is back after a few seconds, and a change of stage takes as long. A change made
+/// at once would be reverted as soon as it is complete, and both take engines out of service when
+/// they are scarce. While no requests are running, changes cost nothing and are due at once.
 std::vector<stage_change> dueChanges(std::span<const stage_engine> engines,
                                      const engine_traits &traits, stage_memory &memory)
 {
@@ -134,11 +137,11 @@
         memory.unevenSince = memory.lookedAt;
     if (memory.meanRunning < config::restRunning)
         return planned;
-    const milliseconds patience = planned.front().wanted == engine_stage::Decode
+    const milliseconds delay = planned.front().wanted == engine_stage::Decode
             ? config::stagePatience
             : config::stageGiveBackPatience;
-    const bool isDue = memory.lookedAt - memory.unevenSince >= patience;
-    planned.resize(isDue ? std::min(planned.size(), changesLeft(engines)) : 0);
+    const bool isDue = memory.lookedAt - memory.unevenSince >= delay;
+    planned.resize(isDue ? std::min(planned.size(), allowedChanges(engines)) : 0);
     return planned;
 }
 
--- a/src/gateway/suspect_book.h
+++ b/src/gateway/suspect_book.h
@@ -11,62 +11,66 @@
 
 namespace poplarspool::gateway {
 
-/// A request that is sent to no runner.
+/// State of a request that must not be sent to any runner.
 struct quarantine
 {
-    std::size_t lives = 0; ///< That ended under it.
-    milliseconds left{0}; ///< Until it may be tried again.
+    std::size_t lives = 0; ///< Runner incarnations that ended while executing it.
+    milliseconds left{0}; ///< Time until it may be sent again.
 
     bool operator==(const quarantine &) const = default;
 };
 
-/// What an instance knows of requests under which runners end, and what follows from it.
+/// The crash records that an instance knows, and the requests quarantined because of them.
 ///
-/// Those that run beside the guilty one at a runner are cut off with it, and are seen at its end as
-/// well. A life that ended under a request in quarantine speaks against no other that was at fewer
-/// ends. Who was at the same ends is kept as well: let go for the other's sake, the guilty one
-/// would go on. Once kept, a request comes free by a whole answer or by time alone.
+/// Requests that run on a runner together with the one that crashes it are cut off as well, so the
+/// crash is recorded for all of them. An incarnation that ended under a quarantined request doesn't
+/// count against other requests with fewer recorded ends. Requests with the same recorded ends are
+/// quarantined together: if one excused the other, the cause could be released and go on crashing
+/// runners. A quarantine is lifted only when the request completes or when its time is over.
 class suspect_book
 {
 public:
-    /// @returns Whether it is news.
-    bool noteEnded(std::uint64_t digest, const ended_life &life);
-    /// @returns Whether ends that had counted count no more.
+    /// Records that a runner ended while it executed the request.
+    /// @returns Whether this was not known yet.
+    bool noteEnded(std::uint64_t digest, const ended_life &ended);
+    /// Records that the request completed.
+    /// @returns Whether this cleared recorded ends.
     bool noteServed(std::uint64_t digest, std::int64_t nowMs);
-    /// @returns Whether anything in it is news.
-    bool join(const std::vector<suspect> &told);
+    /// Merges records received from other instances or read from the store.
+    /// @returns Whether they contained anything new.
+    bool join(const std::vector<suspect> &received);
 
-    // Of a request's path: without a lock.
+    // Called for each request; lock-free.
 
-    /// @returns Nothing where it may be sent.
+    /// @returns Empty if the request may be sent.
     std::optional<quarantine> quarantineOf(std::uint64_t digest, std::int64_t nowMs) const;
-    /// @returns How many lives count against it.
+    /// @returns The number of ended incarnations that count against the request.
     std::size_t countLives(std::uint64_t digest) const;
 
-    bool hasEnded(std::uint64_t life) const;
-    /// @returns What the store has to keep: with it, a few ends more are enough after all instances
-    ///          were killed.
+    bool hasEnded(std::uint64_t incarnationKey) const;
+    /// @returns The records to persist in the store, so that after all instances were killed a few
+    ///          more ends suffice to quarantine a request.
     std::vector<suspect> lasting() const;
     std::optional<suspect> find(std::uint64_t digest) const;
-    /// @returns A number of config::suspectMarkBits that two instances share where they have the
-    ///          same requests in quarantine; 0: none.
+    /// @returns A fingerprint of the set of requests in quarantine, config::suspectMarkBits wide; 0
+    ///          if there are none.
     std::uint64_t markAt(std::int64_t nowMs) const;
 
 private:
-    struct judgement
+    struct assessment
     {
-        std::size_t lives = 0; ///< That count, explained or not.
-        std::int64_t untilMs = 0; ///< In quarantine until then; 0: it isn't.
+        std::size_t incarnations = 0; ///< That count, attributed to another request or not.
+        std::int64_t untilMs = 0; ///< End of the quarantine in Unix ms; 0 if there is none.
     };
-    using judgements = std::unordered_map<std::uint64_t, judgement>;
+    using assessment_map = std::unordered_map<std::uint64_t, assessment>;
 
-    suspect &entryOf(std::uint64_t digest);
-    void makeRoom();
-    void judge();
+    suspect &recordOf(std::uint64_t digest);
+    void evictExcess();
+    void reassess();
 
     mutable std::mutex guard;
-    std::map<std::uint64_t, suspect> known; ///< By digest.
-    published<judgements> judged{judgements{}};
+    std::map<std::uint64_t, suspect> records; ///< By request digest.
+    published<assessment_map> assessments{assessment_map{}};
 };
 
 } // namespace poplarspool::gateway
--- a/src/gateway/suspect_keeper.cpp
+++ b/src/gateway/suspect_keeper.cpp
@@ -52,15 +52,15 @@
 
 std::optional<quarantine> suspect_keeper::quarantineOf(std::uint64_t digest) const
 {
-    return book.quarantineOf(digest, nowMs());
+    return table.quarantineOf(digest, nowMs());
 }
 
-/// A broken answer alone says little: connections are reset, and runners break off answers. That
-/// nobody listens there any more says that the runner has ended.
+/// An incomplete response alone doesn't show that the runner has ended: connections are reset, and
+/// runners may abort responses. Refused connections do show it.
 void suspect_keeper::noteBroken(std::uint64_t digest, const runner &target)
 {
-    if (book.hasEnded(lifeKeyOf(target)) || tools.isRefused(target.address))
-        count(digest, target);
+    if (table.hasEnded(lifeKeyOf(target)) || tools.isRefused(target.address))
+        countEnd(digest, target);
     else
         noteDoubt(digest, target);
 }
@@ -68,97 +68,98 @@
 void suspect_keeper::noteDoubt(std::uint64_t digest, const runner &target)
 {
     const std::lock_guard lock(guard);
-    if (doubts.size() < config::maxSuspectDoubts)
-        doubts.push_back({digest, target, clock.mono()});
+    if (unconfirmed.size() < config::maxSuspectDoubts)
+        unconfirmed.push_back({digest, target, clock.mono()});
 }
 
-/// The word of the host may have been lost, or another instance has seen the runner's end.
-void suspect_keeper::settleDoubts()
+/// The refusal of the connection may have been lost, or another instance may have observed the end
+/// of the runner meanwhile.
+void suspect_keeper::resolveUnconfirmed()
 {
-    std::vector<doubt> open;
+    std::vector<unconfirmed_end> toCheck;
     {
         const std::lock_guard lock(guard);
-        open = std::exchange(doubts, {});
+        toCheck = std::exchange(unconfirmed, {});
     }
     std::map<std::uint64_t, bool> hasEnded;
-    std::vector<doubt> left;
-    for (doubt &each : open) {
-        const std::uint64_t life = lifeKeyOf(each.target);
-        const auto [known, isNew] = hasEnded.try_emplace(life, false);
+    std::vector<unconfirmed_end> remaining;
+    for (unconfirmed_end &each : toCheck) {
+        const std::uint64_t key = lifeKeyOf(each.target);
+        const auto [known, isNew] = hasEnded.try_emplace(key, false);
         if (isNew)
-            known->second = book.hasEnded(life) || tools.isRefused(each.target.address);
+            known->second = table.hasEnded(key) || tools.isRefused(each.target.address);
         if (known->second)
-            count(each.digest, each.target);
+            countEnd(each.digest, each.target);
         else if (clock.mono() - each.seenAt < config::suspectDoubtTime)
-            left.push_back(std::move(each));
+            remaining.push_back(std::move(each));
     }
     const std::lock_guard lock(guard);
-    std::ranges::move(left, std::back_inserter(doubts));
+    std::ranges::move(remaining, std::back_inserter(unconfirmed));
 }
 
-void suspect_keeper::count(std::uint64_t digest, const runner &target)
+void suspect_keeper::countEnd(std::uint64_t digest, const runner &target)
 {
-    const std::uint64_t life = lifeKeyOf(target);
-    const ended_life ended{life, nowMs()};
-    if (!book.noteEnded(digest, ended))
+    const std::uint64_t key = lifeKeyOf(target);
+    const ended_life ended{key, nowMs()};
+    if (!table.noteEnded(digest, ended))
         return;
     endsSeen.add();
     events.emit("ended_under_request",
                 {{"digest", digestText(digest)},
                  {"runner", target.id.text},
                  {"born", std::to_string(target.bornMs)},
-                 {"lives", std::to_string(book.countLives(digest))}});
-    logJudgement(digest);
+                 {"lives", std::to_string(table.countLives(digest))}});
+    logQuarantine(digest);
     const std::lock_guard lock(guard);
-    end_report &report = pending[life].report;
+    end_report &report = pending[key].report;
     report.life = ended;
     report.digests.push_back(digest);
-    own.insert(digest);
-    isWoken = true;
+    ownDigests.insert(digest);
+    hasWork = true;
     changed.notify_all();
 }
 
 void suspect_keeper::noteServed(std::uint64_t digest)
 {
     const std::int64_t now = nowMs();
-    if (!book.noteServed(digest, now))
+    if (!table.noteServed(digest, now))
         return;
     events.emit("request_cleared", {{"digest", digestText(digest)}});
     const std::lock_guard lock(guard);
-    waiting.push_back(servedRumor(digest, now));
-    own.insert(digest);
-    isWoken = true;
+    outgoing.push_back(servedRumor(digest, now));
+    ownDigests.insert(digest);
+    hasWork = true;
     changed.notify_all();
 }
 
-void suspect_keeper::take(const peer::rumor &news)
+void suspect_keeper::take(const peer::rumor &rumor)
 {
-    const auto told = suspectsIn(news);
-    if (!succeeded(told)) {
+    const auto received = suspectsIn(rumor);
+    if (!succeeded(received)) {
         events.emit("rumor_ignored",
-                    {{"code", std::string(nameOf(errorOf(told).code))}, {"key", news.key}});
+                    {{"code", std::string(nameOf(errorOf(received).code))}, {"key", rumor.key}});
         return;
     }
-    if (valueOf(told).empty() || !book.join(valueOf(told)))
+    if (valueOf(received).empty() || !table.join(valueOf(received)))
         return;
-    for (const suspect &one : valueOf(told))
-        logJudgement(one.digest);
+    for (const suspect &one : valueOf(received))
+        logQuarantine(one.digest);
     const std::lock_guard lock(guard);
-    isWoken = true;
+    hasWork = true;
     changed.notify_all();
 }
 
 void suspect_keeper::restore()
 {
     const std::lock_guard lock(guard);
-    isCopyNew = true;
+    isRollbackNew = true;
 }
 
-void suspect_keeper::logJudgement(std::uint64_t digest) const
+void suspect_keeper::logQuarantine(std::uint64_t digest) const
 {
-    const auto kept = quarantineOf(digest);
-    const auto entry = book.find(digest);
-    if (!kept || !entry)
+    const auto active = quarantineOf(digest);
+    const auto entry = table.find(digest);
+    if (!active || !entry)
         return;
     std::string lives;
     for (const ended_life &each : entry->lives)
@@ -166,7 +167,7 @@
     events.emit("request_quarantined",
                 {{"digest", digestText(digest)},
                  {"lives", lives},
-                 {"for_ms", std::to_string(kept->left.count())}});
+                 {"for_ms", std::to_string(active->left.count())}});
 }
 
 void suspect_keeper::run()
@@ -174,79 +175,80 @@
     std::unique_lock lock(guard);
     while (!isStopping) {
         lock.unlock();
-        look();
+        runOnce();
         lock.lock();
-        changed.wait_for(lock, config::suspectLookTime, [this] { return isStopping || isWoken; });
-        // All that ran at a runner see its end within some milliseconds.
-        if (isWoken)
+        changed.wait_for(lock, config::suspectLookTime, [this] { return isStopping || hasWork; });
+        // All requests on a runner observe its end within a few milliseconds; collect them.
+        if (hasWork)
             changed.wait_for(lock, config::suspectGatherTime, [this] { return isStopping; });
-        isWoken = false;
+        hasWork = false;
     }
     lock.unlock();
-    tellPending();
+    sendPending();
 }
 
-/// @returns A part of a second, another one at each instance, for what all would do at once.
-milliseconds suspect_keeper::spreadTime() const
+/// @returns A delay of less than a second that differs between instances, for actions that all
+/// would otherwise take at once.
+milliseconds suspect_keeper::jitter() const
 {
     const double share = unitOf(hashOf(self.text));
     return milliseconds(std::llround(share * static_cast<double>(config::enterSpreadTime.count())));
 }
 
-/// All instances notice at once; their reads and writes are spread.
-void suspect_keeper::noticeCopy()
+/// All instances learn of a store rollback at once, so their reads and writes are spread over time.
+void suspect_keeper::handleStoreRollback()
 {
     {
         const std::lock_guard lock(guard);
-        if (!std::exchange(isCopyNew, false))
+        if (!std::exchange(isRollbackNew, false))
             return;
     }
-    restoresAll = true;
+    rewritesAll = true;
     stored.reset();
     readAt = clock.mono();
-    readPause = spreadTime();
+    readInterval = jitter();
 }
 
-void suspect_keeper::look()
+void suspect_keeper::runOnce()
 {
-    noticeCopy();
-    settleDoubts();
-    tellPending();
-    const std::uint64_t mark = book.markAt(nowMs());
-    tools.setMark(mark);
-    if (mark != markSeen)
-        readPause = config::suspectReadPauseFirst;
-    markSeen = mark;
+    handleStoreRollback();
+    resolveUnconfirmed();
+    sendPending();
+    const std::uint64_t fingerprint = table.markAt(nowMs());
+    tools.setMark(fingerprint);
+    if (fingerprint != lastFingerprint)
+        readInterval = config::suspectReadPauseFirst;
+    lastFingerprint = fingerprint;
     bool mayAskStore = false;
     {
         const std::lock_guard lock(guard);
         mayAskStore = !isLeaving;
-        if (own.size() > config::maxSuspects)
-            std::erase_if(own, [this](std::uint64_t digest) { return !book.find(digest); });
+        if (ownDigests.size() > config::maxSuspects)
+            std::erase_if(ownDigests, [this](std::uint64_t digest) { return !table.find(digest); });
     }
     if (mayAskStore) {
-        if (mustRead())
+        if (shouldReadStore())
             readStore();
         writeStore();
     }
-    lookedAt = clock.mono();
+    lastRunAt = clock.mono();
 }
 
-void suspect_keeper::tellPending()
+void suspect_keeper::sendPending()
 {
     std::vector<end_report> reports;
     std::vector<peer::rumor> rumors;
     {
         const std::lock_guard lock(guard);
-        for (auto &[life, each] : pending) {
-            if (std::exchange(each.told, each.report.digests.size()) < each.told)
+        for (auto &[key, each] : pending) {
+            if (std::exchange(each.sentDigests, each.report.digests.size()) < each.sentDigests)
                 reports.push_back(each.report);
         }
         const std::int64_t oldest = nowMs() - config::suspectReportTime.count();
         std::erase_if(pending, [oldest](const auto &entry) {
             return entry.second.report.life.endedMs < oldest;
         });
-        rumors = std::exchange(waiting, {});
+        rumors = std::exchange(outgoing, {});
     }
     for (const end_report &report : reports) {
         for (peer::rumor &one : rumorsOf(self, report))
@@ -256,37 +258,39 @@
         tools.spread(std::move(one));
 }
 
-/// @returns Whether it was suspended or cut off until now: rumors don't wait for it.
-bool suspect_keeper::isBackInTouch()
+/// @returns Whether this instance was suspended or partitioned until now. It may have missed rumors
+/// that were sent meanwhile.
+bool suspect_keeper::hasReconnected()
 {
     const mono_time now = clock.mono();
-    const bool wasSuspended = lookedAt != mono_time{}
-            && now - lookedAt > config::suspectLookTime + config::suspectSuspended;
-    const bool isCutOff = now - tools.confirmedAt() > config::suspectCutOff;
-    const bool isBack = std::exchange(wasCutOff, isCutOff) && !isCutOff;
+    const bool wasSuspended = lastRunAt != mono_time{}
+            && now - lastRunAt > config::suspectLookTime + config::suspectSuspended;
+    const bool isPartitioned = now - tools.confirmedAt() > config::suspectCutOff;
+    const bool isBack = std::exchange(wasPartitioned, isPartitioned) && !isPartitioned;
     return wasSuspended || isBack;
 }
 
-/// An instance that starts, was away, or sees that another one has something else in
-/// quarantine may have missed rumors.
-bool suspect_keeper::mustRead()
+/// An instance may have missed rumors if it has just started, was suspended or partitioned, or if
+/// another instance has a different quarantine.
+bool suspect_keeper::shouldReadStore()
 {
     const mono_time now = clock.mono();
-    if (isBackInTouch())
+    if (hasReconnected())
         return true;
-    if (now - readAt < readPause)
+    if (now - readAt < readInterval)
         return false;
     if (!stored)
         return true;
-    return hasOthersMark();
+    return hasOtherFingerprint();
 }
 
-/// @returns Whether another instance has had something else in quarantine for a while.
-bool suspect_keeper::hasOthersMark()
+/// @returns Whether the quarantine of another instance has differed from the own one for a while.
+bool suspect_keeper::hasOtherFingerprint()
 {
-    const auto marks = tools.marks();
-    const bool differs = std::ranges::any_of(
-            marks, [this](std::uint64_t mark) { return mark != 0 && mark != markSeen; });
+    const auto others = tools.marks();
+    const bool differs = std::ranges::any_of(others, [this](std::uint64_t fingerprint) {
+        return fingerprint != 0 && fingerprint != lastFingerprint;
+    });
     if (!differs) {
         differsSince = {};
         return false;
@@ -300,26 +304,26 @@
 void suspect_keeper::readStore()
 {
     readAt = clock.mono();
-    readPause =
-            std::clamp(readPause * 2, config::suspectReadPauseFirst, config::suspectReadPauseMost);
+    readInterval = std::clamp(readInterval * 2, config::suspectReadPauseFirst,
+                              config::suspectReadPauseMost);
     auto found = store.read();
     if (!succeeded(found))
-        return; // The watches have logged that the store is away.
+        return; // The watches have logged the store failure.
     stored = std::move(valueOf(found));
-    if (!book.join(stored->suspects))
+    if (!table.join(stored->suspects))
         return;
     for (const suspect &one : stored->suspects)
-        logJudgement(one.digest);
-    markSeen = book.markAt(nowMs());
-    tools.setMark(markSeen);
+        logQuarantine(one.digest);
+    lastFingerprint = table.markAt(nowMs());
+    tools.setMark(lastFingerprint);
 }
 
-/// Only who has seen an end itself writes of it, so that not all write at once.
-bool suspect_keeper::isOwnMissingIn(const suspect_list &list)
+/// Only instances that have observed an end themselves write it, so that not all write at once.
+bool suspect_keeper::isOwnRecordMissingIn(const suspect_list &list)
 {
     const std::lock_guard lock(guard);
-    for (const suspect &one : book.lasting()) {
-        if (!restoresAll && !own.contains(one.digest))
+    for (const suspect &one : table.lasting()) {
+        if (!rewritesAll && !ownDigests.contains(one.digest))
             continue;
         const auto found = std::ranges::find(list.suspects, one.digest, &suspect::digest);
         if (found == list.suspects.end() || joined(*found, one) != *found)
@@ -332,11 +336,11 @@
 {
     if (!stored)
         return;
-    if (isOwnMissingIn(*stored)) {
-        // Others may have written meanwhile.
+    if (isOwnRecordMissingIn(*stored)) {
+        // Other instances may have written meanwhile.
         readStore();
         suspect_list next = *stored;
-        next.suspects = book.lasting();
+        next.suspects = table.lasting();
         if (next.suspects != stored->suspects) {
             const auto written = store.write(next);
             events.emit("suspects_stored",
@@ -344,14 +348,15 @@
                          {"fault", succeeded(written) ? "" : errorOf(written).message}});
             if (!succeeded(written)) {
                 stored.reset();
-                readPause = spreadTime();
+                readInterval = jitter();
                 return;
             }
-            // The next write needs the revision that this one has made.
+            // `stored` keeps the previous version: the list is read again before the next write,
+            // which needs the revision created by this one.
             stored->suspects = std::move(next.suspects);
         }
     }
-    restoresAll = false;
+    rewritesAll = false;
 }
 
 } // namespace poplarspool::gateway
--- a/src/gateway/suspect_keeper.h
+++ b/src/gateway/suspect_keeper.h
@@ -14,25 +14,28 @@
 
 namespace poplarspool::gateway {
 
-/// What the keeper of suspects needs of its instance.
+/// What the quarantine manager needs from its instance.
 struct suspect_tools
 {
-    /// @returns Whether nobody listens at the address any more, by the word of its host.
+    /// @returns Whether the host of the address refuses connections: no process listens there any
+    /// more.
     std::function<bool(const endpoint &)> isRefused;
+    /// Sends a rumor to the other instances by gossip.
     std::function<void(peer::rumor)> spread;
-    /// Tells the others, again and again, what this instance has in quarantine.
+    /// Sets the fingerprint of this instance's quarantine that its heartbeats send.
     std::function<void(std::uint64_t)> setMark;
-    /// @returns What the other instances have, as last heard; 0 of those that have nothing.
+    /// @returns The fingerprints last received from the other instances; 0 for an empty quarantine.
     std::function<std::vector<std::uint64_t>()> marks;
-    /// @returns When the store last confirmed anything to this instance, by itself or through
-    ///          another one.
+    /// @returns When this instance last received a confirmation from the store, directly or through
+    ///          another instance.
     std::function<mono_time()> confirmedAt;
 };
 
-/// Gathers under which requests runners end: from this instance's own sends, from the others by
-/// rumors, and from the store. Rumors are fast, and may be lost; two ends and more are in the store
-/// as well, for instances that start later, were cut off, or were all killed at once. That an
-/// instance lacks something shows by the others' marks.
+/// Collects during which requests runners ended, from this instance's own tries, from rumors of
+/// other instances, and from the store. Rumors are fast but may be lost. Records with two or more
+/// ends are also persisted in the store, for instances that start later, were partitioned, or were
+/// all killed at once. An instance detects that it lacks records by comparing fingerprints with the
+/// others.
 class suspect_keeper
 {
 public:
@@ -41,39 +44,41 @@
     ~suspect_keeper();
 
     void start();
-    /// From now on, the store is left alone: with a slow one, the end would wait for it. What is
-    /// seen is still told.
+    /// Stops all access to the store, so that the shutdown doesn't wait for a slow one. Ends are
+    /// still sent to other instances.
     void leave();
     void stop();
 
-    // Of a request's path.
+    // Called while handling requests.
 
-    /// @returns Nothing where it may be sent.
+    /// @returns Empty if the request may be sent.
     std::optional<quarantine> quarantineOf(std::uint64_t digest) const;
-    /// @returns How many lives of runners that ended under it count.
-    std::size_t countLives(std::uint64_t digest) const { return book.countLives(digest); }
-    /// The connection was lost before the answer was whole. Where the runner has ended, it counts.
+    /// @returns The number of ended incarnations that count against the request.
+    std::size_t countLives(std::uint64_t digest) const { return table.countLives(digest); }
+    /// Records that the connection was lost before the response was complete. Counts against the
+    /// request if the runner has ended.
     void noteBroken(std::uint64_t digest, const runner &target);
-    /// The answer was no whole one, and the connection says nothing of the runner's end: looked at
-    /// later.
+    /// Records an incomplete response where the connection doesn't show whether the runner has
+    /// ended; this is checked later.
     void noteDoubt(std::uint64_t digest, const runner &target);
     void noteServed(std::uint64_t digest);
 
-    /// Takes what another instance has told; rumors of other kinds are passed over.
-    void take(const peer::rumor &news);
-    /// The store may have lost what was written there.
+    /// Applies a rumor of another instance; ignores other kinds of rumors.
+    void take(const peer::rumor &rumor);
+    /// To be called after a store rollback: records that were written to the store may be lost.
     void restore();
 
 private:
-    /// Kept for a while, so that what is seen later of the same end joins its rumor.
+    /// A report is kept for some time, so that requests recorded later for the same end are added
+    /// to its rumor.
     struct pending_report
     {
         end_report report;
-        std::size_t told = 0; ///< Digests.
+        std::size_t sentDigests = 0; ///< Number of digests already sent.
     };
 
-    /// A broken answer of a runner that may have ended.
-    struct doubt
+    /// An incomplete response of a runner that may have ended.
+    struct unconfirmed_end
     {
         std::uint64_t digest = 0;
         runner target;
@@ -81,20 +86,20 @@
     };
 
     std::int64_t nowMs() const;
-    void count(std::uint64_t digest, const runner &target);
-    void settleDoubts();
-    bool hasOthersMark();
+    void countEnd(std::uint64_t digest, const runner &target);
+    void resolveUnconfirmed();
+    bool hasOtherFingerprint();
     void run();
-    void look();
-    milliseconds spreadTime() const;
-    void noticeCopy();
-    void tellPending();
-    bool mustRead();
-    bool isBackInTouch();
+    void runOnce();
+    milliseconds jitter() const;
+    void handleStoreRollback();
+    void sendPending();
+    bool shouldReadStore();
+    bool hasReconnected();
     void readStore();
     void writeStore();
-    bool isOwnMissingIn(const suspect_list &list);
-    void logJudgement(std::uint64_t digest) const;
+    bool isOwnRecordMissingIn(const suspect_list &list);
+    void logQuarantine(std::uint64_t digest) const;
 
     const suspect_tools tools;
     const suspect_store store;
@@ -102,28 +107,28 @@
     const clock_source clock;
     journal &events;
     counter &endsSeen;
-    suspect_book book;
+    suspect_book table;
     std::mutex guard;
     std::condition_variable changed;
     bool isStopping = false;
     bool isLeaving = false;
-    std::vector<doubt> doubts;
-    bool isWoken = false;
-    bool isCopyNew = false; ///< The store has come back from an older copy, and nobody has looked.
-    std::map<std::uint64_t, pending_report> pending; ///< By life.
-    std::set<std::uint64_t> own; ///< Digests that this instance has news of by its own sends.
-    std::vector<peer::rumor> waiting;
+    std::vector<unconfirmed_end> unconfirmed;
+    bool hasWork = false;
+    bool isRollbackNew = false; ///< A store rollback was reported and is not handled yet.
+    std::map<std::uint64_t, pending_report> pending; ///< By incarnation key.
+    std::set<std::uint64_t> ownDigests; ///< Digests with ends observed by this instance itself.
+    std::vector<peer::rumor> outgoing;
     std::thread thread;
 
-    // Of the thread alone.
-    std::optional<suspect_list> stored; ///< As last read or written.
-    bool restoresAll = false; ///< Also what others have seen has to stand in the store again.
-    std::uint64_t markSeen = 0;
-    mono_time lookedAt{};
-    mono_time differsSince{}; ///< When another mark was seen first; 0: none.
-    bool wasCutOff = false;
+    // Only accessed by the thread.
+    std::optional<suspect_list> stored; ///< The list as last read or written.
+    bool rewritesAll = false; ///< Also rewrites records that only other instances observed.
+    std::uint64_t lastFingerprint = 0;
+    mono_time lastRunAt{};
+    mono_time differsSince{}; ///< Since when another fingerprint differs; 0 if none does.
+    bool wasPartitioned = false;
     mono_time readAt{};
-    milliseconds readPause{0};
+    milliseconds readInterval{0};
 };
 
 } // namespace poplarspool::gateway
--- a/src/gateway/suspect_news.cpp
+++ b/src/gateway/suspect_news.cpp
@@ -13,57 +13,57 @@
 
 constexpr std::string_view endedPrefix = "ended/";
 constexpr std::string_view servedPrefix = "served/";
-/// Requests in one rumor, so that it keeps its bound of bytes.
-constexpr std::size_t maxDigestsTold = 56;
+/// Maximum number of requests in one rumor, so that it stays within the size limit of rumors.
+constexpr std::size_t maxDigestsPerRumor = 56;
 constexpr std::size_t digestBytes = 8;
 
-template <class Codec, class Life, class Digests>
-void describeEnd(Codec &codec, Life &life, Digests &digests)
+template <class Codec, class Incarnation, class Digests>
+void serializeEnd(Codec &codec, Incarnation &ended, Digests &digests)
 {
-    codec.fixed(life.life);
-    codec.fixed(life.endedMs);
-    codec.list(digests, maxDigestsTold, digestBytes,
+    codec.fixed(ended.life);
+    codec.fixed(ended.endedMs);
+    codec.list(digests, maxDigestsPerRumor, digestBytes,
                [](Codec &each, auto &digest) { each.fixed(digest); });
 }
 
-std::vector<suspect> readEnd(peer::decoder &in)
+std::vector<suspect> decodeEnd(peer::decoder &in)
 {
-    ended_life life;
+    ended_life ended;
     std::vector<std::uint64_t> digests;
-    describeEnd(in, life, digests);
-    std::vector<suspect> told;
-    told.reserve(digests.size());
+    serializeEnd(in, ended, digests);
+    std::vector<suspect> received;
+    received.reserve(digests.size());
     for (const std::uint64_t digest : digests)
-        told.push_back({digest, {life}, 0});
-    return told;
+        received.push_back({digest, {ended}, 0});
+    return received;
 }
 
-std::vector<suspect> readServed(peer::decoder &in)
+std::vector<suspect> decodeServed(peer::decoder &in)
 {
-    suspect told;
-    in.fixed(told.digest);
-    in.fixed(told.servedMs);
-    return {told};
+    suspect received;
+    in.fixed(received.digest);
+    in.fixed(received.servedMs);
+    return {received};
 }
 
 } // namespace
 
 std::vector<peer::rumor> rumorsOf(const instance_id &self, const end_report &report)
 {
-    std::vector<peer::rumor> made;
-    for (std::size_t first = 0; first < report.digests.size(); first += maxDigestsTold) {
-        const std::size_t count = std::min(maxDigestsTold, report.digests.size() - first);
+    std::vector<peer::rumor> rumors;
+    for (std::size_t first = 0; first < report.digests.size(); first += maxDigestsPerRumor) {
+        const std::size_t count = std::min(maxDigestsPerRumor, report.digests.size() - first);
         const auto begin = report.digests.begin() + static_cast<std::ptrdiff_t>(first);
         const std::vector<std::uint64_t> part(begin, begin + static_cast<std::ptrdiff_t>(count));
         auto payload =
-                peer::encoded([&](peer::encoder &out) { describeEnd(out, report.life, part); });
-        // More requests of the same end are a newer version of the same rumor.
+                peer::encoded([&](peer::encoder &out) { serializeEnd(out, report.life, part); });
+        // The count is the version: a report with more requests replaces the earlier rumor.
         if (succeeded(payload))
-            made.push_back({std::string(endedPrefix) + digestText(report.life.life) + "/"
-                                    + std::to_string(first) + "/" + digestText(hashOf(self.text)),
-                            count, std::move(valueOf(payload))});
+            rumors.push_back({std::string(endedPrefix) + digestText(report.life.life) + "/"
+                                      + std::to_string(first) + "/" + digestText(hashOf(self.text)),
+                              count, std::move(valueOf(payload))});
     }
-    return made;
+    return rumors;
 }
 
 peer::rumor servedRumor(std::uint64_t digest, std::int64_t servedMs)
@@ -75,18 +75,18 @@
             out.take()};
 }
 
-result<std::vector<suspect>> suspectsIn(const peer::rumor &news)
+result<std::vector<suspect>> suspectsIn(const peer::rumor &rumor)
 {
-    const bool isEnd = news.key.starts_with(endedPrefix);
-    if (!isEnd && !news.key.starts_with(servedPrefix))
+    const bool isEnd = rumor.key.starts_with(endedPrefix);
+    if (!isEnd && !rumor.key.starts_with(servedPrefix))
         return std::vector<suspect>{};
     try {
-        peer::decoder in(news.payload);
-        std::vector<suspect> told = isEnd ? readEnd(in) : readServed(in);
+        peer::decoder in(rumor.payload);
+        std::vector<suspect> received = isEnd ? decodeEnd(in) : decodeServed(in);
         in.finish();
-        return told;
+        return received;
     } catch (const std::exception &) {
-        return notRun(error_code::Broken, "malformed news of a runner's end");
+        return notRun(error_code::Broken, "malformed rumor of a runner's end");
     }
 }
 
--- a/src/gateway/suspect_news.h
+++ b/src/gateway/suspect_news.h
@@ -5,22 +5,25 @@
 
 #include <vector>
 
-/// Rumors by which instances tell each other under which requests runners end.
+/// Rumors in which instances send each other the ends of runners and the requests that were
+/// running.
 namespace poplarspool::gateway {
 
-/// A runner's life has ended while these requests ran there, as one instance saw it.
+/// An incarnation of a runner that ended while executing these requests, as observed by one
+/// instance.
 struct end_report
 {
     ended_life life;
     std::vector<std::uint64_t> digests;
 };
 
-/// @returns As many rumors as it takes.
+/// @returns The report, split into as many rumors as the size limit requires.
 std::vector<peer::rumor> rumorsOf(const instance_id &self, const end_report &report);
-/// The request was served whole.
+/// @returns A rumor that the request has completed.
+/// @param servedMs Unix time in ms.
 peer::rumor servedRumor(std::uint64_t digest, std::int64_t servedMs);
 
-/// @returns What the rumor says; nothing where it is of another kind, Broken where it is malformed.
-result<std::vector<suspect>> suspectsIn(const peer::rumor &news);
+/// @returns The records in the rumor; empty if it is of another kind, Broken if it is malformed.
+result<std::vector<suspect>> suspectsIn(const peer::rumor &rumor);
 
 } // namespace poplarspool::gateway
--- a/src/gateway/told_changes.cpp
+++ b/src/gateway/told_changes.cpp
@@ -12,26 +12,27 @@
 
 namespace {
 
-/// Form of a told table. Another version that changes the fields changes the number too, and this
-/// one then asks the store.
-constexpr std::uint32_t tableForm = 5;
+/// Format version of an encoded table. Must be changed together with the fields. An instance that
+/// receives another format reads the table from the store.
+constexpr std::uint32_t tableFormat = 5;
 
-/// Bounds of what is read from another instance: bytes of an address with its port and of a path,
-/// and items of each list.
+/// Limits of the data decoded from another instance: bytes of an address with its port, bytes of a
+/// path, and items of each list.
 constexpr std::size_t maxAddressBytes = 64;
 constexpr std::size_t maxPathBytes = 512;
 constexpr std::size_t maxItems = 256;
-/// Routes, services and workspaces of a whole table, since a run of a few bytes stands for many.
-constexpr std::size_t maxToldRoutes = 16'384;
-constexpr std::size_t maxToldServices = 4'096;
-constexpr std::size_t maxToldWorkspaces = 65'536;
-/// Bytes of the smallest item of each list.
-constexpr std::size_t leastPartBytes = 2;
-constexpr std::size_t leastServiceBytes = 2;
+/// Maximum routes, services and workspaces of a decoded table. Needed in addition to `maxItems`,
+/// since a run of a few bytes stands for many of them.
+constexpr std::size_t maxRelayedRoutes = 16'384;
+constexpr std::size_t maxRelayedServices = 4'096;
+constexpr std::size_t maxRelayedWorkspaces = 65'536;
+/// Minimum encoded size of an item of each list, in bytes.
+constexpr std::size_t minPartBytes = 2;
+constexpr std::size_t minServiceBytes = 2;
 constexpr std::size_t keyBytes = sizeof(workspaces::key_digest);
 
 template <class Codec, class Time>
-void describeTime(Codec &codec, Time &time)
+void serializeTime(Codec &codec, Time &time)
 {
     if constexpr (Codec::isDecoding) {
         std::uint32_t count = 0;
@@ -43,7 +44,7 @@
 }
 
 template <class Codec, class Entry, class Address>
-void describeRunner(Codec &codec, Entry &entry, Address &&address)
+void serializeRunner(Codec &codec, Entry &entry, Address &&address)
 {
     codec.text(entry.service.text, config::maxNameBytes);
     codec.text(address, maxAddressBytes);
@@ -57,7 +58,7 @@
 }
 
 template <class Codec, class Route>
-void describeRoute(Codec &codec, Route &one)
+void serializeRoute(Codec &codec, Route &one)
 {
     codec.text(one.name, config::maxNameBytes);
     codec.text(one.host, config::maxNameBytes);
@@ -67,18 +68,18 @@
     codec.small(one.isStream);
     codec.small(one.isResumable);
     codec.small(one.repeats);
-    describeTime(codec, one.timeLimit);
-    describeTime(codec, one.objective);
+    serializeTime(codec, one.timeLimit);
+    serializeTime(codec, one.objective);
     codec.small(one.rank);
     codec.small(one.maxRunners);
-    codec.list(one.services, maxItems, leastServiceBytes, [](Codec &each, auto &part) {
+    codec.list(one.services, maxItems, minServiceBytes, [](Codec &each, auto &part) {
         each.text(part.service.text, config::maxNameBytes);
         each.small(part.weight);
     });
 }
 
 template <class Codec, class Traits>
-void describeTraits(Codec &codec, Traits &traits)
+void serializeTraits(Codec &codec, Traits &traits)
 {
     codec.small(traits.batch);
     codec.small(traits.kvTokens);
@@ -87,96 +88,96 @@
 }
 
 template <class Codec, class Traits>
-void describeScaling(Codec &codec, Traits &traits)
+void serializeScaling(Codec &codec, Traits &traits)
 {
     codec.small(traits.least);
     codec.small(traits.most);
-    describeTime(codec, traits.bootTime);
+    serializeTime(codec, traits.bootTime);
     codec.fixed(traits.spotPrice);
 }
 
-/// Describes what may be missing.
-template <class Codec, class Part, class Describe>
-void describeOptional(Codec &codec, Part &part, const Describe &describe)
+/// Serializes an optional value.
+template <class Codec, class Part, class Serialize>
+void serializeOptional(Codec &codec, Part &part, const Serialize &serialize)
 {
-    bool isThere = part.has_value();
-    codec.small(isThere);
+    bool isPresent = part.has_value();
+    codec.small(isPresent);
     if constexpr (Codec::isDecoding) {
-        if (isThere)
+        if (isPresent)
             part.emplace();
     }
     if (part)
-        describe(codec, *part);
+        serialize(codec, *part);
 }
 
 template <class Codec, class Service>
-void describeService(Codec &codec, Service &one)
+void serializeService(Codec &codec, Service &one)
 {
     codec.text(one.id.text, config::maxNameBytes);
-    describeOptional(codec, one.engine,
-                     [](Codec &inner, auto &traits) { describeTraits(inner, traits); });
-    describeOptional(codec, one.scaling,
-                     [](Codec &inner, auto &traits) { describeScaling(inner, traits); });
+    serializeOptional(codec, one.engine,
+                      [](Codec &inner, auto &traits) { serializeTraits(inner, traits); });
+    serializeOptional(codec, one.scaling,
+                      [](Codec &inner, auto &traits) { serializeScaling(inner, traits); });
 }
 
 template <class Codec, class Workspace>
-void describeWorkspace(Codec &codec, Workspace &one)
+void serializeWorkspace(Codec &codec, Workspace &one)
 {
     codec.text(one.id.text, config::maxNameBytes);
     codec.list(one.keys, maxItems, keyBytes, [](Codec &each, auto &key) {
         each.fixed(key.high);
         each.fixed(key.low);
     });
-    describeOptional(codec, one.rank, [](Codec &inner, auto &rank) { inner.small(rank); });
+    serializeOptional(codec, one.rank, [](Codec &inner, auto &rank) { inner.small(rank); });
 }
 
 template <class Codec, class Bounds>
-void describeBounds(Codec &codec, Bounds &bounds)
+void serializeLimits(Codec &codec, Bounds &bounds)
 {
     codec.small(bounds.headerBytes);
     codec.small(bounds.bodyBytes);
-    describeTime(codec, bounds.headerTime);
-    describeTime(codec, bounds.idleTime);
+    serializeTime(codec, bounds.headerTime);
+    serializeTime(codec, bounds.idleTime);
 }
 
-/// Routes, services or workspaces of the new table: a run of those of the table before, or one that
-/// is told in full.
+/// Part of the delta: a run of routes, services or workspaces of the previous table, or a single
+/// one in full.
 template <class Part>
-struct told_part
+struct delta_part
 {
-    std::uint32_t count = 0; ///< Of the run; 0: `full` holds the part.
-    std::uint32_t first = 0; ///< Place of the run's first in the table before.
+    std::uint32_t count = 0; ///< Length of the run; 0 if the part is in `full`.
+    std::uint32_t first = 0; ///< Index of the run's first item in the previous table.
     Part full;
 };
 
-template <class Codec, class Parts, class Describe>
-void describeParts(Codec &codec, Parts &parts, const Describe &describe)
+template <class Codec, class Parts, class Serialize>
+void serializeParts(Codec &codec, Parts &parts, const Serialize &serialize)
 {
-    codec.list(parts, maxItems, leastPartBytes, [&](Codec &each, auto &one) {
+    codec.list(parts, maxItems, minPartBytes, [&](Codec &each, auto &one) {
         each.small(one.count);
         if (one.count > 0)
             each.small(one.first);
         else
-            describe(each, one.full);
+            serialize(each, one.full);
     });
 }
 
 template <class Codec, class Parts>
-void describeRoutes(Codec &codec, Parts &parts)
+void serializeRoutes(Codec &codec, Parts &parts)
 {
-    describeParts(codec, parts, [](Codec &each, auto &one) { describeRoute(each, one); });
+    serializeParts(codec, parts, [](Codec &each, auto &one) { serializeRoute(each, one); });
 }
 
 template <class Codec, class Parts>
-void describeServices(Codec &codec, Parts &parts)
+void serializeServices(Codec &codec, Parts &parts)
 {
-    describeParts(codec, parts, [](Codec &each, auto &one) { describeService(each, one); });
+    serializeParts(codec, parts, [](Codec &each, auto &one) { serializeService(each, one); });
 }
 
 template <class Codec, class Parts>
-void describeWorkspaces(Codec &codec, Parts &parts)
+void serializeWorkspaces(Codec &codec, Parts &parts)
 {
-    describeParts(codec, parts, [](Codec &each, auto &one) { describeWorkspace(each, one); });
+    serializeParts(codec, parts, [](Codec &each, auto &one) { serializeWorkspace(each, one); });
 }
 
 std::uint64_t contentHash(const route &one)
@@ -204,63 +205,65 @@
     return hash;
 }
 
-/// Runs go on as long as they can, so that one part that differs costs no more than its own text.
+/// Runs are extended as far as possible, so that one changed part adds little more than its own
+/// size.
 template <class Part>
-std::vector<told_part<Part>> toldParts(const std::vector<Part> &after,
-                                       const std::vector<Part> &before)
+std::vector<delta_part<Part>> deltaParts(const std::vector<Part> &after,
+                                         const std::vector<Part> &before)
 {
-    std::unordered_map<std::uint64_t, std::uint32_t> places;
-    for (std::uint32_t place = 0; place < before.size(); ++place)
-        places.try_emplace(contentHash(before[place]), place);
-    const auto isAt = [&before](const Part &one, std::uint32_t place) {
-        return place < before.size() && before[place] == one;
+    std::unordered_map<std::uint64_t, std::uint32_t> positions;
+    for (std::uint32_t position = 0; position < before.size(); ++position)
+        positions.try_emplace(contentHash(before[position]), position);
+    const auto isAt = [&before](const Part &one, std::uint32_t position) {
+        return position < before.size() && before[position] == one;
     };
-    std::vector<told_part<Part>> told;
-    std::uint32_t next = 0; ///< Place after the last run.
+    std::vector<delta_part<Part>> delta;
+    std::uint32_t next = 0; ///< Index in `before` after the last run.
     for (const Part &one : after) {
-        const bool isRun = !told.empty() && told.back().count > 0;
+        const bool isRun = !delta.empty() && delta.back().count > 0;
         if (isRun && isAt(one, next)) {
-            ++told.back().count;
+            ++delta.back().count;
             ++next;
             continue;
         }
-        const auto known = places.find(contentHash(one));
-        const std::uint32_t place = isAt(one, next) || known == places.end() ? next : known->second;
-        if (isAt(one, place)) {
-            told.push_back({1, place, {}});
-            next = place + 1;
+        const auto known = positions.find(contentHash(one));
+        const std::uint32_t position =
+                isAt(one, next) || known == positions.end() ? next : known->second;
+        if (isAt(one, position)) {
+            delta.push_back({1, position, {}});
+            next = position + 1;
         } else {
-            told.push_back({0, 0, one});
+            delta.push_back({0, 0, one});
         }
     }
-    return told;
+    return delta;
 }
 
-/// @returns None where a run is beyond the table before, or the parts are too many.
+/// @returns Empty if a run exceeds the previous table, or if there are more than `maxParts` parts.
 template <class Part>
-std::optional<std::vector<Part>> joinedParts(const std::vector<told_part<Part>> &told,
-                                             const std::vector<Part> &before, std::size_t maxParts)
+std::optional<std::vector<Part>> applyDelta(const std::vector<delta_part<Part>> &delta,
+                                            const std::vector<Part> &before, std::size_t maxParts)
 {
     std::size_t total = 0;
-    for (const told_part<Part> &one : told) {
+    for (const delta_part<Part> &one : delta) {
         if (one.first > before.size() || one.count > before.size() - one.first)
             return std::nullopt;
         total += std::max<std::size_t>(one.count, 1);
     }
     if (total > maxParts)
         return std::nullopt;
-    std::vector<Part> joined;
-    joined.reserve(total);
-    for (const told_part<Part> &one : told) {
+    std::vector<Part> combined;
+    combined.reserve(total);
+    for (const delta_part<Part> &one : delta) {
         if (one.count == 0)
-            joined.push_back(one.full);
+            combined.push_back(one.full);
         const auto first = before.begin() + one.first;
-        joined.insert(joined.end(), first, first + one.count);
+        combined.insert(combined.end(), first, first + one.count);
     }
-    return joined;
+    return combined;
 }
 
-bool areKnownRules(const std::vector<route> &routes)
+bool areValidRetryPolicies(const std::vector<route> &routes)
 {
     return std::ranges::all_of(
             routes, [](const route &one) { return one.repeats <= repeat_rule::AtMostOnce; });
@@ -279,7 +282,7 @@
         out.text(change.id.text, config::maxNameBytes);
         out.small(change.entry.has_value());
         if (change.entry)
-            describeRunner(out, *change.entry, textOf(change.entry->address));
+            serializeRunner(out, *change.entry, textOf(change.entry->address));
     });
 }
 
@@ -295,11 +298,11 @@
             runner entry;
             entry.id = change.id;
             std::string address;
-            describeRunner(in, entry, address);
-            const auto where = parseEndpoint(address);
-            if (!succeeded(where) || entry.stage > engine_stage::Decode)
+            serializeRunner(in, entry, address);
+            const auto parsed = parseEndpoint(address);
+            if (!succeeded(parsed) || entry.stage > engine_stage::Decode)
                 return malformed("entry of a runner");
-            entry.address = valueOf(where);
+            entry.address = valueOf(parsed);
             change.entry = std::move(entry);
         }
         in.finish();
@@ -311,22 +314,22 @@
 
 result<std::string> encode(const route_table &table, const route_table &before)
 {
-    if (table.routes.size() > maxToldRoutes || table.services.size() > maxToldServices
-        || table.workspaces.size() > maxToldWorkspaces)
-        return notRun(error_code::TooLarge, "more routes, services or workspaces than are told");
+    if (table.routes.size() > maxRelayedRoutes || table.services.size() > maxRelayedServices
+        || table.workspaces.size() > maxRelayedWorkspaces)
+        return notRun(error_code::TooLarge, "too many routes, services or workspaces to relay");
     return peer::encoded([&](peer::encoder &out) {
-        out.small(tableForm);
+        out.small(tableFormat);
         out.small(before.version);
         out.small(table.version);
-        describeBounds(out, table.bounds);
+        serializeLimits(out, table.bounds);
         out.small(table.needsKeys);
         out.small(table.hasUnreadKeys);
-        const auto services = toldParts(table.services, before.services);
-        const auto routes = toldParts(table.routes, before.routes);
-        const auto workspaces = toldParts(table.workspaces, before.workspaces);
-        describeServices(out, services);
-        describeWorkspaces(out, workspaces);
-        describeRoutes(out, routes);
+        const auto services = deltaParts(table.services, before.services);
+        const auto routes = deltaParts(table.routes, before.routes);
+        const auto workspaces = deltaParts(table.workspaces, before.workspaces);
+        serializeServices(out, services);
+        serializeWorkspaces(out, workspaces);
+        serializeRoutes(out, routes);
     });
 }
 
@@ -334,36 +337,38 @@
 {
     try {
         peer::decoder in(text);
-        std::uint32_t form = 0;
-        in.small(form);
-        if (form != tableForm)
-            return notRun(error_code::Broken, "told routes are of form " + std::to_string(form));
+        std::uint32_t format = 0;
+        in.small(format);
+        if (format != tableFormat)
+            return notRun(error_code::Broken,
+                          "unsupported format of relayed routes: " + std::to_string(format));
         std::uint64_t base = 0;
         route_table table;
         in.small(base);
         in.small(table.version);
-        describeBounds(in, table.bounds);
+        serializeLimits(in, table.bounds);
         in.small(table.needsKeys);
         in.small(table.hasUnreadKeys);
         if (table.version <= before.version)
             return before;
         if (base != before.version)
-            return notRun(error_code::Stale, "told routes follow version " + std::to_string(base));
-        std::vector<told_part<service>> services;
-        std::vector<told_part<workspaces::workspace>> workspaces;
-        std::vector<told_part<route>> routes;
-        describeServices(in, services);
-        describeWorkspaces(in, workspaces);
-        describeRoutes(in, routes);
+            return notRun(error_code::Stale,
+                          "relayed routes are based on version " + std::to_string(base));
+        std::vector<delta_part<service>> services;
+        std::vector<delta_part<workspaces::workspace>> workspaces;
+        std::vector<delta_part<route>> routes;
+        serializeServices(in, services);
+        serializeWorkspaces(in, workspaces);
+        serializeRoutes(in, routes);
         in.finish();
-        auto joinedServices = joinedParts(services, before.services, maxToldServices);
-        auto joinedRoutes = joinedParts(routes, before.routes, maxToldRoutes);
-        auto joinedWorkspaces = joinedParts(workspaces, before.workspaces, maxToldWorkspaces);
-        if (!joinedServices || !joinedWorkspaces || !joinedRoutes || !areKnownRules(*joinedRoutes))
+        auto newServices = applyDelta(services, before.services, maxRelayedServices);
+        auto newRoutes = applyDelta(routes, before.routes, maxRelayedRoutes);
+        auto newWorkspaces = applyDelta(workspaces, before.workspaces, maxRelayedWorkspaces);
+        if (!newServices || !newWorkspaces || !newRoutes || !areValidRetryPolicies(*newRoutes))
             return malformed("routes");
-        table.workspaces = std::move(*joinedWorkspaces);
-        table.services = std::move(*joinedServices);
-        table.routes = std::move(*joinedRoutes);
+        table.workspaces = std::move(*newWorkspaces);
+        table.services = std::move(*newServices);
+        table.routes = std::move(*newRoutes);
         return table;
     } catch (const std::exception &) {
         return malformed("routes");
