--- a/include/poplarspool/gateway/catalogue.h
+++ b/include/poplarspool/gateway/catalogue.h
@@ -42,7 +42,8 @@
     std::string host;
     std::string pathPrefix; ///< Begins and ends with a slash.
     bool isStream = false; ///< The response is a stream of events.
-    bool isResumable = false; ///< A broken stream can be resumed on another runner.
+    /// A broken stream can be resumed on another runner after its last event.
+    bool isResumable = false;
     repeat_rule repeats = repeat_rule::AtMostOnce;
     milliseconds timeLimit{0}; ///< Maximum time that a caller waits for a response.
     /// Latency objective: time to the first event of a stream, or to the complete response.
--- a/src/gateway/suspect_book.h
+++ b/src/gateway/suspect_book.h
@@ -52,8 +52,9 @@
     ///          more ends suffice to quarantine a request.
     std::vector<suspect> lasting() const;
     std::optional<suspect> find(std::uint64_t digest) const;
-    /// @returns A fingerprint of the set of requests in quarantine, config::suspectMarkBits wide; 0
-    ///          if there are none.
+    /// @returns A fingerprint of the set of requests in quarantine, equal for equal sets; 0 if
+    /// there
+    ///          are none. It has config::suspectMarkBits bits.
     std::uint64_t markAt(std::int64_t nowMs) const;
 
 private:
--- a/tests/gateway/catalogue_keeper_test.cpp
+++ b/tests/gateway/catalogue_keeper_test.cpp
@@ -28,29 +28,29 @@
     return made;
 }
 
-struct world
+struct fixture
 {
     mono_time now{std::chrono::hours(1)};
     clock_source clock{[this] { return now; }, [] { return wall_time{}; }};
     journal events{{"test"}, clock, 16};
-    catalogue_hub hub{catalogue{}};
-    catalogue_keeper keeper{hub, settleTime, clock, events};
+    catalogue_hub publisher{catalogue{}};
+    catalogue_keeper updater{publisher, settleTime, clock, events};
 
-    /// The store fails for a while and then answers again.
-    /// @param noticedAfter From the last call that failed to the answer.
-    void loseStoreFor(milliseconds time, milliseconds noticedAfter = 100ms)
+    /// Simulates an outage of the store.
+    /// @param noticedAfter Time from the last failed call to the first answer.
+    void simulateOutage(milliseconds time, milliseconds noticedAfter = 100ms)
     {
-        keeper.noteStoreLost(now);
+        updater.noteStoreLost(now);
         now += time - noticedAfter;
-        keeper.noteStoreLost(now);
+        updater.noteStoreLost(now);
         now += noticedAfter;
-        keeper.noteStoreAnswer();
+        updater.noteStoreAnswer();
     }
 
-    /// @returns Whether requests are sent to it.
+    /// @returns Whether requests may be sent to the runner.
     bool isUsed(const std::string &id) const
     {
-        const auto known = hub.current();
+        const auto known = publisher.current();
         const auto found = known->runners.find({id});
         return found != known->runners.end() && found->second->keptUntil > now;
     }
@@ -58,294 +58,297 @@
 
 } // namespace
 
-class catalogue_keeper_test : public CppUnit::TestFixture
+class catalogue_updater_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(catalogue_keeper_test);
-    CPPUNIT_TEST(listedRunnersAreKnownByTheirIds);
-    CPPUNIT_TEST(olderRoutesNeverComeBack);
-    CPPUNIT_TEST(runnersThatLapsedWithTheStoreAreKeptForAWhile);
-    CPPUNIT_TEST(lapsedRunnersThatReturnStay);
-    CPPUNIT_TEST(runnersThatLeaveAfterTheStoresReturnAreDroppedAtOnce);
-    CPPUNIT_TEST(drainingRunnersAreNotForgiven);
-    CPPUNIT_TEST(whatLeftDuringACutIsNotForgivenForLonger);
-    CPPUNIT_TEST(anEntryOfACopyThatStaysIsBelieved);
-    CPPUNIT_TEST(aNewLifeInACopyIsBelieved);
-    CPPUNIT_TEST(whatACopyLacksIsNotKeptForLonger);
-    CPPUNIT_TEST(aLifeThatIsOverIsNotBroughtBack);
-    CPPUNIT_TEST(whatIsMissingIsNotBroughtBackByASecondCopy);
-    CPPUNIT_TEST(whoStartsAfterACopyLeavesAloneWhatOthersDoubt);
-    CPPUNIT_TEST(marksCountOnceAndNotForLivingRunners);
-    CPPUNIT_TEST(livingRunnersAreNotMarked);
-    CPPUNIT_TEST(whatIsKeptAtASecondCopyIsMarkedOnceItIsGone);
+    CPPUNIT_TEST_SUITE(catalogue_updater_test);
+    CPPUNIT_TEST(listedRunnersAreStoredUnderTheirIds);
+    CPPUNIT_TEST(olderRouteTableIsIgnored);
+    CPPUNIT_TEST(runnersExpiredDuringOutageGetGracePeriod);
+    CPPUNIT_TEST(expiredRunnersThatReturnStay);
+    CPPUNIT_TEST(runnersRemovedAfterRecoveryAreDroppedAtOnce);
+    CPPUNIT_TEST(drainingRunnersGetNoGracePeriod);
+    CPPUNIT_TEST(gracePeriodIsLimitedAfterPartition);
+    CPPUNIT_TEST(snapshotEntryIsAcceptedAfterTimeout);
+    CPPUNIT_TEST(newIncarnationInSnapshotIsAccepted);
+    CPPUNIT_TEST(gracePeriodIsLimitedAfterRollback);
+    CPPUNIT_TEST(endedIncarnationIsNotRestored);
+    CPPUNIT_TEST(runnerInGracePeriodIsNotRestoredBySecondRollback);
+    CPPUNIT_TEST(newInstanceRejectsEntriesMarkedByOthers);
+    CPPUNIT_TEST(markersAreAppliedOnceAndNotToLiveRunners);
+    CPPUNIT_TEST(liveRunnersAreNotMarked);
+    CPPUNIT_TEST(runnerKeptAtSecondRollbackIsMarkedOnceRemoved);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// All instances are killed and start again. They list the runners in one answer, and callers
-    /// got 503 "no runner" for good, because every runner was entered under an empty id.
-    void listedRunnersAreKnownByTheirIds()
+    /// Guards against runners that are stored under an empty id. After a restart of all instances,
+    /// which receive the runners as one list, callers then permanently got 503 "no runner".
+    void listedRunnersAreStoredUnderTheirIds()
     {
-        world test;
-        test.keeper.setRunners({runnerOf("a"), runnerOf("b")});
+        fixture test;
+        test.updater.setRunners({runnerOf("a"), runnerOf("b")});
         CPPUNIT_ASSERT(test.isUsed("a") && test.isUsed("b"));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, test.hub.current()->runners.size());
-        test.keeper.takeChanges({{{"c"}, runnerOf("c")}});
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, test.publisher.current()->runners.size());
+        test.updater.takeChanges({{{"c"}, runnerOf("c")}});
         CPPUNIT_ASSERT(test.isUsed("c"));
-        CPPUNIT_ASSERT(test.hub.current()->areRunnersKnown);
+        CPPUNIT_ASSERT(test.publisher.current()->areRunnersKnown);
     }
 
-    void olderRoutesNeverComeBack()
+    void olderRouteTableIsIgnored()
     {
-        world test;
+        fixture test;
         route_table table;
         table.version = 7;
-        test.keeper.setTable(table);
+        test.updater.setTable(table);
         table.version = 5;
-        test.keeper.setTable(table);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, test.hub.current()->table->version);
+        test.updater.setTable(table);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, test.publisher.current()->table->version);
     }
 
-    /// The store is down for seconds. Runners can't renew their entries and the store drops them,
-    /// so that its first answer lists nobody. Callers would be refused although all runners live.
-    void runnersThatLapsedWithTheStoreAreKeptForAWhile()
+    /// During an outage of several seconds the store expires the entries that runners can't renew,
+    /// so its first answer lists none. Callers would be refused although all runners are alive.
+    void runnersExpiredDuringOutageGetGracePeriod()
     {
-        world test;
-        test.keeper.setRunners({runnerOf("a"), runnerOf("b")});
-        test.loseStoreFor(4s);
-        test.keeper.setRunners({runnerOf("b")});
+        fixture test;
+        test.updater.setRunners({runnerOf("a"), runnerOf("b")});
+        test.simulateOutage(4s);
+        test.updater.setRunners({runnerOf("b")});
         CPPUNIT_ASSERT(test.isUsed("a") && test.isUsed("b"));
         test.now += 2001ms;
-        CPPUNIT_ASSERT(!test.isUsed("a")); // Also where no further answer comes.
-        test.keeper.settle();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.hub.current()->runners.size());
+        CPPUNIT_ASSERT(!test.isUsed("a")); // Even without a further answer of the store.
+        test.updater.settle();
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.publisher.current()->runners.size());
     }
 
-    void lapsedRunnersThatReturnStay()
+    void expiredRunnersThatReturnStay()
     {
-        world test;
-        test.keeper.setRunners({runnerOf("a")});
-        test.loseStoreFor(4s);
-        test.keeper.takeChanges({{{"a"}, std::nullopt}});
+        fixture test;
+        test.updater.setRunners({runnerOf("a")});
+        test.simulateOutage(4s);
+        test.updater.takeChanges({{{"a"}, std::nullopt}});
         test.now += 1s;
-        test.keeper.takeChanges({{{"a"}, runnerOf("a")}});
+        test.updater.takeChanges({{{"a"}, runnerOf("a")}});
         test.now += 10s;
-        test.keeper.settle();
+        test.updater.settle();
         CPPUNIT_ASSERT(test.isUsed("a"));
     }
 
-    /// The store was away, and a second after its return a runner leaves and its entry is removed.
-    /// Forgiven like a lapsed one, it got requests for over two seconds, and callers whose request
-    /// outlasted its end were cut off.
-    void runnersThatLeaveAfterTheStoresReturnAreDroppedAtOnce()
+    /// A runner exits one second after the store has recovered, and its entry is removed. With a
+    /// grace period like that of expired entries, it got requests for over two seconds, and callers
+    /// whose request was still running when it exited were cut off.
+    void runnersRemovedAfterRecoveryAreDroppedAtOnce()
     {
-        world test;
-        test.keeper.setRunners({runnerOf("a")});
-        test.loseStoreFor(4s);
+        fixture test;
+        test.updater.setRunners({runnerOf("a")});
+        test.simulateOutage(4s);
         test.now += 1200ms;
-        test.keeper.takeChanges({{{"a"}, std::nullopt}});
+        test.updater.takeChanges({{{"a"}, std::nullopt}});
         CPPUNIT_ASSERT(!test.isUsed("a"));
     }
 
-    /// An instance is cut off from a store that is sound, and a runner leaves meanwhile without a
-    /// word. The cut ends right after a call was sent in vain; the instance notices 1.4 s later,
-    /// takes the cut for an outage and forgives. Counted from then, it sent there for 3.4 s after
-    /// the end of the cut, and callers were cut off when the runner ended.
-    void whatLeftDuringACutIsNotForgivenForLonger()
+    /// An instance is partitioned from a healthy store while a runner exits without draining. The
+    /// partition ends right after a failed call; the instance notices this 1.4 s later, takes it
+    /// for an outage and starts a grace period. Counted from that moment, it kept sending to the
+    /// runner for 3.4 s after the end of the partition, and callers were cut off when the runner
+    /// exited.
+    void gracePeriodIsLimitedAfterPartition()
     {
-        world test;
-        test.keeper.setRunners({runnerOf("a")});
-        test.loseStoreFor(4s, 1400ms);
-        test.keeper.setRunners({});
+        fixture test;
+        test.updater.setRunners({runnerOf("a")});
+        test.simulateOutage(4s, 1400ms);
+        test.updater.setRunners({});
         CPPUNIT_ASSERT(test.isUsed("a"));
         test.now += settleTime - 1400ms - 150ms;
         CPPUNIT_ASSERT(!test.isUsed("a"));
-        test.keeper.settle();
-        CPPUNIT_ASSERT(test.hub.current()->runners.empty());
+        test.updater.settle();
+        CPPUNIT_ASSERT(test.publisher.current()->runners.empty());
     }
 
-    void drainingRunnersAreNotForgiven()
+    void drainingRunnersGetNoGracePeriod()
     {
-        world test;
-        test.keeper.setRunners({runnerOf("a", true)});
-        test.loseStoreFor(4s);
-        test.keeper.setRunners({});
+        fixture test;
+        test.updater.setRunners({runnerOf("a", true)});
+        test.simulateOutage(4s);
+        test.updater.setRunners({});
         CPPUNIT_ASSERT(!test.isUsed("a"));
     }
 
-    /// A runner lapsed, was dropped, and is back in the store just as that comes back from an older
-    /// copy. Held for gone for good, it would never get a request again.
-    void anEntryOfACopyThatStaysIsBelieved()
+    /// A runner's entry expired and was dropped, and the runner registers again just as the store
+    /// is rolled back. If its entry were rejected forever, it would never get a request again.
+    void snapshotEntryIsAcceptedAfterTimeout()
     {
-        world test;
-        test.keeper.setRunners({runnerOf("a"), runnerOf("b")});
-        test.keeper.takeChanges({{{"a"}, std::nullopt}, {{"b"}, std::nullopt}});
+        fixture test;
+        test.updater.setRunners({runnerOf("a"), runnerOf("b")});
+        test.updater.takeChanges({{{"a"}, std::nullopt}, {{"b"}, std::nullopt}});
         test.now += 1s;
-        test.keeper.noteOlderCopy(test.now);
-        test.keeper.setRunners({runnerOf("a"), runnerOf("b")});
+        test.updater.noteOlderCopy(test.now);
+        test.updater.setRunners({runnerOf("a"), runnerOf("b")});
         CPPUNIT_ASSERT(!test.isUsed("a") && !test.isUsed("b"));
-        test.keeper.takeChanges({{{"b"}, std::nullopt}});
+        test.updater.takeChanges({{{"b"}, std::nullopt}});
         test.now += config::copyDoubtTime;
-        test.keeper.settle();
+        test.updater.settle();
         CPPUNIT_ASSERT(test.isUsed("a") && !test.isUsed("b"));
     }
 
-    /// A runner left, and has started again under its id by the time the store's copy is listed.
-    void aNewLifeInACopyIsBelieved()
+    /// A runner exited, and has restarted under the same id when the snapshot is listed.
+    void newIncarnationInSnapshotIsAccepted()
     {
-        world test;
-        test.keeper.setRunners({runnerOf("a")});
-        test.keeper.takeChanges({{{"a"}, std::nullopt}});
-        test.keeper.noteOlderCopy(test.now);
-        runner reborn = runnerOf("a");
-        reborn.bornMs = 9;
-        test.keeper.setRunners({reborn});
+        fixture test;
+        test.updater.setRunners({runnerOf("a")});
+        test.updater.takeChanges({{{"a"}, std::nullopt}});
+        test.updater.noteOlderCopy(test.now);
+        runner restarted = runnerOf("a");
+        restarted.bornMs = 9;
+        test.updater.setRunners({restarted});
         CPPUNIT_ASSERT(test.isUsed("a"));
     }
 
-    /// The store is away for a moment and comes back from an older copy; a runner left in that
-    /// moment, and the copy has it no more. It is kept like one that the copy lacks, but not for
-    /// longer than news may be late after a trouble.
-    void whatACopyLacksIsNotKeptForLonger()
+    /// The store is briefly unavailable and then rolled back. A runner that exited meanwhile is
+    /// missing in the snapshot. It gets a grace period like other runners that the snapshot lacks,
+    /// but not longer than updates may be delayed after a failure.
+    void gracePeriodIsLimitedAfterRollback()
     {
-        world test;
-        test.keeper.setRunners({runnerOf("a")});
+        fixture test;
+        test.updater.setRunners({runnerOf("a")});
         const mono_time lastSeenAt = test.now;
         test.now += 1500ms;
-        test.keeper.noteOlderCopy(lastSeenAt);
-        test.keeper.setRunners({});
+        test.updater.noteOlderCopy(lastSeenAt);
+        test.updater.setRunners({});
         CPPUNIT_ASSERT(test.isUsed("a"));
         test.now = lastSeenAt + settleTime - config::forgivenMargin;
         CPPUNIT_ASSERT(!test.isUsed("a"));
     }
 
-    /// A runner started again under its id and said then that it leaves. The store's copy is from
-    /// before: it shows the life that is over, in service. Taken for a new life, it would get
-    /// requests until it ends.
-    void aLifeThatIsOverIsNotBroughtBack()
+    /// A runner restarted under the same id and then started draining. The snapshot is older and
+    /// lists the previous incarnation as in service. If it were taken for a new incarnation, the
+    /// runner would get requests until it exits.
+    void endedIncarnationIsNotRestored()
     {
-        world test;
+        fixture test;
         runner first = runnerOf("a");
         first.bornMs = 5;
         runner second = runnerOf("a", true);
         second.bornMs = 9;
         for (const bool isGone : {false, true}) {
-            test.keeper.setRunners({second});
+            test.updater.setRunners({second});
             if (isGone)
-                test.keeper.takeChanges({{{"a"}, std::nullopt}});
-            test.keeper.noteOlderCopy(test.now);
-            test.keeper.setRunners({first});
-            const auto known = test.hub.current()->runners;
+                test.updater.takeChanges({{{"a"}, std::nullopt}});
+            test.updater.noteOlderCopy(test.now);
+            test.updater.setRunners({first});
+            const auto known = test.publisher.current()->runners;
             CPPUNIT_ASSERT(!known.contains({"a"}) || known.at({"a"})->isDraining);
         }
-        // Nor does the end of that life take away the new one.
+        // The end of the previous incarnation must not remove the new one either.
         second.isDraining = false;
         first.isDraining = true;
-        test.keeper.takeChanges({{{"a"}, second}});
+        test.updater.takeChanges({{{"a"}, second}});
         CPPUNIT_ASSERT(test.isUsed("a"));
-        test.keeper.noteOlderCopy(test.now);
-        test.keeper.setRunners({first});
-        CPPUNIT_ASSERT(test.hub.current()->runners.at({"a"})->bornMs == 9);
+        test.updater.noteOlderCopy(test.now);
+        test.updater.setRunners({first});
+        CPPUNIT_ASSERT(test.publisher.current()->runners.at({"a"})->bornMs == 9);
     }
 
-    /// The store has come back from an older copy, and right after it a runner is removed: it may
-    /// have lapsed, and is kept for a while. Then the store goes back again, and shows it in
-    /// service. That says nothing of the removal, which was lost: believed, the runner would be
-    /// used until it ends.
-    void whatIsMissingIsNotBroughtBackByASecondCopy()
+    /// Right after a store rollback a runner is removed; since its entry may have expired, it gets
+    /// a grace period. Then the store is rolled back again and lists the runner as in service,
+    /// because the removal was lost. If that entry were accepted, the runner would be used until it
+    /// exits.
+    void runnerInGracePeriodIsNotRestoredBySecondRollback()
     {
-        world test;
-        test.keeper.setRunners({runnerOf("a")});
-        test.keeper.noteOlderCopy(test.now);
-        test.keeper.setRunners({runnerOf("a")});
-        test.keeper.takeChanges({{{"a"}, std::nullopt}});
+        fixture test;
+        test.updater.setRunners({runnerOf("a")});
+        test.updater.noteOlderCopy(test.now);
+        test.updater.setRunners({runnerOf("a")});
+        test.updater.takeChanges({{{"a"}, std::nullopt}});
         test.now += 300ms;
-        test.keeper.noteOlderCopy(test.now);
-        test.keeper.setRunners({runnerOf("a")});
+        test.updater.noteOlderCopy(test.now);
+        test.updater.setRunners({runnerOf("a")});
         test.now += 3s;
-        test.keeper.settle();
+        test.updater.settle();
         CPPUNIT_ASSERT(!test.isUsed("a"));
     }
 
-    /// Callers are sent to a runner that has left. The store came back from an older copy that has
-    /// it in service, and an instance started after that: it has never known anything else. Others
-    /// know. Their marks may be here before the list or after it, and go before a second copy.
-    void whoStartsAfterACopyLeavesAloneWhatOthersDoubt()
+    /// An instance that starts after a store rollback can't know that a runner listed as in service
+    /// has exited, and would send callers to it. Other instances know and send markers, which may
+    /// arrive before or after the list. The markers also apply to a second rollback.
+    void newInstanceRejectsEntriesMarkedByOthers()
     {
         for (const bool isListedFirst : {false, true}) {
-            world other;
-            other.keeper.setRunners({writtenRunner("a", 4), writtenRunner("b", 4)});
-            other.keeper.takeChanges({{{"a"}, std::nullopt}});
-            other.keeper.noteOlderCopy(other.now);
-            const std::vector<runner> copy{writtenRunner("a", 4), writtenRunner("b", 4)};
-            other.keeper.setRunners(copy);
-            world started;
+            fixture other;
+            other.updater.setRunners({writtenRunner("a", 4), writtenRunner("b", 4)});
+            other.updater.takeChanges({{{"a"}, std::nullopt}});
+            other.updater.noteOlderCopy(other.now);
+            const std::vector<runner> snapshot{writtenRunner("a", 4), writtenRunner("b", 4)};
+            other.updater.setRunners(snapshot);
+            fixture started;
             if (isListedFirst)
-                started.keeper.setRunners(copy);
-            started.keeper.doubt(other.keeper.copyMarks());
+                started.updater.setRunners(snapshot);
+            started.updater.doubt(other.updater.copyMarks());
             if (!isListedFirst)
-                started.keeper.setRunners(copy);
+                started.updater.setRunners(snapshot);
             CPPUNIT_ASSERT(!started.isUsed("a") && started.isUsed("b"));
-            started.keeper.noteOlderCopy(started.now);
-            started.keeper.setRunners(copy);
+            started.updater.noteOlderCopy(started.now);
+            started.updater.setRunners(snapshot);
             CPPUNIT_ASSERT(!started.isUsed("a") && started.isUsed("b"));
         }
     }
 
-    /// Runners that live after all write their entries, or still stand when the doubt is over. The
-    /// marks stay in the store; taken again, they would withdraw those runners for good.
-    void marksCountOnceAndNotForLivingRunners()
+    /// Marked runners that are alive write their entries again, or are still listed after the
+    /// timeout. The markers remain in the store; if they were applied again, these runners would be
+    /// withdrawn permanently.
+    void markersAreAppliedOnceAndNotToLiveRunners()
     {
-        world test;
-        const std::vector<entry_mark> marks{{{"a"}, 0, 4}, {{"b"}, 0, 4}, {{"c"}, 0, 4}};
-        test.keeper.setRunners(
+        fixture test;
+        const std::vector<entry_mark> markers{{{"a"}, 0, 4}, {{"b"}, 0, 4}, {{"c"}, 0, 4}};
+        test.updater.setRunners(
                 {writtenRunner("a", 5), writtenRunner("b", 4), writtenRunner("c", 4)});
-        test.keeper.doubt(marks);
+        test.updater.doubt(markers);
         CPPUNIT_ASSERT(test.isUsed("a") && !test.isUsed("b") && !test.isUsed("c"));
-        test.keeper.takeChanges({{{"b"}, writtenRunner("b", 6)}});
+        test.updater.takeChanges({{{"b"}, writtenRunner("b", 6)}});
         CPPUNIT_ASSERT(test.isUsed("b"));
         test.now += config::copyDoubtTime;
-        test.keeper.settle();
+        test.updater.settle();
         CPPUNIT_ASSERT(test.isUsed("c"));
-        test.keeper.doubt(marks);
+        test.updater.doubt(markers);
         CPPUNIT_ASSERT(test.isUsed("a") && test.isUsed("b") && test.isUsed("c"));
     }
 
-    /// A runner wrote something else in the lost time than that it leaves. It is in use everywhere;
-    /// an instance that starts must not do without it.
-    void livingRunnersAreNotMarked()
+    /// The lost write of a runner was not a drain: the runner is in use on all instances, and a new
+    /// instance must use it as well.
+    void liveRunnersAreNotMarked()
     {
-        world test;
-        test.keeper.setRunners({writtenRunner("a", 5), writtenRunner("b", 4)});
-        test.keeper.takeChanges({{{"b"}, runnerOf("b", true)}});
-        test.keeper.noteOlderCopy(test.now);
-        test.keeper.setRunners({writtenRunner("a", 4), writtenRunner("b", 3)});
-        CPPUNIT_ASSERT(test.keeper.copyMarks() == (std::vector<entry_mark>{{{"b"}, 0, 3}}));
+        fixture test;
+        test.updater.setRunners({writtenRunner("a", 5), writtenRunner("b", 4)});
+        test.updater.takeChanges({{{"b"}, runnerOf("b", true)}});
+        test.updater.noteOlderCopy(test.now);
+        test.updater.setRunners({writtenRunner("a", 4), writtenRunner("b", 3)});
+        CPPUNIT_ASSERT(test.updater.copyMarks() == (std::vector<entry_mark>{{{"b"}, 0, 3}}));
         test.now += config::copyDoubtTime;
-        test.keeper.settle();
-        CPPUNIT_ASSERT(test.keeper.copyMarks().empty());
+        test.updater.settle();
+        CPPUNIT_ASSERT(test.updater.copyMarks().empty());
     }
 
-    /// A runner is removed right after the store has come back, and is kept as one that may have
-    /// lapsed. The store goes back again and shows it in service; after its time it is left alone.
-    /// An instance that starts then was never told, and used it.
-    void whatIsKeptAtASecondCopyIsMarkedOnceItIsGone()
+    /// A runner is removed right after a store rollback and gets a grace period, since its entry
+    /// may have expired. The store is rolled back again and lists the runner as in service; after
+    /// the grace period it is not used any more. An instance that started then received no marker
+    /// and used it.
+    void runnerKeptAtSecondRollbackIsMarkedOnceRemoved()
     {
-        world test;
-        const std::vector<runner> copy{writtenRunner("a", 4)};
-        test.keeper.setRunners(copy);
-        test.keeper.noteOlderCopy(test.now);
-        test.keeper.setRunners(copy);
-        test.keeper.takeChanges({{{"a"}, std::nullopt}});
+        fixture test;
+        const std::vector<runner> snapshot{writtenRunner("a", 4)};
+        test.updater.setRunners(snapshot);
+        test.updater.noteOlderCopy(test.now);
+        test.updater.setRunners(snapshot);
+        test.updater.takeChanges({{{"a"}, std::nullopt}});
         test.now += 300ms;
-        test.keeper.noteOlderCopy(test.now);
-        test.keeper.setRunners(copy);
-        CPPUNIT_ASSERT(test.keeper.copyMarks().empty());
+        test.updater.noteOlderCopy(test.now);
+        test.updater.setRunners(snapshot);
+        CPPUNIT_ASSERT(test.updater.copyMarks().empty());
         test.now += 3s;
-        test.keeper.settle();
+        test.updater.settle();
         CPPUNIT_ASSERT(!test.isUsed("a"));
-        CPPUNIT_ASSERT(test.keeper.copyMarks() == (std::vector<entry_mark>{{{"a"}, 0, 4}}));
+        CPPUNIT_ASSERT(test.updater.copyMarks() == (std::vector<entry_mark>{{{"a"}, 0, 4}}));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(catalogue_keeper_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(catalogue_updater_test);
 
 } // namespace poplarspool::gateway
--- a/tests/gateway/catalogue_test.cpp
+++ b/tests/gateway/catalogue_test.cpp
@@ -20,12 +20,12 @@
 class catalogue_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(catalogue_test);
-    CPPUNIT_TEST(longestPrefixOfTheHostWins);
+    CPPUNIT_TEST(longestMatchingPrefixWins);
     CPPUNIT_TEST(trafficIsSplitByWeight);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void longestPrefixOfTheHostWins()
+    void longestMatchingPrefixWins()
     {
         route_table table;
         table.routes = {routeOf("short", "a.example", "/x/"), routeOf("long", "a.example", "/x/y/"),
--- a/tests/gateway/fleet_keeper_test.cpp
+++ b/tests/gateway/fleet_keeper_test.cpp
@@ -10,18 +10,18 @@
 
 using namespace std::chrono_literals;
 
-/// A service of four runners in each of two zones, a store, and a platform that carries orders out
-/// when it is told to.
-struct world
+/// A scalable service with four regular runners in each of two zones, a lease store, and a platform
+/// that records orders. Tests add the ordered runners with put().
+struct fixture
 {
-    world()
+    fixture()
     {
         auto table = std::make_shared<route_table>();
         service scaled;
         scaled.id.text = "s";
         scaled.scaling = scaling::fleet_traits{1, 10, 4s, 0.22};
         table->services = {scaled, {{"plain"}, {}, {}}};
-        hub.update([&](catalogue &next) {
+        publisher.update([&](catalogue &next) {
             next.table = table;
             next.areRunnersKnown = true;
             return true;
@@ -33,7 +33,7 @@
     void put(const std::string &zone, bool isSpot, int count)
     {
         const std::string kind = isSpot ? "spot-" : "regular-";
-        hub.update([&](catalogue &next) {
+        publisher.update([&](catalogue &next) {
             std::erase_if(next.runners, [&](const auto &entry) {
                 return entry.second->zone.text == zone && entry.second->isSpot == isSpot;
             });
@@ -61,24 +61,24 @@
         return made;
     }
 
-    std::unique_ptr<fleet_keeper> keeperOf(const std::string &name)
+    std::unique_ptr<fleet_keeper> scalerOf(const std::string &name)
     {
         const fleet_sink sink{[this](const scaling::given_order &order,
                                      const duties::lease_term &) -> result<unit> {
-            if (isDry && order.order.isSpot)
-                return mayHaveRun(error_code::Conflict, "none there");
+            if (hasNoSpot && order.order.isSpot)
+                return mayHaveRun(error_code::Conflict, "none available");
             orders.push_back(order.order);
             return unit{};
         }};
         return std::make_unique<fleet_keeper>(
-                fleet_tools{hub, sink, clock, events, metrics, [this] { return isOwner; }}, store(),
-                instance_id{name}, 3s);
+                fleet_tools{publisher, sink, clock, events, metrics, [this] { return isOwner; }},
+                store(), instance_id{name}, 3s);
     }
 
-    void lookOn(fleet_keeper &keeper, int looks = 3)
+    void runIterations(fleet_keeper &scaler, int iterations = 3)
     {
-        for (int i = 0; i < looks; ++i) {
-            keeper.look();
+        for (int i = 0; i < iterations; ++i) {
+            scaler.look();
             now += config::fleetLookTime;
         }
     }
@@ -89,138 +89,139 @@
     clock_source clock{[this] { return now; }, [] { return wall_time{}; }};
     journal events{{"test"}, systemClock(), 64};
     metrics_registry metrics;
-    catalogue_hub hub{catalogue{}};
+    catalogue_hub publisher{catalogue{}};
     duties::lease_record record;
     std::vector<scaling::fleet_order> orders;
     bool isOwner = true;
-    bool isDry = false;
+    bool hasNoSpot = false;
 };
 
 using orders = std::vector<scaling::fleet_order>;
 
 } // namespace
 
-class fleet_keeper_test : public CppUnit::TestFixture
+class fleet_scaler_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(fleet_keeper_test);
-    CPPUNIT_TEST(spotRunnersTakeTheFleetOver);
-    CPPUNIT_TEST(aFleetThatStillStartsIsOrderedAsItGrows);
-    CPPUNIT_TEST(aSuccessorOrdersNothingAnew);
-    CPPUNIT_TEST(whatIsTakenAwayIsOrderedAtOnce);
-    CPPUNIT_TEST(whatNeverCameIsOrderedAgain);
-    CPPUNIT_TEST(whoIsNotTheOwnerOrdersNothing);
+    CPPUNIT_TEST_SUITE(fleet_scaler_test);
+    CPPUNIT_TEST(spotRunnersReplaceRegularRunners);
+    CPPUNIT_TEST(startingFleetIsOrderedAsItGrows);
+    CPPUNIT_TEST(newLeaseHolderDoesNotRepeatOrders);
+    CPPUNIT_TEST(reclaimedRunnersAreReorderedAtOnce);
+    CPPUNIT_TEST(unfilledOrderIsRepeatedAfterTimeout);
+    CPPUNIT_TEST(onlyTheOwnerPlacesOrders);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void spotRunnersTakeTheFleetOver()
+    void spotRunnersReplaceRegularRunners()
     {
-        world test;
-        const auto keeper = test.keeperOf("me");
-        test.lookOn(*keeper);
+        fixture test;
+        const auto scaler = test.scalerOf("me");
+        test.runIterations(*scaler);
         CPPUNIT_ASSERT((test.takeOrders() == orders{{{"a"}, true, 6}, {{"b"}, true, 6}}));
         test.put("a", true, 6);
-        test.lookOn(*keeper);
+        test.runIterations(*scaler);
         CPPUNIT_ASSERT((test.takeOrders() == orders{{{"a"}, false, 1}}));
         test.put("a", false, 1);
         test.put("b", true, 6);
-        test.lookOn(*keeper);
-        // There is room for those now that make up for the loss of a zone.
+        test.runIterations(*scaler);
+        // Zone "a" can now get the runners that compensate for the loss of the other zone.
         CPPUNIT_ASSERT((test.takeOrders() == orders{{{"a"}, true, 7}, {{"b"}, false, 1}}));
         test.put("a", true, 7);
         test.put("b", false, 1);
-        test.lookOn(*keeper);
+        test.runIterations(*scaler);
         CPPUNIT_ASSERT((test.takeOrders() == orders{{{"b"}, true, 7}}));
         test.put("b", true, 7);
-        test.lookOn(*keeper, 60);
+        test.runIterations(*scaler, 60);
         CPPUNIT_ASSERT(test.takeOrders().empty());
     }
 
-    /// Waited for as a whole, the last runners to enter themselves would delay all others.
-    void aFleetThatStillStartsIsOrderedAsItGrows()
+    /// If orders waited until the fleet is complete, the last runners to register would delay all
+    /// orders.
+    void startingFleetIsOrderedAsItGrows()
     {
-        world test;
-        const auto keeper = test.keeperOf("me");
+        fixture test;
+        const auto scaler = test.scalerOf("me");
         test.put("b", false, 0);
         test.put("a", false, 2);
-        test.lookOn(*keeper, 1);
+        test.runIterations(*scaler, 1);
         CPPUNIT_ASSERT((test.takeOrders() == orders{{{"a"}, true, 1}}));
         test.put("a", false, 4);
         test.put("b", false, 4);
-        test.lookOn(*keeper, 2);
+        test.runIterations(*scaler, 2);
         CPPUNIT_ASSERT((test.takeOrders() == orders{{{"a"}, true, 6}, {{"b"}, true, 6}}));
     }
 
-    /// Guards against a fleet that shrinks with each holder: what is left of the regular runners
-    /// is not what is wanted.
-    void aSuccessorOrdersNothingAnew()
+    /// Guards against a fleet that shrinks with each new lease holder: the remaining regular
+    /// runners are not the target size.
+    void newLeaseHolderDoesNotRepeatOrders()
     {
-        world test;
-        spotRunnersHaveTaken(test, *test.keeperOf("me"));
-        const auto next = test.keeperOf("other");
-        test.lookOn(*next, 30);
+        fixture test;
+        replaceRegularBySpot(test, *test.scalerOf("me"));
+        const auto next = test.scalerOf("other");
+        test.runIterations(*next, 30);
         CPPUNIT_ASSERT(test.takeOrders().empty());
         test.put("a", true, 2);
-        test.lookOn(*next);
+        test.runIterations(*next);
         CPPUNIT_ASSERT((test.takeOrders() == orders{{{"a"}, true, 7}}));
     }
 
-    void whatIsTakenAwayIsOrderedAtOnce()
+    void reclaimedRunnersAreReorderedAtOnce()
     {
-        world test;
-        const auto keeper = test.keeperOf("me");
-        spotRunnersHaveTaken(test, *keeper);
-        test.isDry = true;
+        fixture test;
+        const auto scaler = test.scalerOf("me");
+        replaceRegularBySpot(test, *scaler);
+        test.hasNoSpot = true;
         test.put("a", true, 0);
         test.put("b", true, 3);
-        test.lookOn(*keeper, 6);
-        // With more than a zone gone and none to be had, regular ones come back.
+        test.runIterations(*scaler, 6);
+        // More than a zone is lost and no spot capacity is available: regular runners are ordered.
         CPPUNIT_ASSERT((test.takeOrders() == orders{{{"a"}, false, 4}}));
         test.put("a", false, 4);
-        test.isDry = false;
-        test.lookOn(*keeper, 4);
+        test.hasNoSpot = false;
+        test.runIterations(*scaler, 4);
         CPPUNIT_ASSERT((test.takeOrders() == orders{{{"a"}, true, 6}, {{"b"}, true, 7}}));
     }
 
-    /// Guards against an order whose answer was right and whose runners were lost.
-    void whatNeverCameIsOrderedAgain()
+    /// Guards against an order that was accepted, but whose runners never appeared.
+    void unfilledOrderIsRepeatedAfterTimeout()
     {
-        world test;
-        const auto keeper = test.keeperOf("me");
-        test.lookOn(*keeper);
+        fixture test;
+        const auto scaler = test.scalerOf("me");
+        test.runIterations(*scaler);
         test.takeOrders();
-        test.lookOn(*keeper, 4);
+        test.runIterations(*scaler, 4);
         CPPUNIT_ASSERT(test.takeOrders().empty());
-        test.lookOn(*keeper, 4);
+        test.runIterations(*scaler, 4);
         CPPUNIT_ASSERT((test.takeOrders() == orders{{{"a"}, true, 6}, {{"b"}, true, 6}}));
     }
 
-    void whoIsNotTheOwnerOrdersNothing()
+    void onlyTheOwnerPlacesOrders()
     {
-        world test;
+        fixture test;
         test.isOwner = false;
-        const auto keeper = test.keeperOf("me");
-        test.lookOn(*keeper, 10);
+        const auto scaler = test.scalerOf("me");
+        test.runIterations(*scaler, 10);
         CPPUNIT_ASSERT(test.takeOrders().empty());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, test.record.version.revision);
     }
 
 private:
-    static void spotRunnersHaveTaken(world &test, fleet_keeper &keeper)
+    static void replaceRegularBySpot(fixture &test, fleet_keeper &scaler)
     {
-        test.lookOn(keeper);
+        test.runIterations(scaler);
         for (const char *zone : {"a", "b"})
             test.put(zone, true, 6);
-        test.lookOn(keeper);
+        test.runIterations(scaler);
         for (const char *zone : {"a", "b"})
             test.put(zone, false, 1);
-        test.lookOn(keeper);
+        test.runIterations(scaler);
         for (const char *zone : {"a", "b"})
             test.put(zone, true, 7);
-        test.lookOn(keeper);
+        test.runIterations(scaler);
         test.takeOrders();
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(fleet_keeper_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(fleet_scaler_test);
 
 } // namespace poplarspool::gateway
--- a/tests/gateway/refused_route_test.cpp
+++ b/tests/gateway/refused_route_test.cpp
@@ -24,8 +24,8 @@
     return made;
 }
 
-/// Nothing is written to it: all replies are whole.
-struct silent_caller : http_sink
+/// A sink that fails on any write: all replies must be complete.
+struct unused_sink : http_sink
 {
     bool begin(int, const http_headers &, std::string_view) override { return false; }
     bool write(std::string_view) override { return false; }
@@ -33,29 +33,29 @@
     bool isGone() const override { return false; }
 };
 
-/// An instance that knows the routes and a runner of the service "s" that refuses connections.
-struct world
+/// An instance with the given routes and one runner of the service "s", which refuses connections.
+struct fixture
 {
     dialect names = testDialect();
     clock_source clock = systemClock();
     metrics_registry registry;
     journal events{{"test"}, clock, 64};
-    catalogue_hub hub{catalogue{}};
+    catalogue_hub publisher{catalogue{}};
     runner_ledger ledger{clock};
     retry_budgets retries{{1, 100}};
     connection_pool connections{4, 500ms, registry};
     relay_metrics metrics{registry};
     std::atomic<std::int64_t> leavesAt{INT64_MAX};
-    suspect_keeper suspects{{}, {}, {"test"}, clock, registry, events};
-    const relay_parts parts{names,  hub,   ledger, retries,  connections, metrics,
-                            events, clock, {"z"},  leavesAt, suspects};
+    suspect_keeper quarantineManager{{}, {}, {"test"}, clock, registry, events};
+    const relay_parts parts{names,  publisher, ledger, retries,  connections,      metrics,
+                            events, clock,     {"z"},  leavesAt, quarantineManager};
 
-    explicit world(std::vector<route> routes)
+    explicit fixture(std::vector<route> routes)
     {
         route_table table;
         table.version = 1;
         table.routes = std::move(routes);
-        hub.update([&](catalogue &next) {
+        publisher.update([&](catalogue &next) {
             next.table = std::make_shared<const route_table>(table);
             next.index = std::make_shared<const route_index>(indexOf(table));
             next.areRunnersKnown = true;
@@ -69,16 +69,16 @@
         });
     }
 
-    http_reply ask(const std::string &path)
+    http_reply send(const std::string &path)
     {
         const http_request request =
                 requestOf("GET", path, {{"Host", "h"}, {"Id", "q1"}, {"Limit", "5000"}});
-        silent_caller caller;
+        unused_sink caller;
         return request_relay(parts, request, caller).run().value();
     }
 };
 
-void assertIsRefusedForNow(const http_reply &reply)
+void assertIsTemporarilyRefused(const http_reply &reply)
 {
     CPPUNIT_ASSERT_EQUAL(503, reply.status);
     CPPUNIT_ASSERT(!headerOf(reply.headers, "Retry-After").empty());
@@ -89,33 +89,33 @@
 class refused_route_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(refused_route_test);
-    CPPUNIT_TEST(whoAsksForARouteThatCantBeReadMayComeBack);
-    CPPUNIT_TEST(noRequestIsDeniedBesideARouteWithoutAPlace);
-    CPPUNIT_TEST(weightsOfNothingButZeroReachNobody);
+    CPPUNIT_TEST(unreadableRouteIsTemporarilyRefused);
+    CPPUNIT_TEST(unmatchedRequestIsTemporarilyRefusedIfARouteIsInvalid);
+    CPPUNIT_TEST(routeWithZeroWeightsIsTemporarilyRefused);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Neither a final 404, nor the service of a shorter prefix.
-    void whoAsksForARouteThatCantBeReadMayComeBack()
+    /// The request must get neither a 404, nor the service of a shorter prefix.
+    void unreadableRouteIsTemporarilyRefused()
     {
-        world test({routeOf("/a/", {{{"s"}, 1}}), routeOf("/a/b/", {})});
-        assertIsRefusedForNow(test.ask("/a/b/1"));
+        fixture test({routeOf("/a/", {{{"s"}, 1}}), routeOf("/a/b/", {})});
+        assertIsTemporarilyRefused(test.send("/a/b/1"));
         CPPUNIT_ASSERT(test.events.events({"send_end", {}, {}}).empty());
-        CPPUNIT_ASSERT_EQUAL(404, test.ask("/c/1").status);
+        CPPUNIT_ASSERT_EQUAL(404, test.send("/c/1").status);
     }
 
-    void noRequestIsDeniedBesideARouteWithoutAPlace()
+    void unmatchedRequestIsTemporarilyRefusedIfARouteIsInvalid()
     {
-        route unplaced = routeOf("", {});
-        unplaced.isUnplaced = true;
-        world test({routeOf("/a/", {{{"s"}, 1}}), unplaced});
-        assertIsRefusedForNow(test.ask("/c/1"));
+        route invalid = routeOf("", {});
+        invalid.isUnplaced = true;
+        fixture test({routeOf("/a/", {{{"s"}, 1}}), invalid});
+        assertIsTemporarilyRefused(test.send("/c/1"));
     }
 
-    void weightsOfNothingButZeroReachNobody()
+    void routeWithZeroWeightsIsTemporarilyRefused()
     {
-        world test({routeOf("/a/", {{{"s"}, 0}})});
-        assertIsRefusedForNow(test.ask("/a/1"));
+        fixture test({routeOf("/a/", {{{"s"}, 0}})});
+        assertIsTemporarilyRefused(test.send("/a/1"));
         CPPUNIT_ASSERT(test.events.events({"send_end", {}, {}}).empty());
     }
 };
--- a/tests/gateway/route_index_test.cpp
+++ b/tests/gateway/route_index_test.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// What the index must agree with: every route is looked at.
-const route *walkedRoute(const route_table &table, std::string_view host, std::string_view path)
+/// Reference implementation: scans all routes.
+const route *findRouteByScan(const route_table &table, std::string_view host, std::string_view path)
 {
     const std::string_view name = host.substr(0, host.rfind(':'));
     const std::string_view plainPath = path.substr(0, path.find('?'));
@@ -24,48 +24,48 @@
     return best;
 }
 
-using draws = std::mt19937_64;
+using random_source = std::mt19937_64;
 
-std::string anyOf(const std::vector<std::string> &choices, draws &random)
+std::string randomChoice(const std::vector<std::string> &choices, random_source &random)
 {
     return choices[random() % choices.size()];
 }
 
-std::string anyHost(draws &random)
+std::string randomHost(random_source &random)
 {
-    return anyOf({"", "a.example", "A.Example", "b.example", "[::1]", "\xc3\x96.example",
-                  "\xc3\xb6.example", "a.example.", "@.example", "`.example", "x"},
-                 random);
+    return randomChoice({"", "a.example", "A.Example", "b.example", "[::1]", "\xc3\x96.example",
+                         "\xc3\xb6.example", "a.example.", "@.example", "`.example", "x"},
+                        random);
 }
 
-/// Mostly between slashes, of few words, so that prefixes are equal and begin each other.
-std::string anyPath(draws &random, bool isPrefix)
+/// Uses few distinct segments, so that many prefixes are equal or prefixes of each other.
+std::string randomPath(random_source &random, bool isPrefix)
 {
-    static const std::vector<std::string> words{
+    static const std::vector<std::string> segments{
             "a",  "b",   "ab", "",       "%2f", "\xc3\xbc", "\xe6\x97\xa5\xe6\x9c\xac",
             "..", "a b", "A",  "a?b=/c", "."};
     if (random() % 16 == 0)
         return "";
     std::string made = random() % 16 == 0 ? "" : "/";
-    for (std::uint64_t left = random() % 5; left > 0; --left)
-        made += anyOf(words, random) + "/";
+    for (std::uint64_t remaining = random() % 5; remaining > 0; --remaining)
+        made += randomChoice(segments, random) + "/";
     if (random() % (isPrefix ? 16 : 2) == 0)
-        made += anyOf(words, random);
+        made += randomChoice(segments, random);
     return made;
 }
 
-route_table anyTable(draws &random)
+route_table randomTable(random_source &random)
 {
     route_table made;
     made.routes.resize(random() % 60);
     for (route &one : made.routes) {
-        one.host = anyHost(random);
-        one.pathPrefix = anyPath(random, true);
+        one.host = randomHost(random);
+        one.pathPrefix = randomPath(random, true);
     }
     return made;
 }
 
-std::string shown(const std::string &host, const std::string &path)
+std::string describe(const std::string &host, const std::string &path)
 {
     return host + " " + path;
 }
@@ -75,35 +75,36 @@
 class route_index_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(route_index_test);
-    CPPUNIT_TEST(findsWhatAWalkFinds);
-    CPPUNIT_TEST(ofEqualPrefixesTheFirstWins);
-    CPPUNIT_TEST(findsEachOfManyRoutes);
-    CPPUNIT_TEST(pathsOfManySlashesAreFound);
-    CPPUNIT_TEST(aRouteWithoutAPlaceTakesWhatIsLeft);
+    CPPUNIT_TEST(indexAgreesWithScan);
+    CPPUNIT_TEST(firstOfEqualPrefixesWins);
+    CPPUNIT_TEST(eachOfManyRoutesIsFound);
+    CPPUNIT_TEST(pathOfManySlashesIsFound);
+    CPPUNIT_TEST(firstInvalidRouteTakesUnmatchedRequests);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void findsWhatAWalkFinds()
+    void indexAgreesWithScan()
     {
         std::size_t found = 0;
         for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-            draws random(seed);
-            const route_table table = anyTable(random);
+            random_source random(seed);
+            const route_table table = randomTable(random);
             const route_index index = indexOf(table);
             for (int i = 0; i < 200; ++i) {
-                const std::string host = anyHost(random) + anyOf({"", ":80", ":", ":1:2"}, random);
-                const std::string path =
-                        anyPath(random, false) + anyOf({"", "?", "?q=/a/", "//?/"}, random);
-                const route *walked = walkedRoute(table, host, path);
-                found += walked == nullptr ? 0 : 1;
-                CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed) + ": " + shown(host, path),
-                                       walked == findRoute(table, index, host, path));
+                const std::string host =
+                        randomHost(random) + randomChoice({"", ":80", ":", ":1:2"}, random);
+                const std::string path = randomPath(random, false)
+                        + randomChoice({"", "?", "?q=/a/", "//?/"}, random);
+                const route *expected = findRouteByScan(table, host, path);
+                found += expected == nullptr ? 0 : 1;
+                CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed) + ": " + describe(host, path),
+                                       expected == findRoute(table, index, host, path));
             }
         }
         CPPUNIT_ASSERT(found > 10'000);
     }
 
-    void ofEqualPrefixesTheFirstWins()
+    void firstOfEqualPrefixesWins()
     {
         route_table table;
         table.routes.resize(3);
@@ -115,7 +116,7 @@
         CPPUNIT_ASSERT(found == &table.routes.front());
     }
 
-    void findsEachOfManyRoutes()
+    void eachOfManyRoutesIsFound()
     {
         for (const std::size_t count : {1U, 16U, 255U, 256U, 257U, 400U, 2'000U, 5'000U}) {
             route_table table;
@@ -131,8 +132,8 @@
         }
     }
 
-    /// The lookup ends where no route goes on, however long the path is.
-    void pathsOfManySlashesAreFound()
+    /// The lookup stops at the deepest matching node, however long the path is.
+    void pathOfManySlashesIsFound()
     {
         route_table table;
         table.routes.resize(1);
@@ -142,7 +143,7 @@
         CPPUNIT_ASSERT(findRoute(table, indexOf(table), "h", path) == &table.routes.front());
     }
 
-    void aRouteWithoutAPlaceTakesWhatIsLeft()
+    void firstInvalidRouteTakesUnmatchedRequests()
     {
         route_table table;
         table.routes.resize(3);
--- a/tests/gateway/stage_keeper_test.cpp
+++ b/tests/gateway/stage_keeper_test.cpp
@@ -20,25 +20,25 @@
             + "\r\nConnection: close\r\n\r\n" + body;
 }
 
-/// Four engines of the decode stage, of which the scripted one is the first to be changed, and a
-/// store that grants each term.
-struct world
+/// Three decode engines and one prefill engine, of which the scripted one is the first to be
+/// changed, and a store that grants each lease term.
+struct fixture
 {
-    explicit world(const endpoint &address)
+    explicit fixture(const endpoint &address)
     {
         auto table = std::make_shared<route_table>();
         service engines;
         engines.id.text = "s";
         engines.engine = engine_traits{128, 800000, 18432, 350000};
         table->services.push_back(engines);
-        hub.update([&](catalogue &next) {
+        publisher.update([&](catalogue &next) {
             next.table = table;
             next.areRunnersKnown = true;
             for (int i = 0; i < 4; ++i) {
                 runner made;
                 made.id.text = "e" + std::to_string(i);
                 made.service.text = "s";
-                // The others refuse each connection.
+                // The other engines refuse connections.
                 made.address = i == 0 ? address : endpoint{"127.0.0.1", 1};
                 made.stage = i < 3 ? engine_stage::Decode : engine_stage::Prefill;
                 next.runners[made.id] = std::make_shared<const runner>(made);
@@ -47,19 +47,19 @@
         });
         names = test::testDialect();
         names.askReport = [] {
-            http_request asked;
-            asked.path = "/report";
-            return asked;
+            http_request request;
+            request.path = "/report";
+            return request;
         };
         names.readReport = [](std::string_view body) -> std::optional<engine_report> {
             return engine_report{body == "busy", 7};
         };
         names.orderStage = [](const engine_order &order) {
-            http_request asked;
-            asked.method = "POST";
-            asked.path = "/order/" + order.holder.text + "/" + std::to_string(order.fence) + "/"
+            http_request request;
+            request.method = "POST";
+            request.path = "/order/" + order.holder.text + "/" + std::to_string(order.fence) + "/"
                     + std::to_string(order.ordersTaken);
-            return asked;
+            return request;
         };
     }
 
@@ -72,20 +72,20 @@
                 }};
     }
 
-    void lookTwice()
+    void runTwice()
     {
-        stage_keeper keeper({hub, ledger, connections, names, clock, events,
-                             metrics.counterOf("orders"), stepFaultsOf(events, metrics),
-                             [this] { return isOwner; }},
-                            store(), {"self"}, 3000ms);
-        keeper.look();
+        stage_keeper manager({publisher, ledger, connections, names, clock, events,
+                              metrics.counterOf("orders"), stepFaultsOf(events, metrics),
+                              [this] { return isOwner; }},
+                             store(), {"self"}, 3000ms);
+        manager.look();
         now += config::stageSettleTime;
-        keeper.look();
+        manager.look();
     }
 
     mono_time now{std::chrono::hours(1)};
     clock_source clock{[this] { return now; }, [] { return wall_time{}; }};
-    catalogue_hub hub{catalogue{}};
+    catalogue_hub publisher{catalogue{}};
     runner_ledger ledger{clock};
     metrics_registry metrics;
     connection_pool connections{1, 200ms, metrics};
@@ -97,69 +97,70 @@
 
 } // namespace
 
-class stage_keeper_test : public CppUnit::TestFixture
+class stage_manager_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(stage_keeper_test);
-    CPPUNIT_TEST(ordersNameWhatTheyFound);
-    CPPUNIT_TEST(enginesThatAreChangingAreLeftAlone);
-    CPPUNIT_TEST(nothingIsSentAfterTheTerm);
-    CPPUNIT_TEST(onlyTheOwnerOrders);
+    CPPUNIT_TEST_SUITE(stage_manager_test);
+    CPPUNIT_TEST(ordersContainTheNumberOfOrdersTaken);
+    CPPUNIT_TEST(changingEnginesGetNoOrders);
+    CPPUNIT_TEST(nothingIsSentAfterTheLeaseTerm);
+    CPPUNIT_TEST(onlyTheOwnerSendsOrders);
     CPPUNIT_TEST(enginesWithoutStagesGetNoOrders);
-    CPPUNIT_TEST(aSlowStoreDoesNotHoldUpTheEnd);
-    CPPUNIT_TEST(aLookThatThrowsIsFollowedByTheNext);
+    CPPUNIT_TEST(slowStoreDoesNotDelayShutdown);
+    CPPUNIT_TEST(iterationThatThrowsIsFollowedByTheNext);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// An order can be carried out seconds after it was sent, when a newer one has been. It names
-    /// the orders taken so far, so that the engine drops it then.
-    void ordersNameWhatTheyFound()
+    /// An order may be executed seconds after it was sent, when a newer one has been executed
+    /// already. It contains the number of orders taken so far, so that the engine drops it in this
+    /// case.
+    void ordersContainTheNumberOfOrdersTaken()
     {
         scripted_runner engine({{replyOf("200 OK", "free")}, {replyOf("202 Accepted", "")}});
-        world test(engine.address());
-        test.lookTwice();
-        const auto asked = engine.requests();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, asked.size());
-        CPPUNIT_ASSERT(asked[0].starts_with("GET /report "));
-        CPPUNIT_ASSERT(asked[1].starts_with("POST /order/self/1/7 "));
-        CPPUNIT_ASSERT(asked[1].find("Runner: e0") != std::string::npos);
+        fixture test(engine.address());
+        test.runTwice();
+        const auto received = engine.requests();
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, received.size());
+        CPPUNIT_ASSERT(received[0].starts_with("GET /report "));
+        CPPUNIT_ASSERT(received[1].starts_with("POST /order/self/1/7 "));
+        CPPUNIT_ASSERT(received[1].find("Runner: e0") != std::string::npos);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.events.events({"stage_order", {}, {}}).size());
     }
 
-    void enginesThatAreChangingAreLeftAlone()
+    void changingEnginesGetNoOrders()
     {
         scripted_runner engine({{replyOf("200 OK", "busy")}, {replyOf("202 Accepted", "")}});
-        world test(engine.address());
-        test.lookTwice();
+        fixture test(engine.address());
+        test.runTwice();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, engine.requests().size());
     }
 
-    /// The machine is suspended between the write that gave the term and the order. Another
-    /// instance may have taken over meanwhile: an order sent now would conflict with its orders.
-    void nothingIsSentAfterTheTerm()
+    /// The machine is suspended between the write that acquired the lease and the order. Another
+    /// instance may hold the lease by now: an order sent late would conflict with its orders.
+    void nothingIsSentAfterTheLeaseTerm()
     {
         scripted_runner engine({{replyOf("200 OK", "free")}, {replyOf("202 Accepted", "")}});
-        world test(engine.address());
+        fixture test(engine.address());
         test.writeTime = 1600ms;
-        test.lookTwice();
+        test.runTwice();
         CPPUNIT_ASSERT(engine.requests().empty());
     }
 
-    void onlyTheOwnerOrders()
+    void onlyTheOwnerSendsOrders()
     {
         scripted_runner engine({{replyOf("200 OK", "free")}});
-        world test(engine.address());
+        fixture test(engine.address());
         test.isOwner = false;
-        test.lookTwice();
+        test.runTwice();
         CPPUNIT_ASSERT(engine.requests().empty());
     }
 
-    /// Engines that name no stage do all the work. Counted as such that could read prompts, they
-    /// were sent an order at each look, and refused it.
+    /// Engines without a stage do all work. If they were counted as engines that can do prefill,
+    /// they would be sent an order in each iteration and refuse it.
     void enginesWithoutStagesGetNoOrders()
     {
         scripted_runner engine({{replyOf("200 OK", "free")}, {replyOf("202 Accepted", "")}});
-        world test(engine.address());
-        test.hub.update([](catalogue &next) {
+        fixture test(engine.address());
+        test.publisher.update([](catalogue &next) {
             for (auto &[id, known] : next.runners) {
                 runner plain = *known;
                 plain.stage = engine_stage::None;
@@ -167,59 +168,59 @@
             }
             return true;
         });
-        test.lookTwice();
+        test.runTwice();
         CPPUNIT_ASSERT(engine.requests().empty());
     }
 
-    /// An instance gets SIGTERM while it waits for a slow store. Waiting for that first, it would
-    /// tell callers of its end seconds late, and be killed with their requests open.
-    void aSlowStoreDoesNotHoldUpTheEnd()
+    /// An instance gets SIGTERM while it waits for a slow store. If it waited for the store first,
+    /// it would start draining seconds late and be killed with requests in flight.
+    void slowStoreDoesNotDelayShutdown()
     {
         scripted_runner engine({{replyOf("200 OK", "free")}, {replyOf("202 Accepted", "")}});
-        world test(engine.address());
-        std::promise<void> reached;
-        std::promise<void> answered;
+        fixture test(engine.address());
+        std::promise<void> readStarted;
+        std::promise<void> answerAllowed;
         duties::lease_store slow = test.store();
         slow.read = [&]() -> result<duties::lease_record> {
-            reached.set_value();
-            answered.get_future().wait();
+            readStarted.set_value();
+            answerAllowed.get_future().wait();
             return notRun(error_code::TimedOut, "no answer");
         };
-        stage_keeper keeper({test.hub, test.ledger, test.connections, test.names, systemClock(),
-                             test.events, test.metrics.counterOf("orders"),
-                             stepFaultsOf(test.events, test.metrics), [] { return true; }},
-                            slow, {"self"}, 3000ms);
-        keeper.start();
-        reached.get_future().wait();
-        keeper.requestStop(); // Returns though the store has not answered.
-        answered.set_value();
-        keeper.stop();
+        stage_keeper manager({test.publisher, test.ledger, test.connections, test.names,
+                              systemClock(), test.events, test.metrics.counterOf("orders"),
+                              stepFaultsOf(test.events, test.metrics), [] { return true; }},
+                             slow, {"self"}, 3000ms);
+        manager.start();
+        readStarted.get_future().wait();
+        manager.requestStop(); // Returns before the store has answered.
+        answerAllowed.set_value();
+        manager.stop();
         CPPUNIT_ASSERT(engine.requests().empty());
     }
 
-    void aLookThatThrowsIsFollowedByTheNext()
+    void iterationThatThrowsIsFollowedByTheNext()
     {
-        world test({"127.0.0.1", 1});
-        std::promise<void> asked;
-        int looks = 0;
+        fixture test({"127.0.0.1", 1});
+        std::promise<void> secondIteration;
+        int iterations = 0;
         const auto isOwner = [&]() -> bool {
-            if (++looks == 1)
+            if (++iterations == 1)
                 throw std::length_error("too many");
-            if (looks == 2)
-                asked.set_value();
+            if (iterations == 2)
+                secondIteration.set_value();
             return false;
         };
-        stage_keeper keeper({test.hub, test.ledger, test.connections, test.names, systemClock(),
-                             test.events, test.metrics.counterOf("orders"),
-                             stepFaultsOf(test.events, test.metrics), isOwner},
-                            test.store(), {"self"}, 3000ms);
-        keeper.start();
-        CPPUNIT_ASSERT(asked.get_future().wait_for(20s) == std::future_status::ready);
-        keeper.stop();
+        stage_keeper manager({test.publisher, test.ledger, test.connections, test.names,
+                              systemClock(), test.events, test.metrics.counterOf("orders"),
+                              stepFaultsOf(test.events, test.metrics), isOwner},
+                             test.store(), {"self"}, 3000ms);
+        manager.start();
+        CPPUNIT_ASSERT(secondIteration.get_future().wait_for(20s) == std::future_status::ready);
+        manager.stop();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.events.events({"step_failed", {}, {}}).size());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(stage_keeper_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(stage_manager_test);
 
 } // namespace poplarspool::gateway
--- a/tests/gateway/stage_plan_test.cpp
+++ b/tests/gateway/stage_plan_test.cpp
@@ -31,20 +31,20 @@
 class stage_plan_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(stage_plan_test);
-    CPPUNIT_TEST(mostEnginesReadPrompts);
+    CPPUNIT_TEST(mostEnginesDoPrefill);
     CPPUNIT_TEST(smallBatchesNeedMoreDecoders);
-    CPPUNIT_TEST(fewEnginesStayAsTheyAre);
-    CPPUNIT_TEST(fullDecodersGetHelp);
-    CPPUNIT_TEST(changesSpareTheBusyAndTheZones);
-    CPPUNIT_TEST(enginesUnderAnOrderGetNoOther);
-    CPPUNIT_TEST(aCrashOfSecondsChangesNothing);
-    CPPUNIT_TEST(fewEnginesLeaveAtATimeUnderLoad);
+    CPPUNIT_TEST(servicesWithFewEnginesAreNotChanged);
+    CPPUNIT_TEST(fullDecodersGetMoreEngines);
+    CPPUNIT_TEST(changesPreferIdleEnginesAndSpreadOverZones);
+    CPPUNIT_TEST(enginesWithAPendingOrderGetNoOther);
+    CPPUNIT_TEST(shortCrashCausesNoChange);
+    CPPUNIT_TEST(changesAreLimitedUnderLoad);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Nine engines start with four that read and five that run. Prompts wait at those that read,
-    /// and those that run have time to spare: callers' first events come late.
-    void mostEnginesReadPrompts()
+    /// Nine engines start with four in the prefill and five in the decode stage. Prompts queue at
+    /// the prefill engines while the decode engines are underused, so first events are late.
+    void mostEnginesDoPrefill()
     {
         const auto changes = planStages(enginesOf(4, 5), largeBatch, {});
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, changes.size());
@@ -59,25 +59,25 @@
         CPPUNIT_ASSERT_EQUAL(56U, wantedDecoders(140, 91, smallBatch, 0));
     }
 
-    void fewEnginesStayAsTheyAre()
+    void servicesWithFewEnginesAreNotChanged()
     {
         CPPUNIT_ASSERT(planStages(enginesOf(0, 3), largeBatch, {}).empty());
     }
 
-    /// Answers have become long: requests pile up at the engines that run them, and each token
-    /// takes several times as long.
-    void fullDecodersGetHelp()
+    /// Responses have become long: requests accumulate on the decode engines, and each token takes
+    /// several times as long.
+    void fullDecodersGetMoreEngines()
     {
         const double full = 4 * smallBatch.batch;
         const auto changes = planStages(enginesOf(8, 4), smallBatch, {full, start, {}});
         CPPUNIT_ASSERT(!changes.empty());
         for (const stage_change &one : changes)
             CPPUNIT_ASSERT(one.wanted == engine_stage::Decode);
-        // However much runs, some engines go on reading.
+        // Some engines stay in the prefill stage at any load.
         CPPUNIT_ASSERT(wantedDecoders(12, 4, smallBatch, 1e6) < 12);
     }
 
-    void changesSpareTheBusyAndTheZones()
+    void changesPreferIdleEnginesAndSpreadOverZones()
     {
         std::vector<stage_engine> engines = enginesOf(0, 9);
         for (std::size_t i = 0; i < engines.size(); ++i)
@@ -89,7 +89,7 @@
         CPPUNIT_ASSERT(first == (std::set<std::string>{"e0", "e1", "e2"}));
     }
 
-    void enginesUnderAnOrderGetNoOther()
+    void enginesWithAPendingOrderGetNoOther()
     {
         std::vector<stage_engine> engines = enginesOf(4, 5);
         for (stage_engine &one : engines)
@@ -97,31 +97,31 @@
         CPPUNIT_ASSERT(planStages(engines, largeBatch, {}).empty());
     }
 
-    /// Two engines crash under load and are back after three seconds. Were others ordered to take
-    /// their place at once, those would be away for as long, and back in the old stage later:
-    /// callers lost engines twice.
-    void aCrashOfSecondsChangesNothing()
+    /// Two engines crash under load and are back after three seconds. If other engines were ordered
+    /// to replace them at once, these would be out of service for as long, and again when they
+    /// change back: capacity would be lost twice.
+    void shortCrashCausesNoChange()
     {
         stage_memory memory{50, start, {}};
-        const std::vector<stage_engine> less = enginesOf(7, 1);
-        CPPUNIT_ASSERT(!planStages(less, largeBatch, memory).empty());
-        CPPUNIT_ASSERT(dueChanges(less, largeBatch, memory).empty());
-        memory = noteRunning(memory, less, start + 3s);
+        const std::vector<stage_engine> withoutCrashed = enginesOf(7, 1);
+        CPPUNIT_ASSERT(!planStages(withoutCrashed, largeBatch, memory).empty());
+        CPPUNIT_ASSERT(dueChanges(withoutCrashed, largeBatch, memory).empty());
+        memory = noteRunning(memory, withoutCrashed, start + 3s);
         memory.meanRunning = 50;
-        CPPUNIT_ASSERT(dueChanges(less, largeBatch, memory).empty());
+        CPPUNIT_ASSERT(dueChanges(withoutCrashed, largeBatch, memory).empty());
         CPPUNIT_ASSERT(dueChanges(enginesOf(7, 2), largeBatch, memory).empty());
         memory.lookedAt = start + config::stagePatience;
-        CPPUNIT_ASSERT(dueChanges(less, largeBatch, memory).empty());
+        CPPUNIT_ASSERT(dueChanges(withoutCrashed, largeBatch, memory).empty());
         memory.lookedAt += config::stagePatience;
-        CPPUNIT_ASSERT(!dueChanges(less, largeBatch, memory).empty());
-        // Before any request comes, nobody loses anything by a change.
-        stage_memory rest{0, start, {}};
-        CPPUNIT_ASSERT(!dueChanges(enginesOf(4, 5), largeBatch, rest).empty());
+        CPPUNIT_ASSERT(!dueChanges(withoutCrashed, largeBatch, memory).empty());
+        // While there are no requests, changes are ordered at once.
+        stage_memory idle{0, start, {}};
+        CPPUNIT_ASSERT(!dueChanges(enginesOf(4, 5), largeBatch, idle).empty());
     }
 
-    /// A burst is over, and twenty engines could read prompts again. All away at once for three
-    /// seconds, the others refuse what the next burst brings.
-    void fewEnginesLeaveAtATimeUnderLoad()
+    /// After a burst, twenty engines could return to prefill. If all of them were out of service
+    /// for three seconds at once, the others would refuse requests of the next burst.
+    void changesAreLimitedUnderLoad()
     {
         std::vector<stage_engine> engines = enginesOf(56, 84);
         stage_memory memory{300, start + config::stageGiveBackPatience, start};
--- a/tests/gateway/suspect_book_test.cpp
+++ b/tests/gateway/suspect_book_test.cpp
@@ -14,187 +14,191 @@
 
 constexpr std::int64_t start = 1'000'000;
 
-ended_life lifeOf(std::uint64_t life, std::int64_t at = start)
+ended_life endOf(std::uint64_t key, std::int64_t at = start)
 {
-    return {life, at};
+    return {key, at};
 }
 
-suspect suspectOf(std::uint64_t digest, const std::vector<std::uint64_t> &lives)
+suspect recordOf(std::uint64_t digest, const std::vector<std::uint64_t> &keys)
 {
     suspect made{digest, {}, 0};
-    for (const std::uint64_t life : lives)
-        made = joined(made, {digest, {lifeOf(life)}, 0});
+    for (const std::uint64_t key : keys)
+        made = joined(made, {digest, {endOf(key)}, 0});
     return made;
 }
 
-bool isKept(const suspect_book &book, std::uint64_t digest, std::int64_t now = start)
+bool isQuarantined(const suspect_book &table, std::uint64_t digest, std::int64_t now = start)
 {
-    return book.quarantineOf(digest, now).has_value();
+    return table.quarantineOf(digest, now).has_value();
 }
 
 } // namespace
 
-class suspect_book_test : public CppUnit::TestFixture
+class crash_table_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(suspect_book_test);
-    CPPUNIT_TEST(endsAreCountedAsASet);
-    CPPUNIT_TEST(newsMayComeInAnyOrder);
-    CPPUNIT_TEST(threeLivesKeepARequestFromRunners);
-    CPPUNIT_TEST(aWholeAnswerSpeaksForARequest);
-    CPPUNIT_TEST(anEndUnderTheGuiltyOneSpeaksAgainstNoOther);
-    CPPUNIT_TEST(whoWasAtTheSameEndsIsKeptAsWell);
-    CPPUNIT_TEST(theGuiltyOneIsKeptAfterThreeEndsWhateverRunsBeside);
-    CPPUNIT_TEST(othersEndsLetNobodyGo);
+    CPPUNIT_TEST_SUITE(crash_table_test);
+    CPPUNIT_TEST(eachEndIsCountedOnce);
+    CPPUNIT_TEST(updatesMayArriveInAnyOrder);
+    CPPUNIT_TEST(requestIsQuarantinedAfterThreeEnds);
+    CPPUNIT_TEST(completedRequestIsReleased);
+    CPPUNIT_TEST(endsOfAQuarantinedRequestDoNotCountForOthers);
+    CPPUNIT_TEST(requestsWithTheSameEndsAreQuarantinedTogether);
+    CPPUNIT_TEST(causeIsQuarantinedAfterThreeEndsDespiteOtherRequests);
+    CPPUNIT_TEST(furtherEndsOfOthersReleaseNoRequest);
     CPPUNIT_TEST(quarantineEndsAndGrows);
-    CPPUNIT_TEST(inTheFirstDayItIsTriedThreeTimes);
-    CPPUNIT_TEST(aRestartUnderTheSameIdIsAnotherLife);
+    CPPUNIT_TEST(requestIsSentThreeTimesInTheFirstDay);
+    CPPUNIT_TEST(restartUnderTheSameIdIsANewIncarnation);
     CPPUNIT_TEST(memoryIsBounded);
-    CPPUNIT_TEST(onlyQuarantineIsMarked);
+    CPPUNIT_TEST(fingerprintCoversOnlyQuarantine);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void endsAreCountedAsASet()
+    void eachEndIsCountedOnce()
     {
-        suspect_book book;
-        CPPUNIT_ASSERT(book.noteEnded(7, lifeOf(1)));
-        CPPUNIT_ASSERT(!book.noteEnded(7, lifeOf(1)));
-        CPPUNIT_ASSERT(!book.join({suspectOf(7, {1})}));
-        book.join({suspectOf(7, {1, 2})});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, book.countLives(7));
-        CPPUNIT_ASSERT(!isKept(book, 7));
+        suspect_book table;
+        CPPUNIT_ASSERT(table.noteEnded(7, endOf(1)));
+        CPPUNIT_ASSERT(!table.noteEnded(7, endOf(1)));
+        CPPUNIT_ASSERT(!table.join({recordOf(7, {1})}));
+        table.join({recordOf(7, {1, 2})});
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.countLives(7));
+        CPPUNIT_ASSERT(!isQuarantined(table, 7));
     }
 
-    void newsMayComeInAnyOrder()
+    void updatesMayArriveInAnyOrder()
     {
         std::mt19937_64 random(11);
         for (int round = 0; round < 200; ++round) {
-            std::vector<suspect> news;
-            news.reserve(12);
+            std::vector<suspect> updates;
+            updates.reserve(12);
             for (int i = 0; i < 12; ++i)
-                news.push_back({random() % 3,
-                                {lifeOf(random() % 6, start + static_cast<int>(random() % 9))},
-                                random() % 4 == 0 ? start + 2 : 0});
-            suspect_book one;
-            for (const suspect &each : news)
-                one.join({each});
-            suspect_book other;
-            std::shuffle(news.begin(), news.end(), random);
-            other.join(news);
-            other.join({news.front()});
+                updates.push_back({random() % 3,
+                                   {endOf(random() % 6, start + static_cast<int>(random() % 9))},
+                                   random() % 4 == 0 ? start + 2 : 0});
+            suspect_book sequential;
+            for (const suspect &each : updates)
+                sequential.join({each});
+            suspect_book shuffled;
+            std::shuffle(updates.begin(), updates.end(), random);
+            shuffled.join(updates);
+            shuffled.join({updates.front()});
             for (std::uint64_t digest = 0; digest < 3; ++digest) {
-                CPPUNIT_ASSERT(one.find(digest) == other.find(digest));
-                // In another order, more may have been kept meanwhile; never fewer.
-                CPPUNIT_ASSERT(!isKept(other, digest) || isKept(one, digest));
+                CPPUNIT_ASSERT(sequential.find(digest) == shuffled.find(digest));
+                // The records are equal in any order. One by one, more requests may have been
+                // quarantined meanwhile, never fewer.
+                CPPUNIT_ASSERT(!isQuarantined(shuffled, digest)
+                               || isQuarantined(sequential, digest));
             }
         }
     }
 
-    void threeLivesKeepARequestFromRunners()
+    void requestIsQuarantinedAfterThreeEnds()
     {
-        suspect_book book;
-        book.join({suspectOf(7, {1, 2})});
-        CPPUNIT_ASSERT(!isKept(book, 7));
-        book.noteEnded(7, lifeOf(3));
-        CPPUNIT_ASSERT(isKept(book, 7));
-        CPPUNIT_ASSERT(!isKept(book, 8));
-        CPPUNIT_ASSERT(book.hasEnded(3) && !book.hasEnded(4));
+        suspect_book table;
+        table.join({recordOf(7, {1, 2})});
+        CPPUNIT_ASSERT(!isQuarantined(table, 7));
+        table.noteEnded(7, endOf(3));
+        CPPUNIT_ASSERT(isQuarantined(table, 7));
+        CPPUNIT_ASSERT(!isQuarantined(table, 8));
+        CPPUNIT_ASSERT(table.hasEnded(3) && !table.hasEnded(4));
     }
 
-    void aWholeAnswerSpeaksForARequest()
+    void completedRequestIsReleased()
     {
-        suspect_book book;
-        CPPUNIT_ASSERT(!book.noteServed(7, start));
-        book.join({suspectOf(7, {1, 2, 3})});
-        CPPUNIT_ASSERT(book.noteServed(7, start + 1));
-        CPPUNIT_ASSERT(!isKept(book, 7));
-        book.join({suspectOf(7, {1, 2, 3})});
-        CPPUNIT_ASSERT(!isKept(book, 7));
-        book.noteEnded(7, lifeOf(4, start + 2));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, book.countLives(7));
+        suspect_book table;
+        CPPUNIT_ASSERT(!table.noteServed(7, start));
+        table.join({recordOf(7, {1, 2, 3})});
+        CPPUNIT_ASSERT(table.noteServed(7, start + 1));
+        CPPUNIT_ASSERT(!isQuarantined(table, 7));
+        table.join({recordOf(7, {1, 2, 3})});
+        CPPUNIT_ASSERT(!isQuarantined(table, 7));
+        table.noteEnded(7, endOf(4, start + 2));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.countLives(7));
     }
 
-    /// Requests beside the guilty one were at each of its ends, and would have been refused with
-    /// it.
-    void anEndUnderTheGuiltyOneSpeaksAgainstNoOther()
+    /// Requests that ran beside the one that crashes runners are recorded at the same ends, and
+    /// would be refused with it.
+    void endsOfAQuarantinedRequestDoNotCountForOthers()
     {
-        suspect_book book;
-        book.join({suspectOf(7, {1, 2, 3, 4}), suspectOf(8, {2, 3, 4}), suspectOf(9, {3, 5})});
-        CPPUNIT_ASSERT(isKept(book, 7));
-        CPPUNIT_ASSERT(!isKept(book, 8));
-        book.noteEnded(9, lifeOf(6));
-        CPPUNIT_ASSERT(!isKept(book, 9));
-        book.noteEnded(9, lifeOf(7));
-        CPPUNIT_ASSERT(isKept(book, 9));
+        suspect_book table;
+        table.join({recordOf(7, {1, 2, 3, 4}), recordOf(8, {2, 3, 4}), recordOf(9, {3, 5})});
+        CPPUNIT_ASSERT(isQuarantined(table, 7));
+        CPPUNIT_ASSERT(!isQuarantined(table, 8));
+        table.noteEnded(9, endOf(6));
+        CPPUNIT_ASSERT(!isQuarantined(table, 9));
+        table.noteEnded(9, endOf(7));
+        CPPUNIT_ASSERT(isQuarantined(table, 9));
     }
 
-    /// Let go for the other's sake, the guilty one ended runners on and on.
-    void whoWasAtTheSameEndsIsKeptAsWell()
+    /// If one of two requests with the same ends excused the other, the one that crashes runners
+    /// could be released and would go on.
+    void requestsWithTheSameEndsAreQuarantinedTogether()
     {
-        suspect_book book;
-        book.join({suspectOf(7, {1, 2, 3}), suspectOf(8, {1, 2, 3}), suspectOf(9, {1, 2})});
-        CPPUNIT_ASSERT(isKept(book, 7) && isKept(book, 8) && !isKept(book, 9));
-        CPPUNIT_ASSERT(book.noteServed(7, start + 1));
-        CPPUNIT_ASSERT(!isKept(book, 7) && isKept(book, 8));
+        suspect_book table;
+        table.join({recordOf(7, {1, 2, 3}), recordOf(8, {1, 2, 3}), recordOf(9, {1, 2})});
+        CPPUNIT_ASSERT(isQuarantined(table, 7) && isQuarantined(table, 8)
+                       && !isQuarantined(table, 9));
+        CPPUNIT_ASSERT(table.noteServed(7, start + 1));
+        CPPUNIT_ASSERT(!isQuarantined(table, 7) && isQuarantined(table, 8));
     }
 
-    void theGuiltyOneIsKeptAfterThreeEndsWhateverRunsBeside()
+    void causeIsQuarantinedAfterThreeEndsDespiteOtherRequests()
     {
         std::mt19937_64 random(3);
         for (int round = 0; round < 300; ++round) {
-            suspect_book book;
-            const std::uint64_t guilty = 100 + random() % 20;
-            std::uint64_t life = 0;
-            for (; !isKept(book, guilty) && life < 50; ++life) {
-                book.noteEnded(guilty, lifeOf(life));
-                for (std::uint64_t beside = 100; beside < 126; ++beside) {
-                    if (beside != guilty && random() % 10 < 9)
-                        book.noteEnded(beside, lifeOf(life));
+            suspect_book table;
+            const std::uint64_t cause = 100 + random() % 20;
+            std::uint64_t key = 0;
+            for (; !isQuarantined(table, cause) && key < 50; ++key) {
+                table.noteEnded(cause, endOf(key));
+                for (std::uint64_t innocent = 100; innocent < 126; ++innocent) {
+                    if (innocent != cause && random() % 10 < 9)
+                        table.noteEnded(innocent, endOf(key));
                 }
             }
-            CPPUNIT_ASSERT_EQUAL(std::uint64_t{config::quarantineLives}, life);
+            CPPUNIT_ASSERT_EQUAL(std::uint64_t{config::quarantineLives}, key);
         }
     }
 
-    void othersEndsLetNobodyGo()
+    void furtherEndsOfOthersReleaseNoRequest()
     {
-        suspect_book book;
-        book.join({suspectOf(7, {1, 2, 3}), suspectOf(8, {1, 2, 3})});
-        book.noteEnded(8, lifeOf(4));
-        CPPUNIT_ASSERT(isKept(book, 7) && isKept(book, 8));
+        suspect_book table;
+        table.join({recordOf(7, {1, 2, 3}), recordOf(8, {1, 2, 3})});
+        table.noteEnded(8, endOf(4));
+        CPPUNIT_ASSERT(isQuarantined(table, 7) && isQuarantined(table, 8));
     }
 
     void quarantineEndsAndGrows()
     {
-        suspect_book book;
-        book.join({suspectOf(7, {1, 2, 3})});
+        suspect_book table;
+        table.join({recordOf(7, {1, 2, 3})});
         const std::int64_t end = start + config::quarantineTimeFirst.count();
-        CPPUNIT_ASSERT(isKept(book, 7, end - 1));
-        CPPUNIT_ASSERT(!isKept(book, 7, end));
-        book.noteEnded(7, lifeOf(4, end));
+        CPPUNIT_ASSERT(isQuarantined(table, 7, end - 1));
+        CPPUNIT_ASSERT(!isQuarantined(table, 7, end));
+        table.noteEnded(7, endOf(4, end));
         const std::int64_t next =
                 end + (config::quarantineGrowth * config::quarantineTimeFirst).count();
-        CPPUNIT_ASSERT(isKept(book, 7, next - 1));
-        CPPUNIT_ASSERT(!isKept(book, 7, next));
-        for (std::uint64_t life = 5; life < 40; ++life)
-            book.noteEnded(7, lifeOf(life, end));
-        CPPUNIT_ASSERT(book.quarantineOf(7, end)->left == config::quarantineTimeMost);
+        CPPUNIT_ASSERT(isQuarantined(table, 7, next - 1));
+        CPPUNIT_ASSERT(!isQuarantined(table, 7, next));
+        for (std::uint64_t key = 5; key < 40; ++key)
+            table.noteEnded(7, endOf(key, end));
+        CPPUNIT_ASSERT(table.quarantineOf(7, end)->left == config::quarantineTimeMost);
     }
 
-    /// More tries of a request that goes on ending runners would be too many.
-    void inTheFirstDayItIsTriedThreeTimes()
+    /// Limits how many runners a request can crash that keeps being sent.
+    void requestIsSentThreeTimesInTheFirstDay()
     {
-        suspect_book book;
-        book.join({suspectOf(7, {1, 2, 3})});
-        int tries = 0;
+        suspect_book table;
+        table.join({recordOf(7, {1, 2, 3})});
+        int crashes = 0;
         for (std::int64_t now = start; now < start + milliseconds(24h).count(); now += 60'000) {
-            if (!isKept(book, 7, now))
-                book.noteEnded(
-                        7, lifeOf(std::uint64_t{10} + static_cast<std::uint64_t>(tries++), now));
+            if (!isQuarantined(table, 7, now))
+                table.noteEnded(
+                        7, endOf(std::uint64_t{10} + static_cast<std::uint64_t>(crashes++), now));
         }
-        CPPUNIT_ASSERT_EQUAL(3, tries);
+        CPPUNIT_ASSERT_EQUAL(3, crashes);
     }
 
-    void aRestartUnderTheSameIdIsAnotherLife()
+    void restartUnderTheSameIdIsANewIncarnation()
     {
         runner first;
         first.id.text = "i-1";
@@ -206,29 +210,29 @@
 
     void memoryIsBounded()
     {
-        suspect_book book;
-        book.join({suspectOf(1, {1, 2, 3})});
+        suspect_book table;
+        table.join({recordOf(1, {1, 2, 3})});
         for (std::uint64_t digest = 2; digest < 2 * config::maxSuspects; ++digest)
-            book.noteEnded(digest, lifeOf(9, start + static_cast<std::int64_t>(digest)));
-        CPPUNIT_ASSERT(isKept(book, 1));
-        CPPUNIT_ASSERT(!book.find(2));
-        CPPUNIT_ASSERT(book.find(2 * config::maxSuspects - 1).has_value());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, book.lasting().size());
+            table.noteEnded(digest, endOf(9, start + static_cast<std::int64_t>(digest)));
+        CPPUNIT_ASSERT(isQuarantined(table, 1));
+        CPPUNIT_ASSERT(!table.find(2));
+        CPPUNIT_ASSERT(table.find(2 * config::maxSuspects - 1).has_value());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.lasting().size());
     }
 
-    void onlyQuarantineIsMarked()
+    void fingerprintCoversOnlyQuarantine()
     {
-        suspect_book book;
-        book.join({suspectOf(7, {1, 2})});
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, book.markAt(start));
-        book.noteEnded(7, lifeOf(3));
-        CPPUNIT_ASSERT(book.markAt(start) != 0);
-        CPPUNIT_ASSERT(book.markAt(start) >> config::suspectMarkBits == 0);
+        suspect_book table;
+        table.join({recordOf(7, {1, 2})});
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, table.markAt(start));
+        table.noteEnded(7, endOf(3));
+        CPPUNIT_ASSERT(table.markAt(start) != 0);
+        CPPUNIT_ASSERT(table.markAt(start) >> config::suspectMarkBits == 0);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
-                             book.markAt(start + config::quarantineTimeFirst.count()));
+                             table.markAt(start + config::quarantineTimeFirst.count()));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(suspect_book_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(crash_table_test);
 
 } // namespace poplarspool::gateway
--- a/tests/gateway/suspect_keeper_test.cpp
+++ b/tests/gateway/suspect_keeper_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-/// A store of one list, which many keepers share.
+/// A store with one list, shared by several instances.
 struct shared_list
 {
     suspect_store access()
@@ -27,7 +27,7 @@
             const std::lock_guard lock(guard);
             ++writes;
             if (next.version != content.version)
-                return notRun(error_code::Conflict, "changed meanwhile");
+                return notRun(error_code::Conflict, "list was changed concurrently");
             content.suspects = next.suspects;
             ++content.version.revision;
             return unit{};
@@ -35,7 +35,7 @@
         return made;
     }
 
-    std::size_t livesOf(std::uint64_t digest)
+    std::size_t countEnds(std::uint64_t digest)
     {
         const std::lock_guard lock(guard);
         const auto found = std::ranges::find(content.suspects, digest, &suspect::digest);
@@ -48,41 +48,41 @@
     int writes = 0;
 };
 
-/// One instance's keeper; what it tells is handed to the others by hand.
+/// One instance. Tests pass the rumors it sends to other instances themselves.
 struct instance
 {
     explicit instance(shared_list &list, const std::string &name = "edge-1")
-        : keeper({[this](const endpoint &) { return isRunnerGone.load(); },
-                  [this](peer::rumor news) {
-                      const std::lock_guard lock(guard);
-                      told.push_back(std::move(news));
-                  },
-                  [this](std::uint64_t given) { mark = given; },
-                  [this] { return std::vector<std::uint64_t>{othersMark.load()}; },
-                  [this] { return isCutOff ? mono_time{} : systemClock().mono(); }},
-                 list.access(), {name}, systemClock(), metrics, events)
+        : manager({[this](const endpoint &) { return isRunnerGone.load(); },
+                   [this](peer::rumor rumor) {
+                       const std::lock_guard lock(guard);
+                       sent.push_back(std::move(rumor));
+                   },
+                   [this](std::uint64_t given) { fingerprint = given; },
+                   [this] { return std::vector<std::uint64_t>{otherFingerprint.load()}; },
+                   [this] { return isPartitioned ? mono_time{} : systemClock().mono(); }},
+                  list.access(), {name}, systemClock(), metrics, events)
     {
-        keeper.start();
+        manager.start();
     }
 
-    std::vector<peer::rumor> takeTold()
+    std::vector<peer::rumor> takeSent()
     {
         const std::lock_guard lock(guard);
-        return std::exchange(told, {});
+        return std::exchange(sent, {});
     }
 
     metrics_registry metrics;
     journal events{{"test"}, systemClock(), 64};
     std::atomic<bool> isRunnerGone{true};
-    std::atomic<std::uint64_t> mark{0};
-    std::atomic<std::uint64_t> othersMark{0};
-    std::atomic<bool> isCutOff{false};
+    std::atomic<std::uint64_t> fingerprint{0};
+    std::atomic<std::uint64_t> otherFingerprint{0};
+    std::atomic<bool> isPartitioned{false};
     std::mutex guard;
-    std::vector<peer::rumor> told;
-    suspect_keeper keeper;
+    std::vector<peer::rumor> sent;
+    suspect_keeper manager;
 };
 
-runner lifeOf(int number)
+runner incarnationOf(int number)
 {
     runner made;
     made.id.text = "i-" + std::to_string(number);
@@ -90,11 +90,11 @@
     return made;
 }
 
-bool waitUntil(const std::function<bool()> &holds)
+bool waitUntil(const std::function<bool()> &condition)
 {
     for (const auto end = std::chrono::steady_clock::now() + 20s;
          std::chrono::steady_clock::now() < end; std::this_thread::sleep_for(2ms)) {
-        if (holds())
+        if (condition())
             return true;
     }
     return false;
@@ -102,187 +102,189 @@
 
 } // namespace
 
-class suspect_keeper_test : public CppUnit::TestFixture
+class quarantine_manager_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(suspect_keeper_test);
-    CPPUNIT_TEST(aBrokenAnswerOfALivingRunnerCountsNothing);
-    CPPUNIT_TEST(anEndThatIsSeenLateCounts);
-    CPPUNIT_TEST(whoLeavesStillTells);
-    CPPUNIT_TEST(endsSeenElsewhereCount);
-    CPPUNIT_TEST(whoStartsLaterReadsThemInTheStore);
-    CPPUNIT_TEST(twoWritersKeepEachOthersEnds);
-    CPPUNIT_TEST(whoLacksWhatOthersHaveReadsTheStore);
-    CPPUNIT_TEST(anOlderCopyGetsThemAgain);
-    CPPUNIT_TEST(whoWasCutOffReadsTheStoreWhenItIsBack);
-    CPPUNIT_TEST(calmInstancesReadOnceAndWriteNothing);
-    CPPUNIT_TEST(rumorsKeepTheirBounds);
-    CPPUNIT_TEST(malformedRumorsAreRefused);
+    CPPUNIT_TEST_SUITE(quarantine_manager_test);
+    CPPUNIT_TEST(incompleteResponseOfALiveRunnerDoesNotCount);
+    CPPUNIT_TEST(endConfirmedLaterCounts);
+    CPPUNIT_TEST(stoppingInstanceStillSendsRumors);
+    CPPUNIT_TEST(endsObservedByOtherInstancesCount);
+    CPPUNIT_TEST(newInstanceReadsRecordsFromTheStore);
+    CPPUNIT_TEST(concurrentWritersKeepAllEnds);
+    CPPUNIT_TEST(differingFingerprintCausesStoreRead);
+    CPPUNIT_TEST(recordsAreRewrittenAfterStoreRollback);
+    CPPUNIT_TEST(storeIsReadAfterPartition);
+    CPPUNIT_TEST(clearedRequestCausesNoFurtherStoreAccess);
+    CPPUNIT_TEST(rumorsStayWithinSizeLimits);
+    CPPUNIT_TEST(malformedRumorsAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void aBrokenAnswerOfALivingRunnerCountsNothing()
+    void incompleteResponseOfALiveRunnerDoesNotCount()
     {
         shared_list list;
         instance one(list);
         one.isRunnerGone = false;
-        one.keeper.noteBroken(7, lifeOf(1));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.keeper.countLives(7));
+        one.manager.noteBroken(7, incarnationOf(1));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.manager.countLives(7));
         one.isRunnerGone = true;
-        one.keeper.noteBroken(8, lifeOf(1));
-        one.isRunnerGone = false; // Started again; the end of that life is known all the same.
-        one.keeper.noteBroken(7, lifeOf(1));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, one.keeper.countLives(7));
+        one.manager.noteBroken(8, incarnationOf(1));
+        one.isRunnerGone = false; // Restarted; the end of the incarnation is known nevertheless.
+        one.manager.noteBroken(7, incarnationOf(1));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, one.manager.countLives(7));
     }
 
-    void anEndThatIsSeenLateCounts()
+    void endConfirmedLaterCounts()
     {
         shared_list list;
         instance one(list);
         one.isRunnerGone = false;
-        one.keeper.noteBroken(7, lifeOf(1));
-        one.keeper.noteDoubt(8, lifeOf(1));
+        one.manager.noteBroken(7, incarnationOf(1));
+        one.manager.noteDoubt(8, incarnationOf(1));
         one.isRunnerGone = true;
         CPPUNIT_ASSERT(waitUntil(
-                [&] { return one.keeper.countLives(7) == 1 && one.keeper.countLives(8) == 1; }));
+                [&] { return one.manager.countLives(7) == 1 && one.manager.countLives(8) == 1; }));
     }
 
-    /// Each instance in turn ends for a new release, and took what it had seen with it.
-    void whoLeavesStillTells()
+    /// Instances shut down one after the other for a new release. Ends observed during the shutdown
+    /// must not be lost with them.
+    void stoppingInstanceStillSendsRumors()
     {
         shared_list list;
         instance one(list);
-        one.keeper.leave();
-        one.keeper.noteBroken(7, lifeOf(1));
-        one.keeper.noteBroken(7, lifeOf(2));
-        one.keeper.stop();
-        std::vector<suspect> told;
-        for (const peer::rumor &news : one.takeTold()) {
-            const auto ends = suspectsIn(news);
-            told.insert(told.end(), valueOf(ends).begin(), valueOf(ends).end());
+        one.manager.leave();
+        one.manager.noteBroken(7, incarnationOf(1));
+        one.manager.noteBroken(7, incarnationOf(2));
+        one.manager.stop();
+        std::vector<suspect> sent;
+        for (const peer::rumor &rumor : one.takeSent()) {
+            const auto ends = suspectsIn(rumor);
+            sent.insert(sent.end(), valueOf(ends).begin(), valueOf(ends).end());
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, told.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent.size());
         CPPUNIT_ASSERT_EQUAL(0, list.writes);
     }
 
-    void endsSeenElsewhereCount()
+    void endsObservedByOtherInstancesCount()
     {
         shared_list list;
         instance one(list);
         instance other(list, "edge-2");
-        one.keeper.noteBroken(7, lifeOf(1));
-        one.keeper.noteBroken(7, lifeOf(2));
-        other.keeper.noteBroken(7, lifeOf(3));
+        one.manager.noteBroken(7, incarnationOf(1));
+        one.manager.noteBroken(7, incarnationOf(2));
+        other.manager.noteBroken(7, incarnationOf(3));
         CPPUNIT_ASSERT(waitUntil([&] {
-            for (const peer::rumor &news : one.takeTold())
-                other.keeper.take(news);
-            return other.keeper.quarantineOf(7).has_value();
+            for (const peer::rumor &rumor : one.takeSent())
+                other.manager.take(rumor);
+            return other.manager.quarantineOf(7).has_value();
         }));
-        CPPUNIT_ASSERT(!other.keeper.quarantineOf(8));
+        CPPUNIT_ASSERT(!other.manager.quarantineOf(8));
     }
 
-    /// All instances killed at once forgot it, and it ended three runners more.
-    void whoStartsLaterReadsThemInTheStore()
+    /// If all instances are killed at once and nothing is persisted, the request can crash three
+    /// more runners.
+    void newInstanceReadsRecordsFromTheStore()
     {
         shared_list list;
         {
             instance one(list);
-            one.keeper.noteBroken(7, lifeOf(1));
-            one.keeper.noteBroken(7, lifeOf(2));
-            CPPUNIT_ASSERT(waitUntil([&] { return list.livesOf(7) == 2; }));
+            one.manager.noteBroken(7, incarnationOf(1));
+            one.manager.noteBroken(7, incarnationOf(2));
+            CPPUNIT_ASSERT(waitUntil([&] { return list.countEnds(7) == 2; }));
         }
         instance later(list, "edge-2");
-        CPPUNIT_ASSERT(waitUntil([&] { return later.keeper.countLives(7) == 2; }));
-        later.keeper.noteBroken(7, lifeOf(3));
-        CPPUNIT_ASSERT(later.keeper.quarantineOf(7));
+        CPPUNIT_ASSERT(waitUntil([&] { return later.manager.countLives(7) == 2; }));
+        later.manager.noteBroken(7, incarnationOf(3));
+        CPPUNIT_ASSERT(later.manager.quarantineOf(7));
     }
 
-    void twoWritersKeepEachOthersEnds()
+    void concurrentWritersKeepAllEnds()
     {
         shared_list list;
         instance one(list);
         instance other(list, "edge-2");
-        for (int life = 1; life <= 3; ++life) {
-            one.keeper.noteBroken(7, lifeOf(life));
-            other.keeper.noteBroken(8, lifeOf(10 + life));
-            other.keeper.noteBroken(7, lifeOf(20 + life));
+        for (int number = 1; number <= 3; ++number) {
+            one.manager.noteBroken(7, incarnationOf(number));
+            other.manager.noteBroken(8, incarnationOf(10 + number));
+            other.manager.noteBroken(7, incarnationOf(20 + number));
         }
-        CPPUNIT_ASSERT(waitUntil([&] { return list.livesOf(7) == 6 && list.livesOf(8) == 3; }));
+        CPPUNIT_ASSERT(waitUntil([&] { return list.countEnds(7) == 6 && list.countEnds(8) == 3; }));
     }
 
-    /// Its rumors were lost, or it was cut off meanwhile.
-    void whoLacksWhatOthersHaveReadsTheStore()
+    /// The rumors for this instance were lost, or it was partitioned meanwhile.
+    void differingFingerprintCausesStoreRead()
     {
         shared_list list;
-        instance lacking(list);
+        instance incomplete(list);
         CPPUNIT_ASSERT(waitUntil([&] { return list.reads > 0; }));
         instance one(list, "edge-2");
-        for (int life = 1; life <= 3; ++life)
-            one.keeper.noteBroken(7, lifeOf(life));
-        CPPUNIT_ASSERT(waitUntil([&] { return one.mark != 0 && list.livesOf(7) == 3; }));
-        CPPUNIT_ASSERT(!lacking.keeper.quarantineOf(7));
-        lacking.othersMark = one.mark.load();
-        CPPUNIT_ASSERT(waitUntil([&] { return lacking.keeper.quarantineOf(7).has_value(); }));
-        CPPUNIT_ASSERT(waitUntil([&] { return lacking.mark == one.mark; }));
+        for (int number = 1; number <= 3; ++number)
+            one.manager.noteBroken(7, incarnationOf(number));
+        CPPUNIT_ASSERT(waitUntil([&] { return one.fingerprint != 0 && list.countEnds(7) == 3; }));
+        CPPUNIT_ASSERT(!incomplete.manager.quarantineOf(7));
+        incomplete.otherFingerprint = one.fingerprint.load();
+        CPPUNIT_ASSERT(waitUntil([&] { return incomplete.manager.quarantineOf(7).has_value(); }));
+        CPPUNIT_ASSERT(waitUntil([&] { return incomplete.fingerprint == one.fingerprint; }));
     }
 
-    void whoWasCutOffReadsTheStoreWhenItIsBack()
+    void storeIsReadAfterPartition()
     {
         shared_list list;
-        instance lacking(list);
+        instance incomplete(list);
         CPPUNIT_ASSERT(waitUntil([&] { return list.reads > 0; }));
-        lacking.isCutOff = true;
+        incomplete.isPartitioned = true;
         std::this_thread::sleep_for(2 * config::suspectLookTime);
         instance one(list, "edge-2");
-        for (int life = 1; life <= 3; ++life)
-            one.keeper.noteBroken(7, lifeOf(life));
-        CPPUNIT_ASSERT(waitUntil([&] { return list.livesOf(7) == 3; }));
-        lacking.isCutOff = false;
-        CPPUNIT_ASSERT(waitUntil([&] { return lacking.keeper.quarantineOf(7).has_value(); }));
+        for (int number = 1; number <= 3; ++number)
+            one.manager.noteBroken(7, incarnationOf(number));
+        CPPUNIT_ASSERT(waitUntil([&] { return list.countEnds(7) == 3; }));
+        incomplete.isPartitioned = false;
+        CPPUNIT_ASSERT(waitUntil([&] { return incomplete.manager.quarantineOf(7).has_value(); }));
     }
 
-    void anOlderCopyGetsThemAgain()
+    void recordsAreRewrittenAfterStoreRollback()
     {
         shared_list list;
         instance one(list);
-        for (int life = 1; life <= 3; ++life)
-            one.keeper.noteBroken(7, lifeOf(life));
-        CPPUNIT_ASSERT(waitUntil([&] { return list.livesOf(7) == 3; }));
+        for (int number = 1; number <= 3; ++number)
+            one.manager.noteBroken(7, incarnationOf(number));
+        CPPUNIT_ASSERT(waitUntil([&] { return list.countEnds(7) == 3; }));
         {
             const std::lock_guard lock(list.guard);
             list.content = {{}, {1, 0}};
         }
-        one.keeper.restore();
-        CPPUNIT_ASSERT(waitUntil([&] { return list.livesOf(7) == 3; }));
+        one.manager.restore();
+        CPPUNIT_ASSERT(waitUntil([&] { return list.countEnds(7) == 3; }));
     }
 
-    void calmInstancesReadOnceAndWriteNothing()
+    void clearedRequestCausesNoFurtherStoreAccess()
     {
         shared_list list;
         instance one(list);
-        one.keeper.noteBroken(7, lifeOf(1));
-        one.keeper.noteServed(7);
-        CPPUNIT_ASSERT(waitUntil([&] { return !one.takeTold().empty(); }));
+        one.manager.noteBroken(7, incarnationOf(1));
+        one.manager.noteServed(7);
+        CPPUNIT_ASSERT(waitUntil([&] { return !one.takeSent().empty(); }));
         std::this_thread::sleep_for(3 * config::suspectLookTime);
         CPPUNIT_ASSERT_EQUAL(1, list.reads);
         CPPUNIT_ASSERT_EQUAL(0, list.writes);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.keeper.countLives(7));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.manager.countLives(7));
     }
 
-    void rumorsKeepTheirBounds()
+    void rumorsStayWithinSizeLimits()
     {
         end_report report{{9, 1}, {}};
         for (std::uint64_t digest = 0; digest < 200; ++digest)
             report.digests.push_back(digest);
-        std::size_t told = 0;
+        std::size_t sent = 0;
         for (const peer::rumor &one : rumorsOf({std::string(120, 'e')}, report)) {
             CPPUNIT_ASSERT(one.payload.size() <= config::maxRumorBytes);
             CPPUNIT_ASSERT(one.key.size() <= config::maxNameBytes);
-            told += valueOf(suspectsIn(one)).size();
+            sent += valueOf(suspectsIn(one)).size();
         }
-        CPPUNIT_ASSERT_EQUAL(report.digests.size(), told);
+        CPPUNIT_ASSERT_EQUAL(report.digests.size(), sent);
     }
 
-    void malformedRumorsAreRefused()
+    void malformedRumorsAreRejected()
     {
         const peer::rumor whole = rumorsOf({"e"}, {{9, 1}, {7, 8}}).front();
         for (std::size_t size = 0; size < whole.payload.size(); ++size)
@@ -294,6 +296,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(suspect_keeper_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(quarantine_manager_test);
 
 } // namespace poplarspool::gateway
--- a/tests/gateway/told_changes_test.cpp
+++ b/tests/gateway/told_changes_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-runner anEngine()
+runner makeEngine()
 {
     runner made;
     made.id.text = "i-1";
@@ -51,39 +51,39 @@
 
 } // namespace
 
-class told_changes_test : public CppUnit::TestFixture
+class relayed_changes_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(told_changes_test);
-    CPPUNIT_TEST(runnersSurviveTheWire);
-    CPPUNIT_TEST(routesAreToldByWhatDiffers);
-    CPPUNIT_TEST(routesThatFollowAnotherTableAreRefused);
-    CPPUNIT_TEST(brokenTextIsRefused);
-    CPPUNIT_TEST(whatIsTooLongToTellIsAnAnswer);
+    CPPUNIT_TEST_SUITE(relayed_changes_test);
+    CPPUNIT_TEST(runnerChangesAreDecodedAsEncoded);
+    CPPUNIT_TEST(routesAreEncodedAsDelta);
+    CPPUNIT_TEST(deltaOfAnotherTableIsRejected);
+    CPPUNIT_TEST(truncatedDataIsRejected);
+    CPPUNIT_TEST(oversizedChangesGiveAnError);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void runnersSurviveTheWire()
+    void runnerChangesAreDecodedAsEncoded()
     {
-        const runner_change entered{{"i-1"}, anEngine()};
+        const runner_change entered{{"i-1"}, makeEngine()};
         CPPUNIT_ASSERT(valueOf(decodeRunnerChange(valueOf(encode(entered)))) == entered);
         const runner_change gone{{"i-1"}, std::nullopt};
         CPPUNIT_ASSERT(valueOf(decodeRunnerChange(valueOf(encode(gone)))) == gone);
     }
 
-    void routesAreToldByWhatDiffers()
+    void routesAreEncodedAsDelta()
     {
         const route_table before = tableOf(4, {"a", "b", "c"});
         route_table after = tableOf(9, {"c", "d", "a"});
         after.routes[2].timeLimit = milliseconds(7000);
-        const std::string told = valueOf(encode(after, before));
-        CPPUNIT_ASSERT(valueOf(decodeRouteTable(told, before)) == after);
-        CPPUNIT_ASSERT(told.size() < valueOf(encode(after, {})).size());
+        const std::string delta = valueOf(encode(after, before));
+        CPPUNIT_ASSERT(valueOf(decodeRouteTable(delta, before)) == after);
+        CPPUNIT_ASSERT(delta.size() < valueOf(encode(after, {})).size());
         CPPUNIT_ASSERT(valueOf(decodeRouteTable(valueOf(encode(before, {})), {})) == before);
     }
 
-    /// Versions only rise: a table that is known already is not gone back to, and one that builds
-    /// on another one must not be guessed.
-    void routesThatFollowAnotherTableAreRefused()
+    /// Versions only increase: an older table must not replace the current one, and a delta must
+    /// not be applied to another table than the one it is based on.
+    void deltaOfAnotherTableIsRejected()
     {
         const route_table first = tableOf(4, {"a"});
         const route_table second = tableOf(9, {"a", "b"});
@@ -93,9 +93,9 @@
                        == error_code::Stale);
     }
 
-    void brokenTextIsRefused()
+    void truncatedDataIsRejected()
     {
-        const std::string entry = valueOf(encode(runner_change{{"i-1"}, anEngine()}));
+        const std::string entry = valueOf(encode(runner_change{{"i-1"}, makeEngine()}));
         for (std::size_t size = 0; size < entry.size(); ++size)
             CPPUNIT_ASSERT(!succeeded(decodeRunnerChange(entry.substr(0, size))));
         const std::string routes = valueOf(encode(tableOf(9, {"a", "b"}), {}));
@@ -103,13 +103,14 @@
             CPPUNIT_ASSERT(!succeeded(decodeRouteTable(routes.substr(0, size), {})));
     }
 
-    /// What operators and runners choose may be longer than what is told; it ends no process.
-    void whatIsTooLongToTellIsAnAnswer()
+    /// Names set by operators and runners may exceed the limits of the format. This must give an
+    /// error, not end the process.
+    void oversizedChangesGiveAnError()
     {
         const std::string longName(config::maxNameBytes + 1, 'n');
-        runner longZone = anEngine();
+        runner longZone = makeEngine();
         longZone.zone.text = longName;
-        runner longService = anEngine();
+        runner longService = makeEngine();
         longService.service.text = longName;
         for (const runner_change &change :
              {runner_change{{longName}, std::nullopt}, runner_change{{"i-1"}, longZone},
@@ -125,6 +126,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(told_changes_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(relayed_changes_test);
 
 } // namespace poplarspool::gateway
--- a/tests/gateway/told_routes_test.cpp
+++ b/tests/gateway/told_routes_test.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-using draws = std::mt19937_64;
+using random_source = std::mt19937_64;
 
-/// Of the number of a text's form; before it, cereal says the order of bytes.
-constexpr std::size_t formPlace = 1;
+/// Offset of the format version in encoded data; cereal writes the byte order before it.
+constexpr std::size_t formatOffset = 1;
 
 route routeOf(std::uint64_t number)
 {
@@ -51,42 +51,43 @@
             number % 3 == 0 ? std::optional(std::uint32_t{1}) : std::nullopt};
 }
 
-/// A few routes, services and workspaces are dropped, added, doubled, moved or changed.
-route_table editedTable(const route_table &before, draws &random)
+/// @returns A copy in which a few routes, services and workspaces are removed, added, duplicated,
+/// moved or changed.
+route_table editedTable(const route_table &before, random_source &random)
 {
     route_table made = before;
     ++made.version;
-    const auto anyPlace = [&random](auto &parts) {
+    const auto randomItem = [&random](auto &parts) {
         return parts.begin()
                 + static_cast<std::ptrdiff_t>(parts.empty() ? 0 : random() % parts.size());
     };
-    for (std::uint64_t left = random() % 8; left > 0; --left) {
+    for (std::uint64_t remaining = random() % 8; remaining > 0; --remaining) {
         const std::uint64_t edit = random() % 9;
         if (edit == 6)
-            made.workspaces.insert(anyPlace(made.workspaces), workspaceOf(random() % 100));
+            made.workspaces.insert(randomItem(made.workspaces), workspaceOf(random() % 100));
         if (edit == 7 && !made.workspaces.empty())
-            anyPlace(made.workspaces)->keys.clear();
+            randomItem(made.workspaces)->keys.clear();
         if (edit == 8)
             made.needsKeys = !made.needsKeys;
         if (edit == 0)
-            made.routes.insert(anyPlace(made.routes), routeOf(random() % 100));
+            made.routes.insert(randomItem(made.routes), routeOf(random() % 100));
         if (made.routes.empty())
             continue;
         if (edit == 1)
-            made.routes.erase(anyPlace(made.routes));
+            made.routes.erase(randomItem(made.routes));
         if (edit == 2)
-            made.routes.push_back(*anyPlace(made.routes));
+            made.routes.push_back(*randomItem(made.routes));
         if (edit == 3)
-            std::iter_swap(anyPlace(made.routes), anyPlace(made.routes));
+            std::iter_swap(randomItem(made.routes), randomItem(made.routes));
         if (edit == 4)
             made.routes[random() % made.routes.size()].rank += 1;
         if (edit == 5)
-            made.services.insert(anyPlace(made.services), serviceOf(random() % 5));
+            made.services.insert(randomItem(made.services), serviceOf(random() % 5));
     }
     return made;
 }
 
-/// A table of which one run of routes is told, that ends the text.
+/// @returns An encoded delta that ends with the given run of routes, repeated `runs` times.
 std::string textOfRun(const route_table &before, std::uint64_t count, std::uint64_t first,
                       std::uint64_t runs = 1)
 {
@@ -94,49 +95,49 @@
     ++after.version;
     after.routes.clear();
     std::string text = valueOf(encode(after, before));
-    text.pop_back(); // No routes.
+    text.pop_back(); // The empty list of routes.
     peer::encoder out;
     out.varint(runs);
     for (std::uint64_t i = 0; i < runs; ++i) {
         out.varint(count);
         out.varint(first);
     }
-    return text + out.take().substr(formPlace);
+    return text + out.take().substr(formatOffset);
 }
 
 } // namespace
 
-class told_routes_test : public CppUnit::TestFixture
+class relayed_routes_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(told_routes_test);
-    CPPUNIT_TEST(editedTablesAreToldAsTheyAre);
+    CPPUNIT_TEST_SUITE(relayed_routes_test);
+    CPPUNIT_TEST(editedTablesAreDecodedAsEncoded);
     CPPUNIT_TEST(oneChangeAmongManyRoutesFits);
-    CPPUNIT_TEST(routesThatCantBeReadAreToldAsSuch);
-    CPPUNIT_TEST(manyNewRoutesAreLeftToTheStore);
-    CPPUNIT_TEST(whatLeavesIsToldAtAnyCount);
-    CPPUNIT_TEST(runsBeyondTheTableBeforeAreRefused);
-    CPPUNIT_TEST(aFewBytesClaimNoHugeTable);
-    CPPUNIT_TEST(otherFormsAreRefused);
-    CPPUNIT_TEST(brokenTextIsNoTable);
-    CPPUNIT_TEST(namesAreToldUpToTheirBounds);
+    CPPUNIT_TEST(invalidRoutesArePreserved);
+    CPPUNIT_TEST(tooManyNewRoutesAreNotEncoded);
+    CPPUNIT_TEST(anyNumberOfRemovedRoutesIsEncoded);
+    CPPUNIT_TEST(runsBeyondThePreviousTableAreRejected);
+    CPPUNIT_TEST(sizeOfDecodedTableIsLimited);
+    CPPUNIT_TEST(otherFormatsAreRejected);
+    CPPUNIT_TEST(corruptedDataIsRejected);
+    CPPUNIT_TEST(namesAreEncodedUpToTheirLimits);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void editedTablesAreToldAsTheyAre()
+    void editedTablesAreDecodedAsEncoded()
     {
         for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-            draws random(seed);
+            random_source random(seed);
             route_table known = tableOf(1, random() % 40);
             for (int step = 0; step < 5; ++step) {
                 const route_table after = editedTable(known, random);
-                const auto heard = decodeRouteTable(valueOf(encode(after, known)), known);
-                CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), valueOf(heard) == after);
+                const auto decoded = decodeRouteTable(valueOf(encode(after, known)), known);
+                CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), valueOf(decoded) == after);
                 known = after;
             }
         }
     }
 
-    /// One datagram holds a change of one route or of a limit, however many routes there are.
+    /// A change of one route or limit fits into a datagram, whatever the number of routes.
     void oneChangeAmongManyRoutesFits()
     {
         for (const std::uint64_t count : {16U, 255U, 256U, 257U, 400U, 2'000U, 5'000U}) {
@@ -147,13 +148,13 @@
             after.routes[count / 2].timeLimit = milliseconds(7'000);
             after.routes.erase(after.routes.begin() + 1);
             after.routes.push_back(routeOf(count));
-            const std::string told = valueOf(encode(after, before));
-            CPPUNIT_ASSERT(told.size() <= config::maxChangeBytes / 4);
-            CPPUNIT_ASSERT(valueOf(decodeRouteTable(told, before)) == after);
+            const std::string delta = valueOf(encode(after, before));
+            CPPUNIT_ASSERT(delta.size() <= config::maxChangeBytes / 4);
+            CPPUNIT_ASSERT(valueOf(decodeRouteTable(delta, before)) == after);
         }
     }
 
-    void routesThatCantBeReadAreToldAsSuch()
+    void invalidRoutesArePreserved()
     {
         const route_table before = tableOf(4, 3);
         route_table after = tableOf(9, 3);
@@ -164,66 +165,67 @@
         CPPUNIT_ASSERT(valueOf(decodeRouteTable(valueOf(encode(before, {})), {})) == before);
     }
 
-    void manyNewRoutesAreLeftToTheStore()
+    void tooManyNewRoutesAreNotEncoded()
     {
-        // The routes before are one item of 256, as a run.
+        // The previous routes are a run, which takes one of the 256 items.
         for (const std::uint64_t count : {255U, 256U, 400U}) {
-            const auto told = encode(tableOf(9, 16 + count), tableOf(4, 16));
+            const auto delta = encode(tableOf(9, 16 + count), tableOf(4, 16));
             if (count > 255U)
-                CPPUNIT_ASSERT(errorOf(told).code == error_code::TooLarge);
+                CPPUNIT_ASSERT(errorOf(delta).code == error_code::TooLarge);
             else
-                CPPUNIT_ASSERT(valueOf(decodeRouteTable(valueOf(told), tableOf(4, 16)))
+                CPPUNIT_ASSERT(valueOf(decodeRouteTable(valueOf(delta), tableOf(4, 16)))
                                == tableOf(9, 16 + count));
         }
     }
 
-    void whatLeavesIsToldAtAnyCount()
+    void anyNumberOfRemovedRoutesIsEncoded()
     {
-        const std::string told = valueOf(encode(tableOf(9, 16), tableOf(4, 2'000)));
-        CPPUNIT_ASSERT(told.size() < 64);
-        CPPUNIT_ASSERT(valueOf(decodeRouteTable(told, tableOf(4, 2'000))) == tableOf(9, 16));
+        const std::string delta = valueOf(encode(tableOf(9, 16), tableOf(4, 2'000)));
+        CPPUNIT_ASSERT(delta.size() < 64);
+        CPPUNIT_ASSERT(valueOf(decodeRouteTable(delta, tableOf(4, 2'000))) == tableOf(9, 16));
         const std::string none = valueOf(encode(tableOf(9, 0, 0), tableOf(4, 2'000)));
         CPPUNIT_ASSERT(valueOf(decodeRouteTable(none, tableOf(4, 2'000))) == tableOf(9, 0, 0));
     }
 
-    void runsBeyondTheTableBeforeAreRefused()
+    void runsBeyondThePreviousTableAreRejected()
     {
         const route_table before = tableOf(4, 20);
-        const auto isTable = [&before](std::uint64_t count, std::uint64_t first) {
+        const auto isAccepted = [&before](std::uint64_t count, std::uint64_t first) {
             return succeeded(decodeRouteTable(textOfRun(before, count, first), before));
         };
-        CPPUNIT_ASSERT(isTable(20, 0) && isTable(1, 19) && isTable(5, 15));
-        CPPUNIT_ASSERT(!isTable(21, 0) && !isTable(1, 20) && !isTable(6, 15));
-        CPPUNIT_ASSERT(!isTable(UINT32_MAX, 1) && !isTable(2, UINT32_MAX));
-        CPPUNIT_ASSERT(!isTable(std::uint64_t{1} << 32U, 0) && !isTable(1, UINT64_MAX));
+        CPPUNIT_ASSERT(isAccepted(20, 0) && isAccepted(1, 19) && isAccepted(5, 15));
+        CPPUNIT_ASSERT(!isAccepted(21, 0) && !isAccepted(1, 20) && !isAccepted(6, 15));
+        CPPUNIT_ASSERT(!isAccepted(UINT32_MAX, 1) && !isAccepted(2, UINT32_MAX));
+        CPPUNIT_ASSERT(!isAccepted(std::uint64_t{1} << 32U, 0) && !isAccepted(1, UINT64_MAX));
     }
 
-    /// Each run of a few bytes stands for many routes, and may be told again and again.
-    void aFewBytesClaimNoHugeTable()
+    /// A run of a few bytes stands for many routes and may be repeated.
+    void sizeOfDecodedTableIsLimited()
     {
         const route_table before = tableOf(4, 1'024);
-        const auto heard = [&before](std::uint64_t runs) {
+        const auto decoded = [&before](std::uint64_t runs) {
             return decodeRouteTable(textOfRun(before, 1'024, 0, runs), before);
         };
-        CPPUNIT_ASSERT_EQUAL(std::size_t{16'384}, valueOf(heard(16)).routes.size());
-        CPPUNIT_ASSERT(!succeeded(heard(17)) && !succeeded(heard(256)) && !succeeded(heard(257)));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{16'384}, valueOf(decoded(16)).routes.size());
+        CPPUNIT_ASSERT(!succeeded(decoded(17)) && !succeeded(decoded(256))
+                       && !succeeded(decoded(257)));
         CPPUNIT_ASSERT(succeeded(encode(tableOf(9, 16'384), tableOf(4, 16'384))));
         CPPUNIT_ASSERT(errorOf(encode(tableOf(9, 16'385), tableOf(4, 16'385))).code
                        == error_code::TooLarge);
     }
 
-    void otherFormsAreRefused()
+    void otherFormatsAreRejected()
     {
         const route_table before = tableOf(4, 20);
         std::string text = valueOf(encode(tableOf(9, 21), before));
-        const char form = text[formPlace];
+        const char format = text[formatOffset];
         for (char other = 0; other < 16; ++other) {
-            text[formPlace] = other;
-            CPPUNIT_ASSERT_EQUAL(other == form, succeeded(decodeRouteTable(text, before)));
+            text[formatOffset] = other;
+            CPPUNIT_ASSERT_EQUAL(other == format, succeeded(decodeRouteTable(text, before)));
         }
     }
 
-    void brokenTextIsNoTable()
+    void corruptedDataIsRejected()
     {
         const route_table before = tableOf(4, 20);
         route_table after = tableOf(9, 22);
@@ -232,34 +234,34 @@
         for (std::size_t size = 0; size < text.size(); ++size)
             CPPUNIT_ASSERT(!succeeded(decodeRouteTable(text.substr(0, size), before)));
         CPPUNIT_ASSERT(!succeeded(decodeRouteTable(text + '\0', before)));
-        draws random(1);
+        random_source random(1);
         for (int i = 0; i < 20'000; ++i) {
             std::string changed = text;
-            for (std::uint64_t left = 1 + random() % 4; left > 0; --left)
+            for (std::uint64_t remaining = 1 + random() % 4; remaining > 0; --remaining)
                 changed[random() % changed.size()] = static_cast<char>(random());
-            const auto heard = decodeRouteTable(changed, before);
-            CPPUNIT_ASSERT(!succeeded(heard) || valueOf(heard).routes.size() <= 16'384);
+            const auto decoded = decodeRouteTable(changed, before);
+            CPPUNIT_ASSERT(!succeeded(decoded) || valueOf(decoded).routes.size() <= 16'384);
         }
     }
 
-    void namesAreToldUpToTheirBounds()
+    void namesAreEncodedUpToTheirLimits()
     {
-        const auto isTold = [](std::size_t name, std::size_t host, std::size_t prefix,
-                               std::size_t service) {
+        const auto isEncodable = [](std::size_t name, std::size_t host, std::size_t prefix,
+                                    std::size_t service) {
             route_table table = tableOf(9, 1, 0);
             table.routes.front().name = std::string(name, 'n');
             table.routes.front().host = std::string(host, 'h');
             table.routes.front().pathPrefix = std::string(prefix, '/');
             table.routes.front().services = {{{std::string(service, 's')}, UINT32_MAX}};
-            const auto told = encode(table, {});
-            return succeeded(told) && valueOf(decodeRouteTable(valueOf(told), {})) == table;
+            const auto delta = encode(table, {});
+            return succeeded(delta) && valueOf(decodeRouteTable(valueOf(delta), {})) == table;
         };
-        CPPUNIT_ASSERT(isTold(0, 0, 0, 0) && isTold(128, 128, 512, 128));
-        CPPUNIT_ASSERT(!isTold(129, 1, 1, 1) && !isTold(1, 129, 1, 1));
-        CPPUNIT_ASSERT(!isTold(1, 1, 513, 1) && !isTold(1, 1, 1, 129));
+        CPPUNIT_ASSERT(isEncodable(0, 0, 0, 0) && isEncodable(128, 128, 512, 128));
+        CPPUNIT_ASSERT(!isEncodable(129, 1, 1, 1) && !isEncodable(1, 129, 1, 1));
+        CPPUNIT_ASSERT(!isEncodable(1, 1, 513, 1) && !isEncodable(1, 1, 1, 129));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(told_routes_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(relayed_routes_test);
 
 } // namespace poplarspool::gateway
