--- a/include/poplarspool/gateway/copied_entries.h
+++ b/include/poplarspool/gateway/copied_entries.h
@@ -53,14 +53,14 @@
 private:
     struct removed_runner
     {
-        std::uint64_t bornMs = 0;
+        std::uint64_t startedAtMs = 0;
         mono_time at{};
     };
 
     /// An outdated entry, as listed in the snapshot.
     struct outdated_entry
     {
-        std::uint64_t bornMs = 0;
+        std::uint64_t startedAtMs = 0;
         std::uint64_t writes = 0;
         mono_time since{};
         std::optional<runner> listed; ///< Empty while only its marker is known.
--- a/include/poplarspool/gateway/stage_plan.h
+++ b/include/poplarspool/gateway/stage_plan.h
@@ -41,7 +41,7 @@
 };
 
 /// @returns The state after one more iteration at `now`.
-stage_memory noteRunning(const stage_memory &memory, std::span<const stage_engine> engines,
+stage_memory noteRunning(const stage_memory &state, std::span<const stage_engine> engines,
                          mono_time now);
 
 /// @returns The number of engines wanted in the decode stage; the others do prefill.
@@ -50,12 +50,12 @@
 
 /// @returns Changes that lead to the wanted split; empty if the current split is acceptable.
 std::vector<stage_change> planStages(std::span<const stage_engine> engines,
-                                     const engine_traits &traits, const stage_memory &memory);
+                                     const engine_traits &traits, const stage_memory &state);
 
 /// @returns The planned changes that are to be ordered now, because the plan has differed from the
 /// current split for long enough.
-/// @param memory Is updated with the time since when the plan differs.
+/// @param state Is updated with the time since when the plan differs.
 std::vector<stage_change> dueChanges(std::span<const stage_engine> engines,
-                                     const engine_traits &traits, stage_memory &memory);
+                                     const engine_traits &traits, stage_memory &state);
 
 } // namespace poplarspool::gateway
--- a/src/gateway/copied_entries.cpp
+++ b/src/gateway/copied_entries.cpp
@@ -35,7 +35,7 @@
         return !entry.isDraining && (newer.isDraining || isMissing || newer.writes > entry.writes);
     }
     const auto before = removed.find(entry.id);
-    return before != removed.end() && before->second.bornMs >= entry.bornMs;
+    return before != removed.end() && before->second.startedAtMs >= entry.bornMs;
 }
 
 /// Entries that are draining in the snapshot get no requests anyway. An entry without a write
@@ -87,7 +87,7 @@
         return false;
     outdated_entry &rejected = found->second;
     const bool isNewer =
-            std::tie(entry.bornMs, entry.writes) > std::tie(rejected.bornMs, rejected.writes);
+            std::tie(entry.bornMs, entry.writes) > std::tie(rejected.startedAtMs, rejected.writes);
     const bool wasLeaving = rejected.listed && rejected.listed->isDraining;
     if (!isNewer && (!entry.isDraining || wasLeaving)) {
         rejected.listed = entry;
--- a/src/gateway/stage_keeper.cpp
+++ b/src/gateway/stage_keeper.cpp
@@ -53,7 +53,7 @@
     std::erase_if(pendingOrders, [&](const auto &entry) {
         const auto found = known.runners.find(entry.first);
         return found == known.runners.end() || found->second->stage == entry.second.wanted
-                || found->second->bornMs != entry.second.bornMs
+                || found->second->bornMs != entry.second.startedAtMs
                 || now - entry.second.orderedAt >= config::stageOrderTime;
     });
 }
@@ -82,9 +82,9 @@
 void stage_keeper::planService(const catalogue &known, const service &engines)
 {
     const std::vector<stage_engine> seen = enginesOf(known, engines);
-    stage_memory &memory = planStates[engines.id];
-    memory = noteRunning(memory, seen, tools.clock.mono());
-    const std::vector<stage_change> changes = dueChanges(seen, *engines.engine, memory);
+    stage_memory &state = planStates[engines.id];
+    state = noteRunning(state, seen, tools.clock.mono());
+    const std::vector<stage_change> changes = dueChanges(seen, *engines.engine, state);
     if (changes.empty())
         return;
     const auto term = lease.tryTake();
--- a/src/gateway/stage_keeper.h
+++ b/src/gateway/stage_keeper.h
@@ -50,7 +50,7 @@
     {
         engine_stage wanted = engine_stage::None;
         mono_time orderedAt{};
-        std::uint64_t bornMs = 0; ///< The engine's incarnation at the time of the order.
+        std::uint64_t startedAtMs = 0; ///< Identifies the incarnation that was ordered.
     };
 
     bool isFleetSettled(const catalogue &known);
--- a/src/gateway/stage_plan.cpp
+++ b/src/gateway/stage_plan.cpp
@@ -68,17 +68,17 @@
 
 } // namespace
 
-stage_memory noteRunning(const stage_memory &memory, std::span<const stage_engine> engines,
+stage_memory noteRunning(const stage_memory &state, std::span<const stage_engine> engines,
                          mono_time now)
 {
     double running = 0;
     for (const stage_engine &one : engines)
         running += one.stage == engine_stage::Decode ? one.open : 0;
-    if (memory.lookedAt == mono_time{})
+    if (state.lookedAt == mono_time{})
         return {running, now, {}};
-    const double passed = std::chrono::duration<double>(now - memory.lookedAt).count();
+    const double passed = std::chrono::duration<double>(now - state.lookedAt).count();
     const double newest = 1 - std::exp(-passed / config::runningMeanSeconds);
-    return {memory.meanRunning + newest * (running - memory.meanRunning), now, memory.unevenSince};
+    return {state.meanRunning + newest * (running - state.meanRunning), now, state.unevenSince};
 }
 
 /// Prefill engines process prompts more than twice as fast as decode engines, and a prompt that is
@@ -101,14 +101,14 @@
 }
 
 std::vector<stage_change> planStages(std::span<const stage_engine> engines,
-                                     const engine_traits &traits, const stage_memory &memory)
+                                     const engine_traits &traits, const stage_memory &state)
 {
     std::vector<stage_change> changes;
     if (engines.size() < config::stagedEnginesAtLeast)
         return changes;
     const std::uint32_t decoders = countOf(engines, engine_stage::Decode);
     const std::uint32_t wanted =
-            wantedDecoders(engines.size(), decoders, traits, memory.meanRunning);
+            wantedDecoders(engines.size(), decoders, traits, state.meanRunning);
     const bool isMoreWanted = wanted > decoders;
     const engine_stage from = isMoreWanted ? engine_stage::Prefill : engine_stage::Decode;
     const engine_stage to = isMoreWanted ? engine_stage::Decode : engine_stage::Prefill;
@@ -126,21 +126,21 @@
 /// at once would be reverted as soon as it is complete, and both take engines out of service when
 /// they are scarce. While no requests are running, changes cost nothing and are due at once.
 std::vector<stage_change> dueChanges(std::span<const stage_engine> engines,
-                                     const engine_traits &traits, stage_memory &memory)
+                                     const engine_traits &traits, stage_memory &state)
 {
-    std::vector<stage_change> planned = planStages(engines, traits, memory);
+    std::vector<stage_change> planned = planStages(engines, traits, state);
     if (planned.empty()) {
-        memory.unevenSince = {};
+        state.unevenSince = {};
         return planned;
     }
-    if (memory.unevenSince == mono_time{})
-        memory.unevenSince = memory.lookedAt;
-    if (memory.meanRunning < config::restRunning)
+    if (state.unevenSince == mono_time{})
+        state.unevenSince = state.lookedAt;
+    if (state.meanRunning < config::restRunning)
         return planned;
     const milliseconds delay = planned.front().wanted == engine_stage::Decode
             ? config::stagePatience
             : config::stageGiveBackPatience;
-    const bool isDue = memory.lookedAt - memory.unevenSince >= delay;
+    const bool isDue = state.lookedAt - state.unevenSince >= delay;
     planned.resize(isDue ? std::min(planned.size(), allowedChanges(engines)) : 0);
     return planned;
 }
--- a/tests/gateway/stage_plan_test.cpp
+++ b/tests/gateway/stage_plan_test.cpp
@@ -102,18 +102,18 @@
     /// change back: capacity would be lost twice.
     void shortCrashCausesNoChange()
     {
-        stage_memory memory{50, start, {}};
+        stage_memory state{50, start, {}};
         const std::vector<stage_engine> withoutCrashed = enginesOf(7, 1);
-        CPPUNIT_ASSERT(!planStages(withoutCrashed, largeBatch, memory).empty());
-        CPPUNIT_ASSERT(dueChanges(withoutCrashed, largeBatch, memory).empty());
-        memory = noteRunning(memory, withoutCrashed, start + 3s);
-        memory.meanRunning = 50;
-        CPPUNIT_ASSERT(dueChanges(withoutCrashed, largeBatch, memory).empty());
-        CPPUNIT_ASSERT(dueChanges(enginesOf(7, 2), largeBatch, memory).empty());
-        memory.lookedAt = start + config::stagePatience;
-        CPPUNIT_ASSERT(dueChanges(withoutCrashed, largeBatch, memory).empty());
-        memory.lookedAt += config::stagePatience;
-        CPPUNIT_ASSERT(!dueChanges(withoutCrashed, largeBatch, memory).empty());
+        CPPUNIT_ASSERT(!planStages(withoutCrashed, largeBatch, state).empty());
+        CPPUNIT_ASSERT(dueChanges(withoutCrashed, largeBatch, state).empty());
+        state = noteRunning(state, withoutCrashed, start + 3s);
+        state.meanRunning = 50;
+        CPPUNIT_ASSERT(dueChanges(withoutCrashed, largeBatch, state).empty());
+        CPPUNIT_ASSERT(dueChanges(enginesOf(7, 2), largeBatch, state).empty());
+        state.lookedAt = start + config::stagePatience;
+        CPPUNIT_ASSERT(dueChanges(withoutCrashed, largeBatch, state).empty());
+        state.lookedAt += config::stagePatience;
+        CPPUNIT_ASSERT(!dueChanges(withoutCrashed, largeBatch, state).empty());
         // While there are no requests, changes are ordered at once.
         stage_memory idle{0, start, {}};
         CPPUNIT_ASSERT(!dueChanges(enginesOf(4, 5), largeBatch, idle).empty());
@@ -124,14 +124,14 @@
     void changesAreLimitedUnderLoad()
     {
         std::vector<stage_engine> engines = enginesOf(56, 84);
-        stage_memory memory{300, start + config::stageGiveBackPatience, start};
-        CPPUNIT_ASSERT(planStages(engines, smallBatch, memory).size() > 20);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, dueChanges(engines, smallBatch, memory).size());
+        stage_memory state{300, start + config::stageGiveBackPatience, start};
+        CPPUNIT_ASSERT(planStages(engines, smallBatch, state).size() > 20);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, dueChanges(engines, smallBatch, state).size());
         for (std::size_t i = 0; i < 3; ++i)
             engines[i].isChanging = true;
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, dueChanges(engines, smallBatch, memory).size());
-        memory.unevenSince = start + 1s;
-        CPPUNIT_ASSERT(dueChanges(engines, smallBatch, memory).empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, dueChanges(engines, smallBatch, state).size());
+        state.unevenSince = start + 1s;
+        CPPUNIT_ASSERT(dueChanges(engines, smallBatch, state).empty());
     }
 };
 
