--- a/include/poplarspool/node/answers.h
+++ b/include/poplarspool/node/answers.h
@@ -8,7 +8,8 @@
 
 namespace poplarspool::node {
 
-/// What became of this instance's claimed attempts, for their duplicates, for a bounded time.
+/// Outcomes of this instance's claimed attempts, kept for a bounded time so that duplicate requests
+/// can be answered.
 class answer_book
 {
 public:
@@ -16,16 +17,18 @@
     ~answer_book();
 
     void onRunning(const std::string &key, const std::string &nonce);
-    /// The attempt ended without dispatch, and never will be dispatched.
+    /// The attempt ended without being dispatched, and will never be dispatched.
     void onNotDispatched(const std::string &key, const std::string &nonce);
-    /// @param reply The whole answer; kept where it is at most config::maxKeptAnswerBytes.
+    /// @param reply The complete answer. One larger than config::maxKeptAnswerBytes is recorded as
+    ///              lost.
     void onDone(const std::string &key, const std::string &nonce, const http_reply &reply);
-    /// It may have run and there is no whole answer.
+    /// The attempt may have run, and its complete answer is not available.
     void onLost(const std::string &key, const std::string &nonce);
 
-    /// Waits while the attempt is running, at most `question.waitMs`.
-    peer::answer_reply find(const peer::answer_ask &question);
-    void forgetOlderThan(milliseconds keepTime);
+    /// @returns The outcome of the attempt; Unknown if there is no record of it. Waits up to
+    ///          `request.waitMs` while the attempt is running.
+    peer::answer_reply find(const peer::answer_ask &request);
+    void forgetOlderThan(milliseconds retentionTime);
 
 private:
     struct state;
--- a/include/poplarspool/node/claims.h
+++ b/include/poplarspool/node/claims.h
@@ -14,39 +14,44 @@
 
 namespace poplarspool::node {
 
-/// How the claim book reaches other instances.
+/// Calls to other instances that claim handling needs.
 struct claim_peers
 {
-    /// @returns Peer address of the bucket's batcher; none where that is this instance.
+    /// @returns Peer address of the instance that batches the bucket's claims; none if it is this
+    ///          instance.
     std::function<std::optional<endpoint>(std::uint32_t)> batcherOf;
     std::function<result<peer::claim_reply>(const endpoint &, const peer::claim_ask &)> ask;
-    /// Asks the owner of a standing claim what became of it; Unknown where it is gone.
+    /// Queries the owner of an existing claim for the outcome of its attempt; Unknown if the owner
+    /// can't be reached.
     std::function<peer::answer_reply(const instance_id &owner, const peer::answer_ask &)> answer;
 };
 
-/// Claims for requests that must run at most once: a conditional write to the store before the
-/// dispatch, gathered per bucket. Two batchers of one bucket conflict and retry, no more.
+/// Claims for requests that must run at most once. A claim is a conditional write to the store
+/// before the request is dispatched; claims of one bucket are batched by one instance. If two
+/// instances batch the same bucket, their writes conflict and are retried; no claim is granted
+/// twice.
 class claim_book
 {
 public:
     claim_book(const std::string &deployment, platform::object_store &store, claim_peers peers,
-               const std::function<milliseconds()> &keepTime, const clock_source &clock,
+               const std::function<milliseconds()> &retentionTime, const clock_source &clock,
                metrics_registry &metrics, journal &events);
     ~claim_book();
 
-    /// Gets a claim written, through the bucket's batcher.
-    /// @returns The claim that stands: ours where the nonce is ours, and only then this attempt may
-    ///          dispatch. A failure means that this attempt must not dispatch, so its request has
-    ///          truly not run.
-    result<peer::claim_reply> claim(const peer::claim_ask &wanted, mono_time deadline);
+    /// Writes a claim through the bucket's batcher.
+    /// @returns The claim in force. The attempt may be dispatched only if that claim has the nonce
+    ///          of `request`. On failure the attempt must not be dispatched, so its request has not
+    ///          run.
+    result<peer::claim_reply> claim(const peer::claim_ask &request, mono_time deadline);
 
-    /// The batcher's part: called for this instance's own claims and for peers' asks.
-    result<peer::claim_reply> decide(const peer::claim_ask &wanted, mono_time deadline);
+    /// Decides a claim as the bucket's batcher, for requests of this instance and of peers.
+    result<peer::claim_reply> decide(const peer::claim_ask &request, mono_time deadline);
 
-    /// Gives a claim to a new attempt whose first attempt never was dispatched and never will be:
-    /// a conditional write that replaces exactly the nonce `dead`.
-    result<peer::claim_reply> supersede(const peer::claim_ask &wanted, const std::string &dead,
-                                        mono_time deadline);
+    /// Transfers a claim to a new attempt by a conditional write that replaces exactly the nonce
+    /// `supersededNonce`. The superseded attempt must never have been dispatched, and never be
+    /// dispatched later.
+    result<peer::claim_reply> supersede(const peer::claim_ask &request,
+                                        const std::string &supersededNonce, mono_time deadline);
     void stop();
 
 private:
@@ -54,7 +59,7 @@
     std::unique_ptr<state> inner;
 };
 
-/// @returns Name of a claim: hash of workspace, operation and idempotency key.
+/// @returns Name of a claim: a hash of workspace, operation and idempotency key.
 std::string claimNameOf(const std::string &workspace, const std::string &operation,
                         const std::string &idempotencyKey);
 
--- a/include/poplarspool/node/instance.h
+++ b/include/poplarspool/node/instance.h
@@ -6,7 +6,7 @@
 
 namespace poplarspool::node {
 
-/// One entry instance: all libraries wired together, the content of `poplarspool serve`.
+/// One instance of `poplarspool serve` with all its components.
 class instance
 {
 public:
@@ -15,12 +15,12 @@
 
     /// Binds all addresses and starts all threads.
     result<unit> start();
-    /// Was asked to read its settings anew: they are read at the start only, and the log says so.
+    /// Logs that a request to reload the settings is ignored: they are read at start only.
     void noteReload();
-    /// Begins a graceful shutdown: marked leaving, serves for the grace time and until the last
-    /// stream is done. Returns at once.
+    /// Begins a graceful shutdown and returns at once. The instance is announced as leaving; it
+    /// serves for the grace period and until its last open stream has ended.
     void leave();
-    /// Waits until the shutdown is complete.
+    /// Blocks until the shutdown is complete.
     void wait();
 
 private:
--- a/include/poplarspool/node/orders.h
+++ b/include/poplarspool/node/orders.h
@@ -19,19 +19,19 @@
 namespace poplarspool::node {
 
 enum class order_phase {
-    Draining, ///< Reserved: instances send no new work; the order is not sent yet.
-    Open, ///< May have been sent under this fencing number.
-    Settled, ///< The engine has obeyed, or the order was withdrawn before it was open.
+    Draining, ///< The engine is reserved: instances send it no new work. The order is not sent yet.
+    Open, ///< The order may have been sent under this fencing number.
+    Settled, ///< The engine has applied the order, or the order was withdrawn before it was open.
 };
 
-/// The one record per engine, under orderKey(). Its fencing number only grows.
+/// The order record of one engine, stored under orderKey(). Its fencing number only increases.
 struct order_record
 {
     runner_id runner;
     std::uint64_t fence = 0;
     order_phase phase = order_phase::Settled;
     policy::wanted_engine wanted;
-    std::string nonce; ///< Of the writer.
+    std::string nonce; ///< Of the write that stored this record.
     instance_id writer;
     std::int64_t wallMs = 0;
 
@@ -41,26 +41,27 @@
 std::string textOf(const order_record &record);
 result<order_record> parseOrderRecord(std::string_view text);
 
-/// What the planner takes from the rest of the instance.
+/// What the planner needs from the other components of the instance.
 struct planner_needs
 {
     instance_id self;
     std::string deployment;
     milliseconds lookTime;
-    /// @returns Demand on a pool over all instances since that pool was last asked for.
+    /// @returns Demand on a pool over all instances since the previous call for that pool.
     std::function<policy::demand_estimate(const pool_id &)> demand;
     /// @returns Whether every instance has applied that store version, so that none sends work to a
-    ///          runner reserved there.
+    ///          runner reserved by then.
     std::function<bool(std::uint64_t version)> appliedEverywhere;
 };
 
-/// The planner of the pools that fall on this instance, and the writer of their orders: a thread
-/// that looks, drains, waits for acknowledgements and for the engine to be idle, and orders. Takes
-/// over open records that others left. See docs/design/orders.md.
+/// Plans the pools assigned to this instance and writes the orders to their engines. A thread
+/// periodically reserves engines, waits until all instances have acknowledged the reservation and
+/// the engine is idle, and sends the order. Takes over unsettled records of earlier planners. See
+/// docs/design/orders.md.
 class planner
 {
 public:
-    planner(planner_needs needs, view_hub &views, platform::object_store &store,
+    planner(planner_needs dependencies, view_hub &views, platform::object_store &store,
             platform::weight_store weights, runner::engine_api engines, clock_source clock,
             metrics_registry &metrics, journal &events);
     ~planner();
--- a/include/poplarspool/node/view_hub.h
+++ b/include/poplarspool/node/view_hub.h
@@ -7,8 +7,8 @@
 
 namespace poplarspool::node {
 
-/// Publishes views by read-copy-update: readers take the current one without a lock, writers make a
-/// changed copy one after the other. Versions only grow.
+/// Publishes views by read-copy-update: readers get the current view without a lock; writers change
+/// a copy, one writer at a time. Version numbers only increase.
 class view_hub
 {
 public:
@@ -16,8 +16,8 @@
     ~view_hub();
 
     policy::view_ptr current() const;
-    /// Copies the current view, lets `change` edit the copy, and publishes it under the next
-    /// version. A change that returns false publishes nothing.
+    /// Copies the current view, calls `change` on the copy, and publishes it under the next
+    /// version. If `change` returns false, nothing is published.
     policy::view_ptr update(const std::function<bool(policy::view &)> &change);
 
 private:
--- a/src/node/answers.cpp
+++ b/src/node/answers.cpp
@@ -15,12 +15,12 @@
 
 using peer::answer_state;
 
-/// What one entry costs besides its texts: list and index nodes.
+/// Memory of one entry besides its strings: nodes of the list and the index.
 constexpr std::size_t entryOverheadBytes = 256;
 
 struct entry
 {
-    std::string name; ///< Key and nonce.
+    std::string name; ///< Key and nonce, see nameOf().
     peer::answer_reply answer;
     mono_time changedAt{};
     std::size_t bytes = 0;
@@ -49,7 +49,8 @@
     return {answer_state::Done, reply.status, reply.headers, reply.contentType, reply.body};
 }
 
-/// What an attempt that ended is can't be taken back, but for the case that it ran after all.
+/// Allowed state transitions. The outcome of an ended attempt is final, except that it may turn out
+/// to have run after all.
 bool mayFollow(answer_state now, answer_state next)
 {
     switch (now) {
@@ -76,25 +77,26 @@
     explicit state(clock_source clock) : clock(std::move(clock)) { }
 
     entries &listOf(answer_state which) { return byState[static_cast<std::size_t>(which)]; }
-    void note(const std::string &key, const std::string &nonce, peer::answer_reply answer);
+    void record(const std::string &key, const std::string &nonce, peer::answer_reply answer);
     entries::iterator add(const std::string &name);
     void set(entries::iterator at, peer::answer_reply answer);
     void drop(entries::iterator at);
-    void keepWithinBound();
+    void evictOverLimit();
 
     clock_source clock;
     std::mutex lock;
     std::condition_variable changed;
-    std::array<entries, 5> byState; ///< One list for each answer_state, longest unchanged first.
+    std::array<entries, 5>
+            byState; ///< One list per answer_state; entries unchanged for longest come first.
     std::unordered_map<std::string, entries::iterator> byName;
     std::size_t bytes = 0;
 };
 
 answer_book::state::entries::iterator answer_book::state::add(const std::string &name)
 {
-    entries &fresh = listOf(answer_state::Unknown);
-    fresh.push_back({name, {}, {}, 0});
-    return byName.emplace(name, std::prev(fresh.end())).first->second;
+    entries &unknown = listOf(answer_state::Unknown);
+    unknown.push_back({name, {}, {}, 0});
+    return byName.emplace(name, std::prev(unknown.end())).first->second;
 }
 
 void answer_book::state::set(entries::iterator at, peer::answer_reply answer)
@@ -115,8 +117,8 @@
     listOf(at->answer.state).erase(at);
 }
 
-void answer_book::state::note(const std::string &key, const std::string &nonce,
-                              peer::answer_reply answer)
+void answer_book::state::record(const std::string &key, const std::string &nonce,
+                                peer::answer_reply answer)
 {
     const std::lock_guard guard(lock);
     const std::string name = nameOf(key, nonce);
@@ -126,15 +128,16 @@
         return;
     at->changedAt = clock.mono();
     set(at, std::move(answer));
-    keepWithinBound();
+    evictOverLimit();
     changed.notify_all();
 }
 
-/// A flood of large answers would take the memory of the instance. What is given up first costs
-/// least: an answer (its duplicates hear truly that it may have run), then that it was lost (an
-/// unknown attempt is told as such too), and last that it was never dispatched, for that frees the
-/// key. An attempt that is running is never given up.
-void answer_book::state::keepWithinBound()
+/// Evicts entries until the table is within its memory limit, which many large answers would
+/// otherwise exceed. Evicts in the order of the least harm: first answers (their duplicates then
+/// get "may have run", which is true), then the record that an attempt was lost (an unknown attempt
+/// is reported in the same way), and last the record that an attempt was never dispatched, because
+/// that record frees the key. Running attempts are never evicted.
+void answer_book::state::evictOverLimit()
 {
     entries &done = listOf(answer_state::Done);
     entries &lost = listOf(answer_state::Lost);
@@ -157,12 +160,12 @@
 
 void answer_book::onRunning(const std::string &key, const std::string &nonce)
 {
-    inner->note(key, nonce, {answer_state::Running, 0, {}, {}, {}});
+    inner->record(key, nonce, {answer_state::Running, 0, {}, {}, {}});
 }
 
 void answer_book::onNotDispatched(const std::string &key, const std::string &nonce)
 {
-    inner->note(key, nonce, {answer_state::NotDispatched, 0, {}, {}, {}});
+    inner->record(key, nonce, {answer_state::NotDispatched, 0, {}, {}, {}});
 }
 
 void answer_book::onDone(const std::string &key, const std::string &nonce, const http_reply &reply)
@@ -170,20 +173,20 @@
     peer::answer_reply answer = answerOf(reply);
     if (bytesOf(answer) > config::maxKeptAnswerBytes)
         return onLost(key, nonce);
-    inner->note(key, nonce, std::move(answer));
+    inner->record(key, nonce, std::move(answer));
 }
 
 void answer_book::onLost(const std::string &key, const std::string &nonce)
 {
-    inner->note(key, nonce, {answer_state::Lost, 0, {}, {}, {}});
+    inner->record(key, nonce, {answer_state::Lost, 0, {}, {}, {}});
 }
 
-peer::answer_reply answer_book::find(const peer::answer_ask &question)
+peer::answer_reply answer_book::find(const peer::answer_ask &request)
 {
-    const std::string name = nameOf(question.key, question.nonce);
+    const std::string name = nameOf(request.key, request.nonce);
     peer::answer_reply seen;
     std::unique_lock guard(inner->lock);
-    const milliseconds wait = std::min(milliseconds(question.waitMs), config::maxTimeLimit);
+    const milliseconds wait = std::min(milliseconds(request.waitMs), config::maxTimeLimit);
     inner->changed.wait_for(guard, wait, [&] {
         const auto found = inner->byName.find(name);
         seen = found == inner->byName.end() ? peer::answer_reply() : found->second->answer;
@@ -192,12 +195,12 @@
     return seen;
 }
 
-void answer_book::forgetOlderThan(milliseconds keepTime)
+void answer_book::forgetOlderThan(milliseconds retentionTime)
 {
     const std::lock_guard guard(inner->lock);
     const mono_time now = inner->clock.mono();
     for (auto &entries : inner->byState) {
-        while (!entries.empty() && now - entries.front().changedAt > keepTime)
+        while (!entries.empty() && now - entries.front().changedAt > retentionTime)
             inner->drop(entries.begin());
     }
     inner->changed.notify_all();
--- a/src/node/claim_ages.h
+++ b/src/node/claim_ages.h
@@ -9,31 +9,32 @@
 
 namespace poplarspool::node {
 
-/// Since when this process itself has seen each claim of a bucket standing.
+/// For how long this process has observed each claim of a bucket in the store.
 ///
-/// A claim that is dropped too early lets a receipt or an order run twice, and a wall clock that
-/// jumps ahead, or that is ahead on the instance that takes the bucket over, would drop all of them
-/// at once. So no wall clock decides: a claim is old only when this process has seen it for that
-/// long on its own monotonic clock. That is enough, for it was written no later than it was first
-/// seen. The price: after the bucket went to another instance, claims stay up to twice as long.
+/// A claim that is dropped too early lets its request, such as a receipt or an order, run twice.
+/// Expiry by wall clock would drop all claims at once if the clock jumped ahead, or were ahead on
+/// the instance that takes over the bucket. So a claim expires only after this process has observed
+/// it for the retention period on its own monotonic clock; the claim was written no later than its
+/// first observation. The cost: after a bucket moved to another instance, its claims are kept for
+/// up to twice the retention period.
 class claim_ages
 {
 public:
-    /// Takes note of all that stands, and forgets what stands no more.
-    void observe(const claim_segment &standing, mono_time now);
+    /// Records all claims of the segment, and removes those that are no longer in it.
+    void observe(const claim_segment &segment, mono_time now);
     void add(const std::string &name, const std::string &nonce, mono_time now);
-    /// @returns Names of the claims that were first seen before `bound`.
+    /// @returns Names of the claims first observed before `bound`.
     std::vector<std::string> seenBefore(mono_time bound) const;
-    void forget(const std::string &name);
+    void remove(const std::string &name);
     void clear();
 
 private:
-    struct sighting
+    struct observation
     {
         std::string nonce;
         mono_time firstSeen{};
     };
-    std::unordered_map<std::string, sighting> sightings;
+    std::unordered_map<std::string, observation> observations;
 };
 
 } // namespace poplarspool::node
--- a/src/node/claim_batcher.cpp
+++ b/src/node/claim_batcher.cpp
@@ -16,7 +16,8 @@
 
 error tooLate()
 {
-    return notRun(error_code::TimedOut, "claim not granted in time", config::claimRetryTime);
+    return notRun(error_code::TimedOut, "claim not granted within its time limit",
+                  config::claimRetryTime);
 }
 
 bool isOutOfTime(const claim_outcome &outcome)
@@ -30,15 +31,16 @@
     : writer(std::move(writer)), clock(std::move(clock))
 { }
 
-claim_outcome claim_batcher::decide(const claim_wish &wish, mono_time deadline)
+claim_outcome claim_batcher::decide(const claim_wish &claim, mono_time deadline)
 {
-    const auto own = std::make_shared<ticket>(ticket{wish, std::nullopt});
+    const auto own = std::make_shared<queue_entry>(queue_entry{claim, std::nullopt});
     std::unique_lock guard(lock);
     queue.push_back(own);
     while (true) {
         const mono_time now = clock.mono();
-        // A batch ends with its leader's time, which may be shorter than ours. Asking again with
-        // the same nonce is safe: a claim that was written all the same is found as ours.
+        // A batch ends at its leader's deadline, which may be earlier than this one. Requesting the
+        // claim again with the same nonce is safe: if it was written after all, it is recognized by
+        // its nonce.
         if (own->outcome && isOutOfTime(*own->outcome) && now < deadline && !isStopped) {
             own->outcome.reset();
             queue.push_back(own);
@@ -52,38 +54,38 @@
         if (hasLeader)
             changed.wait_for(guard, deadline - now);
         else
-            lead(guard, deadline);
+            runBatch(guard, deadline);
     }
 }
 
-void claim_batcher::lead(std::unique_lock<std::mutex> &guard, mono_time deadline)
+void claim_batcher::runBatch(std::unique_lock<std::mutex> &guard, mono_time deadline)
 {
     hasLeader = true;
     const auto isFull = [this] { return isStopped || queue.size() >= config::maxClaimBatch; };
     changed.wait_for(guard, config::claimBatchTime, isFull);
-    const std::vector<ticket_ptr> batch = takeBatch();
-    std::vector<claim_wish> wishes;
-    wishes.reserve(batch.size());
-    for (const ticket_ptr &entry : batch)
-        wishes.push_back(entry->wish);
+    const std::vector<queue_entry_ptr> batch = takeBatch();
+    std::vector<claim_wish> claims;
+    claims.reserve(batch.size());
+    for (const queue_entry_ptr &entry : batch)
+        claims.push_back(entry->claim);
     guard.unlock();
     const auto outcomes =
-            writer->write(wishes, deadline, [this](milliseconds time) { return pause(time); });
+            writer->write(claims, deadline, [this](milliseconds time) { return pause(time); });
     guard.lock();
     for (std::size_t i = 0; i < batch.size(); ++i)
         batch[i]->outcome = outcomes[i];
-    if (mustRelease)
+    if (mustDropCache)
         writer->forgetAll();
-    mustRelease = false;
+    mustDropCache = false;
     hasLeader = false;
     changed.notify_all();
 }
 
-std::vector<claim_batcher::ticket_ptr> claim_batcher::takeBatch()
+std::vector<claim_batcher::queue_entry_ptr> claim_batcher::takeBatch()
 {
     const std::size_t count = std::min(queue.size(), config::maxClaimBatch);
     const auto end = queue.begin() + static_cast<std::ptrdiff_t>(count);
-    std::vector<ticket_ptr> batch(queue.begin(), end);
+    std::vector<queue_entry_ptr> batch(queue.begin(), end);
     queue.erase(queue.begin(), end);
     return batch;
 }
@@ -97,7 +99,7 @@
 void claim_batcher::release()
 {
     const std::lock_guard guard(lock);
-    mustRelease = hasLeader;
+    mustDropCache = hasLeader;
     if (!hasLeader)
         writer->forgetAll();
 }
--- a/src/node/claim_batcher.h
+++ b/src/node/claim_batcher.h
@@ -8,39 +8,38 @@
 
 namespace poplarspool::node {
 
-/// Gathers the claims of one bucket into batches. It has no thread of its own: of the threads that
-/// wait for a claim, one leads a batch, and the next one leads the batch that has gathered in the
-/// meantime.
+/// Batches the claims of one bucket. It has no thread of its own: one of the threads that wait for
+/// a claim leads a batch; another one leads the next batch with the claims queued in the meantime.
 class claim_batcher
 {
 public:
     claim_batcher(std::unique_ptr<claim_writer> writer, clock_source clock);
 
-    /// Waits until the claim is decided, at most to the deadline.
-    claim_outcome decide(const claim_wish &wish, mono_time deadline);
-    /// Frees what is known of the bucket, as another instance is its batcher.
+    /// Blocks until the claim is decided, at most until the deadline.
+    claim_outcome decide(const claim_wish &claim, mono_time deadline);
+    /// Drops the cached claims of the bucket, because another instance is its batcher.
     void release();
     void stop();
 
 private:
-    struct ticket
+    struct queue_entry
     {
-        claim_wish wish;
+        claim_wish claim;
         std::optional<claim_outcome> outcome;
     };
-    using ticket_ptr = std::shared_ptr<ticket>;
+    using queue_entry_ptr = std::shared_ptr<queue_entry>;
 
-    void lead(std::unique_lock<std::mutex> &guard, mono_time deadline);
-    std::vector<ticket_ptr> takeBatch();
+    void runBatch(std::unique_lock<std::mutex> &guard, mono_time deadline);
+    std::vector<queue_entry_ptr> takeBatch();
     bool pause(milliseconds time);
 
-    const std::unique_ptr<claim_writer> writer; ///< For the leader alone.
+    const std::unique_ptr<claim_writer> writer; ///< Used only by the current leader.
     const clock_source clock;
     std::mutex lock;
     std::condition_variable changed;
-    std::vector<ticket_ptr> queue;
+    std::vector<queue_entry_ptr> queue;
     bool hasLeader = false;
-    bool mustRelease = false;
+    bool mustDropCache = false;
     bool isStopped = false;
 };
 
--- a/src/node/claim_segment.cpp
+++ b/src/node/claim_segment.cpp
@@ -15,16 +15,16 @@
 
 constexpr int formatVersion = 1;
 
-// Places in a claim's row: rows without member names, and owners by number, make the object less
-// than half as large, and the whole object goes over the wire with each write.
+// Positions in a claim's row. Rows without member names, and with owners by index, make the object
+// less than half as large; each write transfers the whole object.
 enum row_place : std::size_t { NamePlace, BodyPlace, NoncePlace, OwnerPlace, WallPlace, RowSize };
 
 error unreadable(std::string_view what)
 {
-    return notRun(error_code::Broken, "claims in the store: " + std::string(what));
+    return notRun(error_code::Broken, "claim segment in the store: " + std::string(what));
 }
 
-/// Numbers the owners in the order in which they come.
+/// Assigns indexes to owners in order of first use.
 class owner_table
 {
 public:
@@ -97,18 +97,18 @@
     const auto owners = parseOwners(body.value("owners", json()));
     const json rows = body.value("claims", json());
     if (!owners || !rows.is_array())
-        return unreadable("owners or claims are missing");
+        return unreadable("'owners' or 'claims' is missing or not an array");
     claim_segment segment;
     segment.claims.reserve(rows.size());
     for (const json &row : rows) {
         if (!isRow(row, owners->size()))
-            return unreadable("a faulty row");
+            return unreadable("malformed claim row");
         const stored_claim claim{
                 row[BodyPlace].get<std::string>(), row[NoncePlace].get<std::string>(),
                 (*owners)[row[OwnerPlace].get<std::size_t>()], row[WallPlace].get<std::int64_t>()};
         const bool isNew = segment.claims.emplace(row[NamePlace].get<std::string>(), claim).second;
         if (!isNew)
-            return unreadable("a name that stands twice");
+            return unreadable("duplicate claim name");
     }
     return segment;
 }
--- a/src/node/claim_writer.cpp
+++ b/src/node/claim_writer.cpp
@@ -24,16 +24,17 @@
 
 error outOfTime()
 {
-    return notRun(error_code::TimedOut, "no answer of the store in time");
+    return notRun(error_code::TimedOut, "the store did not answer within the time limit");
 }
 
-/// Whether the store's client only keeps to its budget, or to a short back-off after one failed
-/// call. A longer one means that the store is down: then callers hear so at once.
-bool isShortPause(const error &fault)
+/// Whether the store's client only limits its call rate, or backs off briefly after one failed
+/// call. A longer back-off means that the store is down; callers then get the failure without
+/// waiting.
+bool isShortBackoff(const error &fault)
 {
-    const bool isPause =
+    const bool isBackoff =
             fault.code == error_code::Throttled || fault.code == error_code::Unavailable;
-    return isPause && fault.ran == verdict::NotRun && fault.retryAfter
+    return isBackoff && fault.ran == verdict::NotRun && fault.retryAfter
             && *fault.retryAfter <= config::claimStorePatience;
 }
 
@@ -45,9 +46,9 @@
 } // namespace
 
 claim_writer::claim_writer(std::string objectKey, platform::object_store &store,
-                           std::function<milliseconds()> keepTime, clock_source clock,
+                           std::function<milliseconds()> retentionTime, clock_source clock,
                            metrics_registry &metrics, journal &events)
-    : objectKey(std::move(objectKey)), store(store), keepTime(std::move(keepTime)),
+    : objectKey(std::move(objectKey)), store(store), retentionTime(std::move(retentionTime)),
       clock(std::move(clock)), events(events),
       writes(metrics.counterOf("poplarspool_claim_writes_total")),
       conflicts(metrics.counterOf("poplarspool_claim_conflicts_total")),
@@ -56,7 +57,7 @@
               metrics.gaugeOf("poplarspool_claim_object_bytes{object=\"" + this->objectKey + "\"}"))
 { }
 
-std::vector<claim_outcome> claim_writer::write(const std::vector<claim_wish> &wishes,
+std::vector<claim_outcome> claim_writer::write(const std::vector<claim_wish> &claims,
                                                mono_time deadline, const claim_pause &pause)
 {
     while (clock.mono() < deadline) {
@@ -64,7 +65,7 @@
         std::optional<error> fault = read();
         if (!fault) {
             prune();
-            outcomes = apply(wishes);
+            outcomes = apply(claims);
             if (changes.empty())
                 return outcomes;
             fault = writeChanges(deadline);
@@ -73,24 +74,24 @@
         }
         if (fault->code == error_code::Conflict)
             continue;
-        const bool isWorthWaiting = isShortPause(*fault)
+        const bool isWorthWaiting = isShortBackoff(*fault)
                 && clock.mono() + *fault->retryAfter < deadline && pause(*fault->retryAfter);
         if (isWorthWaiting) {
-            undoChanges();
+            revertChanges();
             continue;
         }
         if (outcomes.empty())
-            return allFailed(wishes.size(), *fault);
-        outcomes = withoutWrite(wishes, std::move(outcomes), *fault);
-        undoChanges();
+            return allFailed(claims.size(), *fault);
+        outcomes = outcomesAfterFailedWrite(claims, std::move(outcomes), *fault);
+        revertChanges();
         return outcomes;
     }
-    return allFailed(wishes.size(), outOfTime());
+    return allFailed(claims.size(), outOfTime());
 }
 
 std::optional<error> claim_writer::read()
 {
-    if (isKnown)
+    if (isCached)
         return std::nullopt;
     const result<platform::object> found = store.get(objectKey);
     if (!succeeded(found) && errorOf(found).code != error_code::NotFound)
@@ -99,86 +100,88 @@
     version = platform::mustNotExist;
     if (succeeded(found)) {
         result<claim_segment> parsed = parseClaimSegment(valueOf(found).value);
-        // Never written over: what can't be read may hold claims that stand.
+        // An unreadable object is never overwritten, because it may hold claims in force.
         if (!succeeded(parsed))
             return errorOf(parsed);
         segment = std::move(valueOf(parsed));
         version = valueOf(found).version;
     }
     ages.observe(segment, clock.mono());
-    isKnown = true;
+    isCached = true;
     return std::nullopt;
 }
 
-/// What is pruned goes away with the next write, and only then: no write is made for it.
+/// Removes expired claims from the cached segment. They leave the store with the next write; none
+/// is made just for them.
 void claim_writer::prune()
 {
-    // A claim must outlast its request: else a duplicate would run beside the first attempt.
-    const milliseconds keep = std::max(keepTime(), config::maxTimeLimit);
-    for (const std::string &name : ages.seenBefore(clock.mono() - keep)) {
+    // A claim must outlive its request, or a duplicate would run alongside the first attempt.
+    const milliseconds retention = std::max(retentionTime(), config::maxTimeLimit);
+    for (const std::string &name : ages.seenBefore(clock.mono() - retention)) {
         segment.claims.erase(name);
-        ages.forget(name);
+        ages.remove(name);
     }
 }
 
-std::vector<claim_outcome> claim_writer::apply(const std::vector<claim_wish> &wishes)
+std::vector<claim_outcome> claim_writer::apply(const std::vector<claim_wish> &claims)
 {
     changes.clear();
     std::vector<claim_outcome> outcomes;
-    outcomes.reserve(wishes.size());
-    for (const claim_wish &wish : wishes)
-        outcomes.push_back(applyOne(wish));
+    outcomes.reserve(claims.size());
+    for (const claim_wish &claim : claims)
+        outcomes.push_back(applyOne(claim));
     return outcomes;
 }
 
-claim_outcome claim_writer::applyOne(const claim_wish &wish)
+claim_outcome claim_writer::applyOne(const claim_wish &claim)
 {
-    const peer::claim_ask &ask = wish.ask;
-    const stored_claim *standing = findClaim(segment, ask.key);
-    const bool mayReplace = !standing || (wish.dead && standing->nonce == *wish.dead);
+    const peer::claim_ask &request = claim.ask;
+    const stored_claim *existing = findClaim(segment, request.key);
+    const bool mayReplace = !existing || (claim.dead && existing->nonce == *claim.dead);
     if (!mayReplace)
-        return replyOf(*standing);
-    changes.push_back({ask.key, standing ? std::optional(*standing) : std::nullopt});
-    stored_claim &claim = segment.claims[ask.key];
-    claim = {ask.bodyHash, ask.nonce, ask.owner, clock.wall().time_since_epoch().count()};
-    return replyOf(claim);
+        return replyOf(*existing);
+    changes.push_back({request.key, existing ? std::optional(*existing) : std::nullopt});
+    stored_claim &stored = segment.claims[request.key];
+    stored = {request.bodyHash, request.nonce, request.owner,
+              clock.wall().time_since_epoch().count()};
+    return replyOf(stored);
 }
 
-/// @returns Nothing where the changes are in the store. After Conflict the bucket must be read
-///          again; after any other failure this batch is over.
+/// @returns Nothing if the changes are in the store. After Conflict the bucket must be read again;
+///          any other failure ends the batch.
 std::optional<error> claim_writer::writeChanges(mono_time deadline)
 {
     const std::string text = textOf(segment);
-    // A full bucket refuses new claims. To drop standing ones early would let a request that has
+    // A full bucket refuses new claims. Dropping existing claims early would let a request that has
     // run be claimed again.
     if (text.size() > config::maxObjectBytes) {
         events.emit("claim_bucket_full", {{"object", objectKey}});
-        return notRun(error_code::Overloaded, "its bucket is full");
+        return notRun(error_code::Overloaded, "its bucket in the store is full");
     }
     writes.add();
     const result<std::uint64_t> written = store.put(objectKey, text, version, deadline);
     if (succeeded(written)) {
         version = valueOf(written);
         objectBytes.set(static_cast<std::int64_t>(text.size()));
-        keepChanges();
+        commitChanges();
         return std::nullopt;
     }
     const error &fault = errorOf(written);
     if (fault.code == error_code::Conflict) {
-        // Another batcher was first. Reading again shows its claims, and ours where this write took
-        // effect and its answer was lost.
+        // Another batcher's write came first. Reading again yields its claims, and also this
+        // batch's if this write took effect and its answer was lost.
         conflicts.add();
         events.emit("claim_conflict", {{"object", objectKey}});
-        isKnown = false;
+        isCached = false;
         changes.clear();
     } else if (fault.ran == verdict::MayHaveRun) {
         undecided.add();
-        isKnown = false;
+        isCached = false;
     }
     return fault;
 }
 
-void claim_writer::keepChanges()
+void claim_writer::commitChanges()
 {
     const mono_time now = clock.mono();
     for (const change &done : changes)
@@ -186,7 +189,7 @@
     changes.clear();
 }
 
-void claim_writer::undoChanges()
+void claim_writer::revertChanges()
 {
     while (!changes.empty()) {
         const change &last = changes.back();
@@ -198,14 +201,15 @@
     }
 }
 
-/// @returns The outcomes that hold although the changes were not written: claims that stood before.
-std::vector<claim_outcome> claim_writer::withoutWrite(const std::vector<claim_wish> &wishes,
-                                                      std::vector<claim_outcome> outcomes,
-                                                      const error &failure) const
+/// @returns The outcomes after a failed write: only claims that existed before remain decided.
+std::vector<claim_outcome>
+claim_writer::outcomesAfterFailedWrite(const std::vector<claim_wish> &claims,
+                                       std::vector<claim_outcome> outcomes,
+                                       const error &failure) const
 {
-    for (std::size_t i = 0; i < wishes.size(); ++i) {
-        const auto isOfWish = [&](const change &one) { return one.name == wishes[i].ask.key; };
-        if (std::any_of(changes.begin(), changes.end(), isOfWish))
+    for (std::size_t i = 0; i < claims.size(); ++i) {
+        const auto isOfClaim = [&](const change &one) { return one.name == claims[i].ask.key; };
+        if (std::any_of(changes.begin(), changes.end(), isOfClaim))
             outcomes[i] = refusalOf(failure);
     }
     return outcomes;
@@ -213,7 +217,7 @@
 
 void claim_writer::forgetAll()
 {
-    isKnown = false;
+    isCached = false;
     segment = {};
     ages.clear();
 }
--- a/src/node/claim_writer.h
+++ b/src/node/claim_writer.h
@@ -16,11 +16,11 @@
 
 namespace poplarspool::node {
 
-/// A claim that an attempt wants.
+/// A claim to write for an attempt.
 struct claim_wish
 {
     peer::claim_ask ask;
-    /// Nonce of an attempt that never was and never will be dispatched: its claim may be replaced.
+    /// Nonce of an attempt that was never dispatched and never will be: its claim may be replaced.
     std::optional<std::string> dead;
 
     bool operator==(const claim_wish &) const = default;
@@ -28,25 +28,25 @@
 
 using claim_outcome = result<peer::claim_reply>;
 
-/// Waits before another call to the store.
-/// @returns False where it is not worth it, as the process stops.
+/// Waits before the next call to the store.
+/// @returns False if the call should not be made because the process is stopping.
 using claim_pause = std::function<bool(milliseconds)>;
 
-/// Gets batches of claims into one bucket's object by conditional writes. For one thread at a time.
+/// Writes batches of claims to the object of one bucket by conditional writes. Not thread-safe.
 class claim_writer
 {
 public:
-    /// @param keepTime Time for which a claim must stand.
+    /// @param retentionTime Minimum time for which a claim is kept.
     claim_writer(std::string objectKey, platform::object_store &store,
-                 std::function<milliseconds()> keepTime, clock_source clock,
+                 std::function<milliseconds()> retentionTime, clock_source clock,
                  metrics_registry &metrics, journal &events);
 
-    /// @returns One outcome per wish. A failure is NotRun: an attempt without a claim must not
-    ///          dispatch. Whether its claim stands all the same (the answer to the write was lost)
-    ///          is of no matter to that promise; see answer_book::onNotDispatched.
-    std::vector<claim_outcome> write(const std::vector<claim_wish> &wishes, mono_time deadline,
+    /// @returns One outcome per claim. Every failure is NotRun, because an attempt without a claim
+    ///          must not be dispatched. This holds even if the claim was written and only the
+    ///          store's answer was lost; see answer_table::onNotDispatched.
+    std::vector<claim_outcome> write(const std::vector<claim_wish> &claims, mono_time deadline,
                                      const claim_pause &pause);
-    /// Frees what is known of the bucket.
+    /// Drops the cached claims of the bucket.
     void forgetAll();
 
 private:
@@ -58,18 +58,18 @@
 
     std::optional<error> read();
     void prune();
-    std::vector<claim_outcome> apply(const std::vector<claim_wish> &wishes);
-    claim_outcome applyOne(const claim_wish &wish);
+    std::vector<claim_outcome> apply(const std::vector<claim_wish> &claims);
+    claim_outcome applyOne(const claim_wish &claim);
     std::optional<error> writeChanges(mono_time deadline);
-    void keepChanges();
-    void undoChanges();
-    std::vector<claim_outcome> withoutWrite(const std::vector<claim_wish> &wishes,
-                                            std::vector<claim_outcome> outcomes,
-                                            const error &failure) const;
+    void commitChanges();
+    void revertChanges();
+    std::vector<claim_outcome> outcomesAfterFailedWrite(const std::vector<claim_wish> &claims,
+                                                        std::vector<claim_outcome> outcomes,
+                                                        const error &failure) const;
 
     const std::string objectKey;
     platform::object_store &store;
-    const std::function<milliseconds()> keepTime;
+    const std::function<milliseconds()> retentionTime;
     const clock_source clock;
     journal &events;
     counter &writes;
@@ -77,10 +77,10 @@
     counter &undecided;
     gauge &objectBytes;
 
-    bool isKnown = false; ///< `segment` is what the store had at `version`.
+    bool isCached = false; ///< `segment` is the content of the store's object at `version`.
     claim_segment segment;
     std::uint64_t version = platform::mustNotExist;
-    std::vector<change> changes; ///< Of the batch, not written yet.
+    std::vector<change> changes; ///< Changes of the current batch that are not written yet.
     claim_ages ages;
 };
 
--- a/src/node/claims.cpp
+++ b/src/node/claims.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Hex digits of a claim's name: 128 bits, beyond chance or intent to meet another's.
+/// Hex digits of a claim's name: 128 bits rule out collisions, accidental or deliberate.
 constexpr std::size_t nameDigits = 32;
 
 bool isToken(const std::string &text)
@@ -22,26 +22,26 @@
             && std::all_of(text.begin(), text.end(), isPrintable);
 }
 
-/// Asks come from other instances too: what is no claim must not get into the bucket, where it
-/// would stop everyone from reading it.
-std::optional<error> checkAsk(const peer::claim_ask &ask)
+/// Validates a claim request, which may come from another instance. A malformed claim must not get
+/// into the bucket, where it would make the whole bucket unreadable for every instance.
+std::optional<error> checkRequest(const peer::claim_ask &request)
 {
-    const bool isSound = isToken(ask.key) && isToken(ask.bodyHash) && isToken(ask.nonce)
-            && isToken(ask.owner.text);
+    const bool isSound = isToken(request.key) && isToken(request.bodyHash) && isToken(request.nonce)
+            && isToken(request.owner.text);
     if (isSound)
         return std::nullopt;
-    return notRun(error_code::BadRequest, "claim not granted: malformed");
+    return notRun(error_code::BadRequest, "claim not granted: malformed claim request");
 }
 
-/// Whether a batcher that failed so may be stepped past. Not where it has decided to refuse: its
-/// bucket is full, or its share of the store's calls is used up.
-bool mayStepPast(const error &fault)
+/// Whether the claim may be decided locally after the batcher failed in this way. Not if the
+/// batcher has refused: its bucket is full, or its share of the store's call rate is used up.
+bool mayBypassBatcher(const error &fault)
 {
     return fault.code != error_code::Overloaded && fault.code != error_code::Throttled
             && fault.code != error_code::BadRequest;
 }
 
-std::uint32_t countOf(milliseconds time)
+std::uint32_t clampedCountOf(milliseconds time)
 {
     return static_cast<std::uint32_t>(std::clamp<std::int64_t>(time.count(), 0, UINT32_MAX));
 }
@@ -51,97 +51,101 @@
 struct claim_book::state
 {
     state(const std::string &deployment, platform::object_store &store, claim_peers peers,
-          const std::function<milliseconds()> &keepTime, const clock_source &clock,
+          const std::function<milliseconds()> &retentionTime, const clock_source &clock,
           metrics_registry &metrics, journal &events)
         : peers(std::move(peers)), clock(clock), events(events),
           fallbacks(metrics.counterOf("poplarspool_claim_fallbacks_total")),
           decisionTime(metrics.latencyOf("poplarspool_claim_seconds"))
     {
         for (std::uint32_t bucket = 0; bucket < config::claimBuckets; ++bucket) {
-            auto writer = std::make_unique<claim_writer>(operators::claimKey(deployment, bucket),
-                                                         store, keepTime, clock, metrics, events);
+            auto writer =
+                    std::make_unique<claim_writer>(operators::claimKey(deployment, bucket), store,
+                                                   retentionTime, clock, metrics, events);
             batchers.push_back(std::make_unique<claim_batcher>(std::move(writer), clock));
         }
     }
 
-    claim_batcher &batcherOf(const claim_wish &wish) { return *batchers[bucketOf(wish.ask.key)]; }
-    claim_outcome decideHere(const claim_wish &wish, mono_time deadline);
-    claim_outcome askBatcher(const endpoint &batcher, peer::claim_ask wanted, mono_time deadline);
+    claim_batcher &batcherOf(const claim_wish &claim) { return *batchers[bucketOf(claim.ask.key)]; }
+    claim_outcome decideLocally(const claim_wish &claim, mono_time deadline);
+    claim_outcome requestFromBatcher(const endpoint &batcher, peer::claim_ask request,
+                                     mono_time deadline);
 
     claim_peers peers;
     clock_source clock;
     journal &events;
     counter &fallbacks;
     latency &decisionTime;
-    std::vector<std::unique_ptr<claim_batcher>> batchers; ///< One for each bucket.
+    std::vector<std::unique_ptr<claim_batcher>> batchers; ///< One per bucket.
 };
 
-claim_outcome claim_book::state::decideHere(const claim_wish &wish, mono_time deadline)
+claim_outcome claim_book::state::decideLocally(const claim_wish &claim, mono_time deadline)
 {
-    if (const auto fault = checkAsk(wish.ask))
+    if (const auto fault = checkRequest(claim.ask))
         return *fault;
     const mono_time begin = clock.mono();
     const mono_time end = std::min(deadline, begin + config::claimTryTime);
-    claim_outcome outcome = batcherOf(wish).decide(wish, end);
+    claim_outcome outcome = batcherOf(claim).decide(claim, end);
     decisionTime.record(clock.mono() - begin);
     return outcome;
 }
 
-claim_outcome claim_book::state::askBatcher(const endpoint &batcher, peer::claim_ask wanted,
-                                            mono_time deadline)
+claim_outcome claim_book::state::requestFromBatcher(const endpoint &batcher,
+                                                    peer::claim_ask request, mono_time deadline)
 {
     const auto left = std::chrono::duration_cast<milliseconds>(deadline - clock.mono());
-    // Half of what is left, so that a batcher that is dead or frozen leaves time to decide here.
-    wanted.timeLeftMs = countOf(std::min(left / 2, config::claimTryTime));
-    return peers.ask(batcher, wanted);
+    // At most half of the remaining time, so that a dead or frozen batcher leaves time to decide
+    // the claim locally.
+    request.timeLeftMs = clampedCountOf(std::min(left / 2, config::claimTryTime));
+    return peers.ask(batcher, request);
 }
 
 claim_book::claim_book(const std::string &deployment, platform::object_store &store,
-                       claim_peers peers, const std::function<milliseconds()> &keepTime,
+                       claim_peers peers, const std::function<milliseconds()> &retentionTime,
                        const clock_source &clock, metrics_registry &metrics, journal &events)
-    : inner(std::make_unique<state>(deployment, store, std::move(peers), keepTime, clock, metrics,
-                                    events))
+    : inner(std::make_unique<state>(deployment, store, std::move(peers), retentionTime, clock,
+                                    metrics, events))
 { }
 
 claim_book::~claim_book() = default;
 
-result<peer::claim_reply> claim_book::claim(const peer::claim_ask &wanted, mono_time deadline)
+result<peer::claim_reply> claim_book::claim(const peer::claim_ask &request, mono_time deadline)
 {
-    const claim_wish wish{wanted, std::nullopt};
-    const auto batcher = inner->peers.batcherOf(bucketOf(wanted.key));
+    const claim_wish claim{request, std::nullopt};
+    const auto batcher = inner->peers.batcherOf(bucketOf(request.key));
     if (!batcher)
-        return inner->decideHere(wish, deadline);
-    claim_outcome outcome = inner->askBatcher(*batcher, wanted, deadline);
+        return inner->decideLocally(claim, deadline);
+    claim_outcome outcome = inner->requestFromBatcher(*batcher, request, deadline);
     if (succeeded(outcome))
         return outcome;
     error fault = errorOf(outcome);
-    if (mayStepPast(fault)) {
-        // The batcher is a matter of speed: whoever writes the claim, the conditional write
-        // decides. Where it did write ours and the answer was lost, it is found under the same
-        // nonce.
+    if (mayBypassBatcher(fault)) {
+        // The batcher only improves throughput; correctness rests on the conditional write,
+        // whichever instance makes it. If the batcher wrote this claim and only its answer was
+        // lost, the claim is found by its nonce.
         inner->fallbacks.add();
         inner->events.emit("claim_fallback",
                            {{"peer", textOf(*batcher)}, {"code", std::string(nameOf(fault.code))}});
-        outcome = inner->decideHere(wish, deadline);
-        inner->batcherOf(wish).release();
+        outcome = inner->decideLocally(claim, deadline);
+        inner->batcherOf(claim).release();
         return outcome;
     }
     fault.ran = verdict::NotRun;
     return fault;
 }
 
-result<peer::claim_reply> claim_book::decide(const peer::claim_ask &wanted, mono_time deadline)
+result<peer::claim_reply> claim_book::decide(const peer::claim_ask &request, mono_time deadline)
 {
-    return inner->decideHere({wanted, std::nullopt}, deadline);
+    return inner->decideLocally({request, std::nullopt}, deadline);
 }
 
-result<peer::claim_reply> claim_book::supersede(const peer::claim_ask &wanted,
-                                                const std::string &dead, mono_time deadline)
+result<peer::claim_reply> claim_book::supersede(const peer::claim_ask &request,
+                                                const std::string &supersededNonce,
+                                                mono_time deadline)
 {
-    const claim_wish wish{wanted, dead};
-    claim_outcome outcome = inner->decideHere(wish, deadline);
-    if (inner->peers.batcherOf(bucketOf(wanted.key)))
-        inner->batcherOf(wish).release();
+    const claim_wish claim{request, supersededNonce};
+    claim_outcome outcome = inner->decideLocally(claim, deadline);
+    if (inner->peers.batcherOf(bucketOf(request.key)))
+        inner->batcherOf(claim).release();
     return outcome;
 }
 
@@ -154,7 +158,7 @@
 std::string claimNameOf(const std::string &workspace, const std::string &operation,
                         const std::string &idempotencyKey)
 {
-    // Lengths keep parts apart: "a" + "bc" and "ab" + "c" are other claims.
+    // Length prefixes keep the parts apart: "a" + "bc" and "ab" + "c" are different claims.
     std::string joined;
     for (const std::string *part : {&workspace, &operation, &idempotencyKey}) {
         joined += std::to_string(part->size());
--- a/src/node/duplicate_guard.cpp
+++ b/src/node/duplicate_guard.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Attempts to supersede undispatched claims before the request is given up.
+/// Maximum number of claims of undispatched attempts to supersede before the request fails.
 constexpr int maxSupersedes = 4;
 
 std::uint32_t millisecondsUntil(mono_time deadline, mono_time now)
@@ -25,8 +25,8 @@
       clock(std::move(clock)), events(events)
 { }
 
-peer::claim_ask duplicate_guard::askFor(const std::string &key, const std::string &bodyHash,
-                                        mono_time deadline)
+peer::claim_ask duplicate_guard::makeClaimRequest(const std::string &key,
+                                                  const std::string &bodyHash, mono_time deadline)
 {
     return {key, bodyHash, randomHex128(), self, millisecondsUntil(deadline, clock.mono())};
 }
@@ -34,61 +34,64 @@
 entry_decision duplicate_guard::enter(const std::string &key, const std::string &bodyHash,
                                       mono_time deadline)
 {
-    peer::claim_ask wanted = askFor(key, bodyHash, deadline);
-    answers.onRunning(key, wanted.nonce);
-    result<peer::claim_reply> standing = claims.claim(wanted, deadline);
+    peer::claim_ask request = makeClaimRequest(key, bodyHash, deadline);
+    answers.onRunning(key, request.nonce);
+    result<peer::claim_reply> existing = claims.claim(request, deadline);
     for (int round = 0; round < maxSupersedes; ++round) {
-        if (!succeeded(standing)) {
-            // The claim may stand in the store all the same (its answer was lost). Saying that this
-            // nonce never will be dispatched lets the caller's next try take the key over.
-            answers.onNotDispatched(key, wanted.nonce);
-            error failure = errorOf(standing);
+        if (!succeeded(existing)) {
+            // The claim may be in the store even so, if only the store's answer was lost. Recording
+            // that this nonce is never dispatched lets the caller's next attempt supersede it.
+            answers.onNotDispatched(key, request.nonce);
+            error failure = errorOf(existing);
             failure.ran = verdict::NotRun;
             return failure;
         }
-        if (valueOf(standing).nonce == wanted.nonce)
-            return may_dispatch{wanted.nonce};
-        answers.onNotDispatched(key, wanted.nonce);
-        if (valueOf(standing).bodyHash != bodyHash)
+        if (valueOf(existing).nonce == request.nonce)
+            return may_dispatch{request.nonce};
+        answers.onNotDispatched(key, request.nonce);
+        if (valueOf(existing).bodyHash != bodyHash)
             return notRun(error_code::Conflict,
-                          "this idempotency key was used with another request");
-        const peer::answer_reply answer = askOwner(key, valueOf(standing), deadline);
+                          "this idempotency key was used with a different request");
+        const peer::answer_reply answer = queryOwner(key, valueOf(existing), deadline);
         if (answer.state != peer::answer_state::NotDispatched)
-            return followStanding(key, valueOf(standing), answer);
-        wanted = askFor(key, bodyHash, deadline);
-        answers.onRunning(key, wanted.nonce);
-        standing = claims.supersede(wanted, valueOf(standing).nonce, deadline);
+            return resultFromExisting(key, valueOf(existing), answer);
+        request = makeClaimRequest(key, bodyHash, deadline);
+        answers.onRunning(key, request.nonce);
+        existing = claims.supersede(request, valueOf(existing).nonce, deadline);
     }
-    answers.onNotDispatched(key, wanted.nonce);
-    return notRun(error_code::Conflict, "other tries of this request keep coming first",
-                  milliseconds(1000));
+    answers.onNotDispatched(key, request.nonce);
+    return notRun(error_code::Conflict,
+                  "concurrent attempts of this request keep claiming it first", milliseconds(1000));
 }
 
-peer::answer_reply duplicate_guard::askOwner(const std::string &key,
-                                             const peer::claim_reply &standing, mono_time deadline)
+peer::answer_reply duplicate_guard::queryOwner(const std::string &key,
+                                               const peer::claim_reply &existing,
+                                               mono_time deadline)
 {
-    const peer::answer_ask question{key, standing.nonce, millisecondsUntil(deadline, clock.mono())};
-    if (standing.owner == self)
-        return answers.find(question);
-    return peers.answer(standing.owner, question);
+    const peer::answer_ask query{key, existing.nonce, millisecondsUntil(deadline, clock.mono())};
+    if (existing.owner == self)
+        return answers.find(query);
+    return peers.answer(existing.owner, query);
 }
 
-entry_decision duplicate_guard::followStanding(const std::string &key,
-                                               const peer::claim_reply &standing,
-                                               const peer::answer_reply &answer) const
+entry_decision duplicate_guard::resultFromExisting(const std::string &key,
+                                                   const peer::claim_reply &existing,
+                                                   const peer::answer_reply &answer) const
 {
     events.emit("duplicate",
                 {{"key", key},
-                 {"owner", standing.owner.text},
+                 {"owner", existing.owner.text},
                  {"state", std::to_string(static_cast<int>(answer.state))}});
     switch (answer.state) {
     case peer::answer_state::Done:
         return earlier_answer{{answer.status, answer.headers, answer.body, answer.contentType}};
     case peer::answer_state::Running:
-        return mayHaveRun(error_code::TimedOut, "the first try of this request is still running");
+        return mayHaveRun(error_code::TimedOut,
+                          "an earlier attempt of this request is still running");
     default:
-        return mayHaveRun(error_code::Duplicate,
-                          "a first try of this request may have run; its answer is gone");
+        return mayHaveRun(
+                error_code::Duplicate,
+                "an earlier attempt of this request may have run; its answer is not available");
     }
 }
 
--- a/src/node/duplicate_guard.h
+++ b/src/node/duplicate_guard.h
@@ -9,19 +9,19 @@
 #include <string>
 #include <variant>
 
-/// Decides for one request that must run at most once whether this attempt may be dispatched, or
-/// which answer of an earlier one it gets.
+/// Decides whether an attempt of a request that must run at most once may be dispatched, or which
+/// earlier attempt's answer it gets.
 namespace poplarspool::node {
 
-/// This attempt, and no other, may be dispatched.
+/// Permission to dispatch this attempt, and no other.
 struct may_dispatch
 {
-    std::string nonce; ///< To be told to the answer_book when it ends.
+    std::string nonce; ///< Identifies the attempt when its outcome is recorded in the answer_table.
 
     bool operator==(const may_dispatch &) const = default;
 };
 
-/// An earlier attempt's whole answer.
+/// The complete answer of an earlier attempt.
 struct earlier_answer
 {
     http_reply reply;
@@ -35,16 +35,18 @@
     duplicate_guard(instance_id self, claim_book &claims, answer_book &answers, claim_peers peers,
                     clock_source clock, journal &events);
 
-    /// @param key Of claimNameOf().
-    /// @param bodyHash Of all that makes two requests the same request.
+    /// @param key Claim name, from claimNameOf().
+    /// @param bodyHash Hash of everything in which two requests with one idempotency key must not
+    ///                 differ.
     entry_decision enter(const std::string &key, const std::string &bodyHash, mono_time deadline);
 
 private:
-    peer::answer_reply askOwner(const std::string &key, const peer::claim_reply &standing,
-                                mono_time deadline);
-    entry_decision followStanding(const std::string &key, const peer::claim_reply &standing,
-                                  const peer::answer_reply &answer) const;
-    peer::claim_ask askFor(const std::string &key, const std::string &bodyHash, mono_time deadline);
+    peer::answer_reply queryOwner(const std::string &key, const peer::claim_reply &existing,
+                                  mono_time deadline);
+    entry_decision resultFromExisting(const std::string &key, const peer::claim_reply &existing,
+                                      const peer::answer_reply &answer) const;
+    peer::claim_ask makeClaimRequest(const std::string &key, const std::string &bodyHash,
+                                     mono_time deadline);
 
     instance_id self;
     claim_book &claims;
--- a/src/node/fleet_report.h
+++ b/src/node/fleet_report.h
@@ -3,13 +3,13 @@
 #include "poplarspool/operators/operator_server.h"
 #include "poplarspool/policy/view.h"
 
-/// Tells operators what an instance knows of the fleet.
+/// Reports to operators what an instance knows of the fleet.
 namespace poplarspool::node {
 
 operators::fleet_status reportOf(const policy::view &now, const instance_id &self,
                                  bool isStoreReachable, mono_time time);
 
-/// @returns All events in one order, cause before effect.
+/// @returns All events in one sequence ordered by time, so that causes precede their effects.
 std::vector<event> mergeTimelines(std::vector<std::vector<event>> parts);
 
 } // namespace poplarspool::node
--- a/src/node/freshness.cpp
+++ b/src/node/freshness.cpp
@@ -15,31 +15,31 @@
     return found == members.end() ? nullptr : &*found;
 }
 
-bool isReached(const policy::member &other)
+bool isReachable(const policy::member &other)
 {
     return other.state == policy::member_state::Alive
             || other.state == policy::member_state::Leaving;
 }
 
-/// Counts the voters (listed instances, or the known members where the list was never there) and
-/// those of them that are reached now.
-std::pair<std::size_t, std::size_t> reachedOf(const freshness_facts &facts)
+/// Counts the voters (the listed instances, or the known members if the list was never fetched) and
+/// those of them that are reachable now.
+std::pair<std::size_t, std::size_t> countReachable(const freshness_facts &facts)
 {
     std::size_t voters = 0;
-    std::size_t reached = 0;
+    std::size_t reachable = 0;
     if (facts.listed.empty()) {
         voters = facts.members.size();
-        reached = static_cast<std::size_t>(
-                std::count_if(facts.members.begin(), facts.members.end(), isReached));
-        return {voters, reached};
+        reachable = static_cast<std::size_t>(
+                std::count_if(facts.members.begin(), facts.members.end(), isReachable));
+        return {voters, reachable};
     }
     for (const platform::listed_instance &entry : facts.listed) {
         ++voters;
         const policy::member *known = findMember(facts.members, entry.id);
-        if (entry.id == facts.self || (known && isReached(*known)))
-            ++reached;
+        if (entry.id == facts.self || (known && isReachable(*known)))
+            ++reachable;
     }
-    return {voters, reached};
+    return {voters, reachable};
 }
 
 } // namespace
@@ -51,11 +51,11 @@
     const mono_time confirmedUntil = facts.confirmedAt + config::freshTime;
     if (facts.now < confirmedUntil)
         return confirmedUntil;
-    const auto [voters, reached] = reachedOf(facts);
+    const auto [voters, reachable] = countReachable(facts);
     const auto isNewer = [&](const policy::member &other) {
         return other.appliedVersion > facts.appliedVersion;
     };
-    if (reached * 2 <= voters || std::any_of(facts.members.begin(), facts.members.end(), isNewer))
+    if (reachable * 2 <= voters || std::any_of(facts.members.begin(), facts.members.end(), isNewer))
         return confirmedUntil;
     return facts.now + config::reachTime;
 }
--- a/src/node/instance.cpp
+++ b/src/node/instance.cpp
@@ -36,33 +36,33 @@
 
 namespace {
 
-/// A new life has a higher number than all before it, since wall clocks move on between a stop and
-/// the next start.
-incarnation newLife(const clock_source &clock)
+/// @returns Incarnation of this process. It is higher than all earlier ones, because the wall clock
+///          advances between a stop and the next start.
+incarnation newIncarnation(const clock_source &clock)
 {
     return static_cast<incarnation>(clock.wall().time_since_epoch().count());
 }
 
-policy::member selfOf(const settings &choices, incarnation life)
+policy::member selfOf(const settings &choices, incarnation ownIncarnation)
 {
     policy::member self;
     self.id = choices.instance;
     self.zone = choices.zone;
     self.callerAddress = choices.callerAddress;
     self.peerAddress = choices.peerAddress;
-    self.life = life;
+    self.life = ownIncarnation;
     return self;
 }
 
-/// Wraps a typed function as the handler of a call.
-template <class Ask, class Function>
+/// Adapts a typed function to a handler of peer calls.
+template <class Request, class Function>
 peer::call_handler handlerOf(Function function)
 {
     return [function](std::string_view payload) -> result<std::string> {
-        const result<Ask> question = peer::decode<Ask>(payload);
-        if (!succeeded(question))
-            return errorOf(question);
-        return function(valueOf(question));
+        const result<Request> request = peer::decode<Request>(payload);
+        if (!succeeded(request))
+            return errorOf(request);
+        return function(valueOf(request));
     };
 }
 
@@ -76,69 +76,69 @@
 
 } // namespace
 
-/// All parts of one instance, each made from those above it.
+/// All components of one instance; each depends only on those above it.
 struct instance::state
 {
     explicit state(settings given);
 
     peer::gossip_settings gossipChoices() const;
     peer::gossip_handlers gossipHandlers();
-    sync_needs syncNeeds();
+    sync_needs syncDependencies();
     claim_peers claimPeers();
-    planner_needs plannerNeeds();
-    request_needs requestNeeds();
-    membership_needs membershipNeeds();
+    planner_needs plannerDependencies();
+    request_needs requestDependencies();
+    membership_needs membershipDependencies();
     std::map<peer::call_kind, peer::call_handler> callHandlers();
     caller::caller_handlers callerHandlers();
     operators::operator_handlers operatorHandlers();
 
-    void onRumor(const peer::rumor &news);
+    void onRumor(const peer::rumor &rumor);
     void onRound();
     void acknowledge();
     std::optional<endpoint> batcherOf(std::uint32_t bucket) const;
-    peer::answer_reply answerOf(const instance_id &owner, const peer::answer_ask &question);
+    peer::answer_reply answerOf(const instance_id &owner, const peer::answer_ask &request);
     std::vector<event> timeline(const event_filter &filter);
     operators::fleet_status status();
-    void leaveLoop();
+    void shutdownLoop();
     void stopAll();
 
     settings choices;
     clock_source clock = systemClock();
-    incarnation life = newLife(clock);
+    incarnation ownIncarnation = newIncarnation(clock);
     metrics_registry metrics;
     journal events;
     view_hub views;
     std::shared_ptr<http_pool> platformPool;
     std::shared_ptr<http_pool> runnerPool;
-    std::shared_ptr<http_pool> pollPool; ///< Polls don't wait behind requests.
+    std::shared_ptr<http_pool> pollPool; ///< Separate, so that polls don't wait behind requests.
     runner::engine_api engines;
     runner::engine_api pollEngines;
     runner::service_api services;
     runner::service_api pollServices;
     platform::object_store store;
-    work_ledger ledger;
+    work_ledger sentWork;
     demand_book demand;
     peer::call_client calls;
-    peer::gossip talk;
+    peer::gossip gossip;
     membership members;
     watched_sync sync;
     answer_book answers;
     claim_book claims;
     duplicate_guard duplicates;
-    load_watch loads;
+    load_watch loadMonitor;
     request_path requests;
     planner plans;
     peer::call_server callServer;
     operators::operator_server operatorServer;
     caller::caller_server callerServer;
 
-    std::mutex acknowledging;
+    std::mutex acknowledgeLock;
     std::atomic<bool> isClosed{false};
     std::mutex guard;
     std::condition_variable wake;
     bool isLeaving = false;
     bool isDone = false;
-    std::thread leaver;
+    std::thread shutdownThread;
 };
 
 instance::state::state(settings given)
@@ -156,13 +156,13 @@
              config::storeBackoffMax},
             clock, metrics, events),
       demand(choices.instance, clock),
-      calls({choices.instance, life, choices.peerKey}, metrics, events),
-      talk(gossipChoices(), gossipHandlers(), clock, metrics, events),
-      members(membershipNeeds(), talk,
+      calls({choices.instance, ownIncarnation, choices.peerKey}, metrics, events),
+      gossip(gossipChoices(), gossipHandlers(), clock, metrics, events),
+      members(membershipDependencies(), gossip,
               platform::httpInstanceList(choices.instanceListAddress, platformPool,
                                          choices.storeCallTime),
               views, clock, events),
-      sync(syncNeeds(), store, views, clock, metrics, events), answers(clock),
+      sync(syncDependencies(), store, views, clock, metrics, events), answers(clock),
       claims(
               choices.deployment, store, claimPeers(),
               [this] {
@@ -171,17 +171,17 @@
               },
               clock, metrics, events),
       duplicates(choices.instance, claims, answers, claimPeers(), clock, events),
-      loads({choices.instance, choices.loadPollTime,
-             [this](peer::rumor news) { talk.spread(std::move(news)); }},
-            views, ledger, pollEngines, pollServices, clock, metrics, events),
-      requests(requestNeeds(), views, ledger, demand, duplicates, answers, engines, services, clock,
-               metrics, events),
-      plans(plannerNeeds(), views, store,
+      loadMonitor({choices.instance, choices.loadPollTime,
+                   [this](peer::rumor rumor) { gossip.spread(std::move(rumor)); }},
+                  views, sentWork, pollEngines, pollServices, clock, metrics, events),
+      requests(requestDependencies(), views, sentWork, demand, duplicates, answers, engines,
+               services, clock, metrics, events),
+      plans(plannerDependencies(), views, store,
             platform::httpWeightStore(choices.weightStoreAddress, platformPool,
                                       choices.storeCallTime),
             pollEngines, clock, metrics, events),
-      callServer(choices.peerAddress, {choices.instance, life, choices.peerKey}, callHandlers(),
-                 metrics, events),
+      callServer(choices.peerAddress, {choices.instance, ownIncarnation, choices.peerKey},
+                 callHandlers(), metrics, events),
       operatorServer(choices.operatorAddress, choices.operatorKeySha256, operatorHandlers(),
                      metrics, events),
       callerServer(choices.callerAddress, choices.callerLimits, callerHandlers(), clock, metrics,
@@ -190,83 +190,83 @@
 
 peer::gossip_settings instance::state::gossipChoices() const
 {
-    peer::gossip_settings talkChoices;
-    talkChoices.self = selfOf(choices, life);
-    talkChoices.key = choices.peerKey;
-    talkChoices.roundTime = choices.gossipTime;
-    talkChoices.suspectTime = config::suspectTime;
-    talkChoices.deadTime = config::deadTime;
-    talkChoices.fanout = config::gossipFanout;
-    talkChoices.bytesPerSecond = config::gossipBytesPerSecond;
-    return talkChoices;
+    peer::gossip_settings gossipOptions;
+    gossipOptions.self = selfOf(choices, ownIncarnation);
+    gossipOptions.key = choices.peerKey;
+    gossipOptions.roundTime = choices.gossipTime;
+    gossipOptions.suspectTime = config::suspectTime;
+    gossipOptions.deadTime = config::deadTime;
+    gossipOptions.fanout = config::gossipFanout;
+    gossipOptions.bytesPerSecond = config::gossipBytesPerSecond;
+    return gossipOptions;
 }
 
 peer::gossip_handlers instance::state::gossipHandlers()
 {
     return {[](const std::vector<policy::member> &) {},
-            [this](const peer::rumor &news) { onRumor(news); }};
+            [this](const peer::rumor &rumor) { onRumor(rumor); }};
 }
 
-void instance::state::onRumor(const peer::rumor &news)
+void instance::state::onRumor(const peer::rumor &rumor)
 {
-    if (news.key.starts_with(loadRumorPrefix))
-        loads.onRumor(news);
-    else if (news.key.starts_with(demandRumorPrefix))
-        demand.onRumor(news);
+    if (rumor.key.starts_with(loadRumorPrefix))
+        loadMonitor.onRumor(rumor);
+    else if (rumor.key.starts_with(demandRumorPrefix))
+        demand.onRumor(rumor);
 }
 
-/// Tells the others how far this instance's view is complete. A planner takes that as the promise
-/// that nothing more comes from here for a runner that the view has closed; so a version is told
-/// only once no request decided on an older view is on its way to such a runner.
+/// Announces up to which version this instance's view is complete. A planner relies on it that this
+/// instance sends no more work to runners that the view has closed. So a version is announced only
+/// when no request routed under an older view may still be on its way to such a runner.
 void instance::state::acknowledge()
 {
-    const std::lock_guard lock(acknowledging);
-    // The pair is read together: a confirmation belongs to the version that was confirmed.
+    const std::lock_guard lock(acknowledgeLock);
+    // Both are read together, because a confirmation belongs to the version it confirmed.
     const auto [version, confirmedAt] = sync.progress();
-    if (!ledger.hasWorkOnItsWayToClosed(*views.current()))
-        talk.setApplied(version, confirmedAt);
+    if (!sentWork.hasWorkOnItsWayToClosed(*views.current()))
+        gossip.setApplied(version, confirmedAt);
 }
 
 void instance::state::onRound()
 {
     acknowledge();
-    talk.setOpenStreams(requests.openStreams());
-    demand.tell([this](peer::rumor news) { talk.spread(std::move(news)); });
+    gossip.setOpenStreams(requests.openStreams());
+    demand.tell([this](peer::rumor rumor) { gossip.spread(std::move(rumor)); });
     const policy::view_ptr now = views.current();
     if (now->book)
-        // Never sooner than the longest time limit: an attempt that is forgotten while its claim
-        // stands would burn the key, though it never ran.
+        // Not before the maximum time limit: if an attempt's entry were evicted while its claim is
+        // in force, its idempotency key could never be used again although the attempt never ran.
         answers.forgetOlderThan(std::max(now->book->claimKeepTime, config::maxTimeLimit));
 }
 
-membership_needs instance::state::membershipNeeds()
+membership_needs instance::state::membershipDependencies()
 {
-    membership_needs needs;
-    needs.self = choices.instance;
-    needs.seeds = choices.peerSeeds;
-    needs.roundTime = choices.gossipTime;
-    needs.appliedVersion = [this] { return sync.appliedVersion(); };
-    needs.confirmedAt = [this] { return sync.confirmedAt(); };
-    needs.onRound = [this] { onRound(); };
-    return needs;
+    membership_needs dependencies;
+    dependencies.self = choices.instance;
+    dependencies.seeds = choices.peerSeeds;
+    dependencies.roundTime = choices.gossipTime;
+    dependencies.appliedVersion = [this] { return sync.appliedVersion(); };
+    dependencies.confirmedAt = [this] { return sync.confirmedAt(); };
+    dependencies.onRound = [this] { onRound(); };
+    return dependencies;
 }
 
-sync_needs instance::state::syncNeeds()
+sync_needs instance::state::syncDependencies()
 {
-    sync_needs needs;
-    needs.deployment = choices.deployment;
-    needs.peers = [this] { return members.others(); };
-    needs.askState = [this](const endpoint &to, const peer::watched_ask &question) {
-        return peer::ask<peer::watched_reply>(calls, to, peer::call_kind::WatchedState, question,
+    sync_needs dependencies;
+    dependencies.deployment = choices.deployment;
+    dependencies.peers = [this] { return members.others(); };
+    dependencies.askState = [this](const endpoint &to, const peer::watched_ask &request) {
+        return peer::ask<peer::watched_reply>(calls, to, peer::call_kind::WatchedState, request,
                                               config::peerCallTime);
     };
-    needs.askBody = [this](const endpoint &to, const peer::body_ask &question) {
-        return peer::ask<peer::body_reply>(calls, to, peer::call_kind::Body, question,
+    dependencies.askBody = [this](const endpoint &to, const peer::body_ask &request) {
+        return peer::ask<peer::body_reply>(calls, to, peer::call_kind::Body, request,
                                            config::peerCallTime);
     };
-    needs.isWatcher = [this] { return members.isWatcher(); };
-    needs.onApplied = [this](std::uint64_t, mono_time) { acknowledge(); };
-    return needs;
+    dependencies.isWatcher = [this] { return members.isWatcher(); };
+    dependencies.onApplied = [this](std::uint64_t, mono_time) { acknowledge(); };
+    return dependencies;
 }
 
 std::optional<endpoint> instance::state::batcherOf(std::uint32_t bucket) const
@@ -279,14 +279,14 @@
 }
 
 peer::answer_reply instance::state::answerOf(const instance_id &owner,
-                                             const peer::answer_ask &question)
+                                             const peer::answer_ask &request)
 {
     for (const policy::member &other : members.others()) {
         if (other.id != owner)
             continue;
-        const milliseconds limit = milliseconds(question.waitMs) + config::peerCallTime;
+        const milliseconds limit = milliseconds(request.waitMs) + config::peerCallTime;
         const auto reply = peer::ask<peer::answer_reply>(calls, other.peerAddress,
-                                                         peer::call_kind::Answer, question, limit);
+                                                         peer::call_kind::Answer, request, limit);
         return succeeded(reply) ? valueOf(reply) : peer::answer_reply{};
     }
     return {};
@@ -296,30 +296,30 @@
 {
     claim_peers peers;
     peers.batcherOf = [this](std::uint32_t bucket) { return batcherOf(bucket); };
-    peers.ask = [this](const endpoint &to, const peer::claim_ask &question) {
-        return peer::ask<peer::claim_reply>(calls, to, peer::call_kind::Claim, question,
-                                            milliseconds(question.timeLeftMs));
+    peers.ask = [this](const endpoint &to, const peer::claim_ask &request) {
+        return peer::ask<peer::claim_reply>(calls, to, peer::call_kind::Claim, request,
+                                            milliseconds(request.timeLeftMs));
     };
-    peers.answer = [this](const instance_id &owner, const peer::answer_ask &question) {
-        return answerOf(owner, question);
+    peers.answer = [this](const instance_id &owner, const peer::answer_ask &request) {
+        return answerOf(owner, request);
     };
     return peers;
 }
 
-planner_needs instance::state::plannerNeeds()
+planner_needs instance::state::plannerDependencies()
 {
-    planner_needs needs;
-    needs.self = choices.instance;
-    needs.deployment = choices.deployment;
-    needs.lookTime = choices.planTime;
-    needs.demand = [this](const pool_id &pool) { return demand.since(pool); };
-    needs.appliedEverywhere = [this](std::uint64_t version) {
+    planner_needs dependencies;
+    dependencies.self = choices.instance;
+    dependencies.deployment = choices.deployment;
+    dependencies.lookTime = choices.planTime;
+    dependencies.demand = [this](const pool_id &pool) { return demand.since(pool); };
+    dependencies.appliedEverywhere = [this](std::uint64_t version) {
         return members.appliedEverywhere(version);
     };
-    return needs;
+    return dependencies;
 }
 
-request_needs instance::state::requestNeeds()
+request_needs instance::state::requestDependencies()
 {
     return {choices.instance, choices.zone, choices.maxStreams, [this] { return isClosed.load(); }};
 }
@@ -329,21 +329,22 @@
     using peer::call_kind;
     std::map<call_kind, peer::call_handler> handlers;
     handlers[call_kind::WatchedState] =
-            handlerOf<peer::watched_ask>([this](const peer::watched_ask &question) {
-                return peer::encode(sync.replyTo(question));
+            handlerOf<peer::watched_ask>([this](const peer::watched_ask &request) {
+                return peer::encode(sync.replyTo(request));
             });
     handlers[call_kind::Body] = handlerOf<peer::body_ask>(
-            [this](const peer::body_ask &question) { return encoded(sync.bodyFor(question)); });
-    handlers[call_kind::Claim] =
-            handlerOf<peer::claim_ask>([this](const peer::claim_ask &question) {
-                const mono_time deadline = clock.mono() + milliseconds(question.timeLeftMs);
-                return encoded(claims.decide(question, deadline));
+            [this](const peer::body_ask &request) { return encoded(sync.bodyFor(request)); });
+    handlers[call_kind::Claim] = handlerOf<peer::claim_ask>([this](const peer::claim_ask &request) {
+        const mono_time deadline = clock.mono() + milliseconds(request.timeLeftMs);
+        return encoded(claims.decide(request, deadline));
+    });
+    handlers[call_kind::Answer] =
+            handlerOf<peer::answer_ask>([this](const peer::answer_ask &request) {
+                return peer::encode(answers.find(request));
             });
-    handlers[call_kind::Answer] = handlerOf<peer::answer_ask>(
-            [this](const peer::answer_ask &ask) { return peer::encode(answers.find(ask)); });
     handlers[call_kind::Events] =
-            handlerOf<peer::events_ask>([this](const peer::events_ask &question) {
-                return peer::encode(peer::events_reply{events.events(question.filter)});
+            handlerOf<peer::events_ask>([this](const peer::events_ask &request) {
+                return peer::encode(peer::events_reply{events.events(request.filter)});
             });
     return handlers;
 }
@@ -355,11 +356,10 @@
         return requests.addresses(zone);
     };
     handlers.models = [this](const caller::request_head &head) { return requests.models(head); };
-    handlers.complete = [this](const caller::completion_ask &ask, caller::completion_sink &sink) {
-        requests.complete(ask, sink);
-    };
-    handlers.callService = [this](const caller::service_ask &ask, http_sink &sink) {
-        return requests.callService(ask, sink);
+    handlers.complete = [this](const caller::completion_ask &request,
+                               caller::completion_sink &sink) { requests.complete(request, sink); };
+    handlers.callService = [this](const caller::service_ask &call, http_sink &sink) {
+        return requests.callService(call, sink);
     };
     return handlers;
 }
@@ -396,7 +396,7 @@
     return handlers;
 }
 
-void instance::state::leaveLoop()
+void instance::state::shutdownLoop()
 {
     const policy::view_ptr now = views.current();
     const milliseconds keep = now->book ? milliseconds(now->book->addressKeepTime)
@@ -404,7 +404,7 @@
     const mono_time graceEnd = clock.mono() + std::max(choices.leaveGrace, keep);
     const mono_time bound = clock.mono() + choices.leaveBound;
     std::unique_lock lock(guard);
-    // Callers may hold this instance's address for the keep time: it serves new requests until
+    // Callers may cache this instance's address for addressKeepTime; new requests are served until
     // then.
     while (clock.mono() < graceEnd)
         wake.wait_for(lock, config::gossipTime);
@@ -423,12 +423,12 @@
 {
     callerServer.stop();
     plans.stop();
-    loads.stop();
+    loadMonitor.stop();
     platformPool->stop();
     sync.stop();
     claims.stop();
     members.stop();
-    talk.stop();
+    gossip.stop();
     calls.stop();
     callServer.stop();
     operatorServer.stop();
@@ -438,8 +438,8 @@
 
 instance::~instance()
 {
-    if (inner->leaver.joinable())
-        inner->leaver.join();
+    if (inner->shutdownThread.joinable())
+        inner->shutdownThread.join();
 }
 
 result<unit> instance::start()
@@ -452,21 +452,22 @@
         if (!succeeded(bound))
             return errorOf(bound);
     }
-    result<unit> talking = inner->talk.start();
-    if (!succeeded(talking))
-        return talking;
+    result<unit> gossipStarted = inner->gossip.start();
+    if (!succeeded(gossipStarted))
+        return gossipStarted;
     inner->members.start();
     inner->sync.start();
-    inner->loads.start();
+    inner->loadMonitor.start();
     inner->plans.start();
-    inner->events.emit("started",
-                       {{"life", std::to_string(inner->life)}, {"zone", inner->choices.zone.text}});
+    inner->events.emit(
+            "started",
+            {{"life", std::to_string(inner->ownIncarnation)}, {"zone", inner->choices.zone.text}});
     return unit{};
 }
 
 void instance::noteReload()
 {
-    inner->events.emit("reload_ignored", {{"reason", "settings are read at the start only"}});
+    inner->events.emit("reload_ignored", {{"reason", "settings are read at start only"}});
 }
 
 void instance::leave()
@@ -476,8 +477,8 @@
         return;
     inner->isLeaving = true;
     inner->events.emit("leaving");
-    inner->talk.setLeaving();
-    inner->leaver = std::thread([this] { inner->leaveLoop(); });
+    inner->gossip.setLeaving();
+    inner->shutdownThread = std::thread([this] { inner->shutdownLoop(); });
 }
 
 void instance::wait()
--- a/src/node/load_watch.cpp
+++ b/src/node/load_watch.cpp
@@ -12,8 +12,8 @@
 
 using json = nlohmann::json;
 
-/// @returns Whether this instance polls that runner: the highest rendezvous weight among the live
-///          instances of its zone, or among all where its zone has none.
+/// @returns Whether this instance polls that runner: it has the highest rendezvous weight among the
+///          live instances of the runner's zone, or among all if the zone has none.
 bool isPollerOf(const policy::view &now, const instance_id &self, const policy::runner_spec &spec)
 {
     const policy::member *owner = policy::ownerOf(now.members, "poll/" + spec.id.text, spec.zone);
@@ -53,7 +53,7 @@
         load.report.sequence = parsed.at(2).get<std::uint64_t>();
         const int role = parsed.at(3).get<int>();
         if (role < 0 || role > static_cast<int>(policy::engine_role::Decode))
-            return notRun(error_code::Broken, "load rumor names no role");
+            return notRun(error_code::Broken, "load rumor has an unknown role");
         load.report.role = static_cast<policy::engine_role>(role);
         load.report.isChanging = parsed.at(4).get<bool>();
         load.report.running = parsed.at(5).get<std::uint32_t>();
@@ -71,12 +71,12 @@
     }
 }
 
-load_watch::load_watch(load_watch_needs needs, view_hub &views, work_ledger &ledger,
+load_watch::load_watch(load_watch_needs dependencies, view_hub &views, work_ledger &sentWork,
                        runner::engine_api engines, runner::service_api services, clock_source clock,
                        metrics_registry &metrics, journal &events)
-    : needs(std::move(needs)), views(views), ledger(ledger), engines(std::move(engines)),
-      services(std::move(services)), clock(std::move(clock)), events(events),
-      polls(metrics.counterOf("poplarspool_runner_polls_total"))
+    : dependencies(std::move(dependencies)), views(views), sentWork(sentWork),
+      engines(std::move(engines)), services(std::move(services)), clock(std::move(clock)),
+      events(events), polls(metrics.counterOf("poplarspool_runner_polls_total"))
 { }
 
 load_watch::~load_watch()
@@ -100,14 +100,14 @@
         poller.join();
 }
 
-void load_watch::onRumor(const peer::rumor &news)
+void load_watch::onRumor(const peer::rumor &rumor)
 {
-    const auto load = parseHeardLoad(news.payload);
+    const auto load = parseHeardLoad(rumor.payload);
     if (!succeeded(load))
         return;
-    const runner_id runner{news.key.substr(loadRumorPrefix.size())};
+    const runner_id runner{rumor.key.substr(loadRumorPrefix.size())};
     const std::lock_guard lock(guard);
-    heard[runner] = {valueOf(load), clock.mono()};
+    received[runner] = {valueOf(load), clock.mono()};
 }
 
 void load_watch::loop()
@@ -116,7 +116,7 @@
         pollAll();
         publish();
         std::unique_lock lock(guard);
-        wake.wait_for(lock, needs.pollTime, [this] { return isStopping; });
+        wake.wait_for(lock, dependencies.pollTime, [this] { return isStopping; });
         if (isStopping)
             return;
     }
@@ -128,7 +128,7 @@
     if (!now->fleet)
         return;
     for (std::size_t i = 0; i < now->fleet->runners.size(); ++i) {
-        if (isPollerOf(*now, needs.self, now->fleet->runners[i]))
+        if (isPollerOf(*now, dependencies.self, now->fleet->runners[i]))
             pollOne(*now, i);
     }
 }
@@ -140,62 +140,64 @@
     const bool isEngine = pool && pool->kind == policy::runner_kind::Engine;
     polls.add();
     const auto report = isEngine ? engines.load(spec.address) : services.load(spec.address);
-    polled &memory = mine[spec.id];
-    memory.failures = succeeded(report) ? 0 : memory.failures + 1;
-    heard_load load = memory.told;
+    poll_state &state = pollStates[spec.id];
+    state.failures = succeeded(report) ? 0 : state.failures + 1;
+    heard_load load = state.announced;
     if (succeeded(report))
         load = {true, valueOf(report)};
-    else if (memory.failures >= config::pollFailuresToDown)
+    else if (state.failures >= config::pollFailuresToDown)
         load.isUp = false;
     else
         return;
     {
         const std::lock_guard lock(guard);
-        heard[spec.id] = {load, clock.mono()};
+        received[spec.id] = {load, clock.mono()};
     }
-    tell(spec.id, load);
+    announce(spec.id, load);
 }
 
-/// Spreads what has changed, at most once in loadSpreadTime: gossip has room for little more, and
-/// beyond it every rumor grows old. What takes a runner out of service, or back, goes at once.
-void load_watch::tell(const runner_id &runner, const heard_load &load)
+/// Spreads changed load, at most once in loadSpreadTime: gossip has little bandwidth beyond that,
+/// and rumors above it would all be delayed. Changes that take a runner out of service, or back
+/// into it, are spread at once.
+void load_watch::announce(const runner_id &runner, const heard_load &load)
 {
-    polled &memory = mine[runner];
-    heard_load same = load;
-    same.report.sequence = memory.told.report.sequence;
+    poll_state &state = pollStates[runner];
+    heard_load withSameSequence = load;
+    withSameSequence.report.sequence = state.announced.report.sequence;
     const mono_time now = clock.mono();
-    const milliseconds age = std::chrono::duration_cast<milliseconds>(now - memory.toldAt);
-    const bool isUrgent = load.isUp != memory.told.isUp
-            || load.report.isChanging != memory.told.report.isChanging
-            || load.report.life != memory.told.report.life;
-    const milliseconds pause = same == memory.told ? config::loadRenewTime : config::loadSpreadTime;
+    const milliseconds age = std::chrono::duration_cast<milliseconds>(now - state.announcedAt);
+    const bool isUrgent = load.isUp != state.announced.isUp
+            || load.report.isChanging != state.announced.report.isChanging
+            || load.report.life != state.announced.report.life;
+    const milliseconds pause =
+            withSameSequence == state.announced ? config::loadRenewTime : config::loadSpreadTime;
     if (!isUrgent && age < pause)
         return;
-    if (load.isUp != memory.told.isUp)
+    if (load.isUp != state.announced.isUp)
         events.emit(load.isUp ? "runner_up" : "runner_down", {{"runner", runner.text}});
-    memory.told = load;
-    memory.toldAt = now;
+    state.announced = load;
+    state.announcedAt = now;
     const auto version = static_cast<std::uint64_t>(clock.wall().time_since_epoch().count());
-    needs.spread({std::string(loadRumorPrefix) + runner.text, version, textOf(load)});
+    dependencies.spread({std::string(loadRumorPrefix) + runner.text, version, textOf(load)});
 }
 
 void load_watch::publish()
 {
-    std::map<runner_id, std::pair<heard_load, mono_time>> news;
+    std::map<runner_id, std::pair<heard_load, mono_time>> updates;
     {
         const std::lock_guard lock(guard);
-        news.swap(heard);
+        updates.swap(received);
     }
-    if (news.empty())
+    if (updates.empty())
         return;
     const policy::view_ptr after = views.update([&](policy::view &draft) {
         if (!draft.fleet)
             return false;
-        for (const auto &[runner, entry] : news) {
-            const runner_handle place = policy::findRunner(*draft.fleet, runner);
-            if (!place.isValid())
+        for (const auto &[runner, entry] : updates) {
+            const runner_handle handle = policy::findRunner(*draft.fleet, runner);
+            if (!handle.isValid())
                 continue;
-            policy::runner_state &state = draft.runners[place.index];
+            policy::runner_state &state = draft.runners[handle.index];
             state.health =
                     entry.first.isUp ? policy::runner_health::Up : policy::runner_health::Down;
             state.report = entry.first.report;
@@ -205,10 +207,10 @@
     });
     if (!after->fleet)
         return;
-    for (const auto &[runner, entry] : news) {
-        const runner_handle place = policy::findRunner(*after->fleet, runner);
-        if (place.isValid())
-            ledger.onReport(*after, place);
+    for (const auto &[runner, entry] : updates) {
+        const runner_handle handle = policy::findRunner(*after->fleet, runner);
+        if (handle.isValid())
+            sentWork.onReport(*after, handle);
     }
 }
 
--- a/src/node/load_watch.h
+++ b/src/node/load_watch.h
@@ -17,12 +17,13 @@
 #include <thread>
 #include <vector>
 
-/// Learns how busy the runners are: one instance per runner polls it, and tells the others by
-/// rumor. Which one, is settled by rendezvous hashing in the runner's availability zone; two that
-/// both think so only poll twice.
+/// Tracks the load of the runners. One instance polls each runner and sends the load to the others
+/// as a rumor. It is selected by rendezvous hashing among the instances of the runner's
+/// availability zone; if two instances both consider themselves selected, the runner is polled
+/// twice, which is harmless.
 namespace poplarspool::node {
 
-/// Load of a runner as a rumor's payload.
+/// Load of a runner, as sent in a rumor's payload.
 struct heard_load
 {
     bool isUp = false;
@@ -44,43 +45,44 @@
 class load_watch
 {
 public:
-    load_watch(load_watch_needs needs, view_hub &views, work_ledger &ledger,
+    load_watch(load_watch_needs dependencies, view_hub &views, work_ledger &sentWork,
                runner::engine_api engines, runner::service_api services, clock_source clock,
                metrics_registry &metrics, journal &events);
     ~load_watch();
     void start();
     void stop();
 
-    /// A rumor whose key begins with loadRumorPrefix.
-    void onRumor(const peer::rumor &news);
+    /// Stores the load from a rumor whose key begins with loadRumorPrefix.
+    void onRumor(const peer::rumor &rumor);
 
 private:
-    struct polled
+    struct poll_state
     {
-        heard_load told; ///< What was last spread.
-        mono_time toldAt{};
+        heard_load announced; ///< The load last spread by gossip.
+        mono_time announcedAt{};
         std::uint32_t failures = 0;
     };
 
     void loop();
     void pollAll();
     void pollOne(const policy::view &now, std::size_t index);
-    void tell(const runner_id &runner, const heard_load &load);
+    void announce(const runner_id &runner, const heard_load &load);
     void publish();
 
-    load_watch_needs needs;
+    load_watch_needs dependencies;
     view_hub &views;
-    work_ledger &ledger;
+    work_ledger &sentWork;
     runner::engine_api engines;
     runner::service_api services;
     clock_source clock;
     journal &events;
     counter &polls;
 
-    std::map<runner_id, polled> mine;
+    std::map<runner_id, poll_state> pollStates;
     std::mutex guard;
     std::condition_variable wake;
-    std::map<runner_id, std::pair<heard_load, mono_time>> heard; ///< Not published yet.
+    std::map<runner_id, std::pair<heard_load, mono_time>>
+            received; ///< Received, not yet published in a view.
     bool isStopping = false;
     std::thread poller;
 };
--- a/src/node/membership.cpp
+++ b/src/node/membership.cpp
@@ -7,9 +7,10 @@
 
 namespace poplarspool::node {
 
-membership::membership(membership_needs needs, peer::gossip &talk, platform::instance_list list,
-                       view_hub &views, clock_source clock, journal &events)
-    : needs(std::move(needs)), talk(talk), list(std::move(list)), views(views),
+membership::membership(membership_needs dependencies, peer::gossip &gossip,
+                       platform::instance_list list, view_hub &views, clock_source clock,
+                       journal &events)
+    : dependencies(std::move(dependencies)), gossip(gossip), list(std::move(list)), views(views),
       clock(std::move(clock)), events(events)
 { }
 
@@ -20,7 +21,7 @@
 
 void membership::start()
 {
-    talk.setContacts(needs.seeds);
+    gossip.setContacts(dependencies.seeds);
     worker = std::thread([this] { loop(); });
 }
 
@@ -37,8 +38,9 @@
 
 std::vector<policy::member> membership::others() const
 {
-    std::vector<policy::member> all = talk.members();
-    std::erase_if(all, [this](const policy::member &other) { return other.id == needs.self; });
+    std::vector<policy::member> all = gossip.members();
+    std::erase_if(all,
+                  [this](const policy::member &other) { return other.id == dependencies.self; });
     return all;
 }
 
@@ -46,26 +48,26 @@
 {
     const mono_time now = clock.mono();
     const std::lock_guard lock(guard);
-    std::erase_if(askedSince, [&](const auto &entry) {
+    std::erase_if(firstQueriedAt, [&](const auto &entry) {
         return entry.first != version && now - entry.second > config::departedTime;
     });
-    const mono_time since = askedSince.try_emplace(version, now).first->second;
+    const mono_time since = firstQueriedAt.try_emplace(version, now).first->second;
     acknowledgements known;
     known.version = version;
     known.sinceAsked = std::chrono::duration_cast<milliseconds>(now - since);
-    known.members = talk.members();
+    known.members = gossip.members();
     known.listed = listed;
     known.departed = departed(known.members);
     return isAppliedEverywhere(known);
 }
 
-void membership::remember(const std::vector<policy::member> &present)
+void membership::recordMembers(const std::vector<policy::member> &present)
 {
     const mono_time now = clock.mono();
     const std::lock_guard lock(guard);
     for (const policy::member &other : present)
-        sightings[other.id] = {other.appliedVersion, now};
-    std::erase_if(sightings, [&](const auto &entry) {
+        lastSeen[other.id] = {other.appliedVersion, now};
+    std::erase_if(lastSeen, [&](const auto &entry) {
         return now - entry.second.seenAt > config::departedTime;
     });
 }
@@ -73,7 +75,7 @@
 std::vector<departed_member> membership::departed(const std::vector<policy::member> &present) const
 {
     std::vector<departed_member> gone;
-    for (const auto &[id, last] : sightings) {
+    for (const auto &[id, last] : lastSeen) {
         const auto isSame = [&id = id](const policy::member &other) { return other.id == id; };
         if (std::none_of(present.begin(), present.end(), isSame))
             gone.push_back({id, last.appliedVersion});
@@ -83,13 +85,13 @@
 
 bool membership::isWatcher() const
 {
-    const std::vector<policy::member> all = talk.members();
+    const std::vector<policy::member> all = gossip.members();
     const auto self = std::find_if(all.begin(), all.end(), [this](const policy::member &other) {
-        return other.id == needs.self;
+        return other.id == dependencies.self;
     });
     if (self == all.end())
         return true;
-    const std::uint64_t own = rendezvousWeight(needs.self.text, "watch");
+    const std::uint64_t own = rendezvousWeight(dependencies.self.text, "watch");
     const auto before = std::count_if(all.begin(), all.end(), [&](const policy::member &other) {
         return other.state == policy::member_state::Alive && other.zone == self->zone
                 && rendezvousWeight(other.id.text, "watch") > own;
@@ -102,9 +104,9 @@
     for (;;) {
         fetchList();
         publish();
-        needs.onRound();
+        dependencies.onRound();
         std::unique_lock lock(guard);
-        wake.wait_for(lock, needs.roundTime, [this] { return isStopping; });
+        wake.wait_for(lock, dependencies.roundTime, [this] { return isStopping; });
         if (isStopping)
             return;
     }
@@ -113,22 +115,22 @@
 void membership::fetchList()
 {
     const mono_time now = clock.mono();
-    if (hasAsked && now - listAskedAt < config::instanceListPollTime)
+    if (hasFetched && now - listFetchedAt < config::instanceListPollTime)
         return;
-    hasAsked = true;
-    listAskedAt = now;
+    hasFetched = true;
+    listFetchedAt = now;
     const auto answer = list.fetch();
     if (!succeeded(answer))
         return;
-    std::vector<endpoint> contacts = needs.seeds;
+    std::vector<endpoint> contacts = dependencies.seeds;
     std::vector<instance_id> leaving;
     for (const platform::listed_instance &entry : valueOf(answer)) {
         contacts.push_back(entry.peerAddress);
         if (entry.isLeaving)
             leaving.push_back(entry.id);
     }
-    talk.setContacts(std::move(contacts));
-    talk.setListedLeaving(std::move(leaving));
+    gossip.setContacts(std::move(contacts));
+    gossip.setListedLeaving(std::move(leaving));
     const std::lock_guard lock(guard);
     listed = valueOf(answer);
 }
@@ -137,15 +139,15 @@
 {
     freshness_facts facts;
     facts.now = clock.mono();
-    facts.confirmedAt = needs.confirmedAt();
-    facts.appliedVersion = needs.appliedVersion();
-    facts.self = needs.self;
-    facts.members = talk.members();
+    facts.confirmedAt = dependencies.confirmedAt();
+    facts.appliedVersion = dependencies.appliedVersion();
+    facts.self = dependencies.self;
+    facts.members = gossip.members();
     {
         const std::lock_guard lock(guard);
         facts.listed = listed;
     }
-    remember(facts.members);
+    recordMembers(facts.members);
     const mono_time until = freshUntil(facts);
     const bool isFreshNow = facts.now < until;
     if (isFreshNow != wasFresh)
--- a/src/node/membership.h
+++ b/src/node/membership.h
@@ -13,7 +13,8 @@
 #include <thread>
 #include <vector>
 
-/// Joins gossip with the platform's lagging list, and publishes members and freshness in the view.
+/// Combines gossip with the platform's instance list, which lags behind, and publishes members and
+/// freshness in the view.
 namespace poplarspool::node {
 
 struct membership_needs
@@ -23,20 +24,20 @@
     milliseconds roundTime;
     std::function<std::uint64_t()> appliedVersion;
     std::function<mono_time()> confirmedAt;
-    /// Called once a round, for what is to be told regularly.
+    /// Called once per iteration, for periodic announcements.
     std::function<void()> onRound;
 };
 
 class membership
 {
 public:
-    membership(membership_needs needs, peer::gossip &talk, platform::instance_list list,
+    membership(membership_needs dependencies, peer::gossip &gossip, platform::instance_list list,
                view_hub &views, clock_source clock, journal &events);
     ~membership();
     void start();
     void stop();
 
-    /// @returns All members but the dead and this instance.
+    /// @returns All members except dead ones and this instance.
     std::vector<policy::member> others() const;
     bool appliedEverywhere(std::uint64_t version);
     /// @returns Whether this instance is one of those in its zone that watch the store.
@@ -46,17 +47,17 @@
     void loop();
     void fetchList();
     void publish();
-    void remember(const std::vector<policy::member> &present);
+    void recordMembers(const std::vector<policy::member> &present);
     std::vector<departed_member> departed(const std::vector<policy::member> &present) const;
 
-    struct sighting
+    struct observation
     {
         std::uint64_t appliedVersion = 0;
         mono_time seenAt{};
     };
 
-    membership_needs needs;
-    peer::gossip &talk;
+    membership_needs dependencies;
+    peer::gossip &gossip;
     platform::instance_list list;
     view_hub &views;
     clock_source clock;
@@ -65,11 +66,11 @@
     mutable std::mutex guard;
     std::condition_variable wake;
     std::vector<platform::listed_instance> listed;
-    std::map<instance_id, sighting> sightings;
-    std::map<std::uint64_t, mono_time> askedSince; ///< By version, when it was first asked for.
-    mono_time listAskedAt{};
-    bool hasAsked = false;
-    bool wasFresh = false; ///< At the last look; of the worker alone.
+    std::map<instance_id, observation> lastSeen;
+    std::map<std::uint64_t, mono_time> firstQueriedAt; ///< By version: when it was first queried.
+    mono_time listFetchedAt{};
+    bool hasFetched = false;
+    bool wasFresh = false; ///< In the previous iteration; used by the worker thread only.
     bool isStopping = false;
     std::thread worker;
 };
--- a/src/node/order_guard.cpp
+++ b/src/node/order_guard.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-// Read in a signal handler: needs no construction, so that the handler never allocates.
+// Read in a signal handler: constant initialization keeps the handler from allocating.
 constinit thread_local order_guard *guardOfThread = nullptr;
 
 int guardSignal()
@@ -71,7 +71,7 @@
     });
     guardOfThread = this;
     unblockSignal();
-    // Without its timer the guard guards nothing: then nothing may be sent.
+    // Without a timer the send can't be bounded, so nothing may be sent.
     hasTimer = startTimer(end);
     if (!hasTimer)
         ended = true;
@@ -105,11 +105,11 @@
     return false;
 }
 
-/// @attention Runs in the handler of a signal; may come at any point of its own thread.
+/// @attention Runs in a signal handler, which may interrupt its thread at any point.
 void order_guard::onSignal(int /*signal*/, siginfo_t *info, void * /*context*/)
 {
     const int savedErrno = errno;
-    // One that was on its way when its guard was destroyed must not end the next one.
+    // A signal still pending when its guard was destroyed must not end the next guard.
     if (guardOfThread != nullptr && info->si_value.sival_ptr == guardOfThread) {
         guardOfThread->ended = true;
         guardOfThread->abortConnection();
@@ -117,9 +117,9 @@
     errno = savedErrno;
 }
 
-// Connecting to "no address" aborts a TCP connection at once: what is queued is dropped, a reset
-// goes out and a later send fails. The descriptor stays open, so that the thread, which goes on
-// using its number, can't hit a connection that got the same number meanwhile.
+// Connecting with AF_UNSPEC aborts a TCP connection at once: queued data is dropped, a reset is
+// sent and later sends fail. The descriptor stays open, because the interrupted thread continues to
+// use its number and must not hit another connection that was given the same number.
 void order_guard::abortConnection()
 {
     const int socket = connection.load();
@@ -135,7 +135,7 @@
     abortOnClose(socket);
     boundDelivery(socket);
     connection = socket;
-    // After the store above: a signal between the two finds the connection itself.
+    // Checked after the store above: a signal between the two aborts the connection itself.
     if (!ended)
         return true;
     abortConnection();
--- a/src/node/order_guard.h
+++ b/src/node/order_guard.h
@@ -8,32 +8,33 @@
 
 namespace poplarspool::node {
 
-/// Ends what the thread that made it may send, at a point in time, whatever the thread is doing.
+/// Aborts the calling thread's connection at a given time, whatever the thread is doing.
 ///
-/// A check of the time before a send leaves a hole: the process can be stopped after the check and
-/// send when it is woken, long after its authority has lapsed. A timer on CLOCK_BOOTTIME is aimed
-/// at this very thread, so that its signal is handled before the thread runs on: the handler
-/// aborts the connection that was adopted. It is aborted, not shut down, because bytes that are
-/// already queued still leave after a shutdown.
+/// Checking the time before a send is not enough: the process can be stopped after the check and
+/// send when it is resumed, long after its authority to send has expired. Therefore a
+/// CLOCK_BOOTTIME timer signals the thread itself, so that the signal handler runs before the
+/// thread continues; the handler aborts the adopted connection. The connection is aborted rather
+/// than shut down, because bytes already queued are still sent after a shutdown.
 ///
-/// @attention For the thread that makes it only, one at a time. What has left the machine can still
-///            arrive: TCP_USER_TIMEOUT bounds for how long TCP tries to deliver it.
+/// @attention Only for the thread that creates it; one per thread at a time. Bytes that have left
+///            the machine can still arrive; TCP_USER_TIMEOUT limits for how long TCP tries to
+///            deliver them.
 class order_guard
 {
 public:
-    /// @param end On the machine's monotonic clock, systemClock().
+    /// @param end Time on systemClock(), the machine's monotonic clock.
     explicit order_guard(mono_time end);
     ~order_guard();
     order_guard(const order_guard &) = delete;
     order_guard &operator=(const order_guard &) = delete;
 
-    /// @returns The guard of the calling thread; nullptr where there is none.
+    /// @returns The guard of the calling thread; nullptr if there is none.
     static order_guard *current();
 
-    /// Puts a connection under the guard and bounds its delivery.
-    /// @returns False where the time is over: nothing may be sent.
+    /// Guards a connection and limits the time for its delivery.
+    /// @returns False if the end has passed: nothing may be sent.
     bool adopt(int socket);
-    /// Has to come before the connection is closed.
+    /// Must be called before the connection is closed.
     void release();
     bool hasEnded() const { return ended.load(); }
 
--- a/src/node/order_sender.cpp
+++ b/src/node/order_sender.cpp
@@ -15,9 +15,9 @@
 
 constexpr int statusOk = 200;
 
-/// Keeps a connection under the guard until the call has ended, however it ends. The guard gets a
-/// descriptor of its own: the call closes its one by itself, and its number may at once belong to
-/// another thread's connection, which the guard would then abort.
+/// Guards a connection until the call has ended, however it ends. The guard uses a duplicate of the
+/// descriptor: the call closes its own, whose number may at once be reused for another thread's
+/// connection, which the guard would then abort.
 class guarded_connection
 {
 public:
@@ -38,7 +38,7 @@
 
 error windowOver()
 {
-    return notRun(error_code::TimedOut, "order's window is over");
+    return notRun(error_code::TimedOut, "order not sent: its send window has ended");
 }
 
 http_request orderRequest(const runner::engine_order &order)
@@ -52,7 +52,7 @@
     return request;
 }
 
-/// Reads the body of the reply to an order, which is short.
+/// Collects the body of the reply to an order, up to config::maxTargetErrorBytes.
 class short_body
 {
 public:
@@ -72,7 +72,7 @@
 {
     order_guard *guard = order_guard::current();
     if (guard == nullptr)
-        return notRun(error_code::Internal, "an order needs the guard of its window");
+        return notRun(error_code::Internal, "order not sent: the thread has no order_guard");
     const raised_flag neverStopped;
     const socket_deadline deadline = socket_clock::now() + timeLimit;
     const socket_deadline connectEnd = socket_clock::now() + config::connectTime;
--- a/src/node/order_writer.cpp
+++ b/src/node/order_writer.cpp
@@ -30,9 +30,9 @@
     return sha256Hex(textOf(order));
 }
 
-order_writer::order_writer(order_tools &tools, runner_id runner)
-    : tools(tools), runner(std::move(runner)),
-      key(operators::orderKey(tools.deployment, this->runner.text))
+order_writer::order_writer(order_tools &context, runner_id runner)
+    : context(context), runner(std::move(runner)),
+      key(operators::orderKey(context.deployment, this->runner.text))
 {
     present.runner = this->runner;
 }
@@ -48,14 +48,14 @@
     const bool isOwn = window && window->nonce == record.nonce;
     if (!isOwn) {
         window.reset();
-        drainBegan.reset();
+        drainStartedAt.reset();
         idle.reset();
     }
     if (!isSameOrder)
         sent.reset();
     // Another's window is counted from before its write, so before this first sight of it.
     if (!isOwn && record.phase == order_phase::Open)
-        unsafeUntil = tools.clock.mono() + config::orderWindow + config::orderMargin;
+        inFlightUntil = context.clock.mono() + config::orderWindow + config::orderMargin;
     if (record.phase != order_phase::Settled)
         emit("order_found");
 }
@@ -67,20 +67,21 @@
 
 void order_writer::emit(std::string_view event)
 {
-    tools.metrics.counterOf("poplarspool_orders_total{event=\"" + std::string(event) + "\"}").add();
-    tools.events.emit(event,
-                      {{"runner", runner.text},
-                       {"fence", std::to_string(present.fence)},
-                       {"role", std::string(policy::nameOf(present.wanted.role))},
-                       {"version", std::to_string(presentVersion)}});
+    context.metrics.counterOf("poplarspool_orders_total{event=\"" + std::string(event) + "\"}")
+            .add();
+    context.events.emit(event,
+                        {{"runner", runner.text},
+                         {"fence", std::to_string(present.fence)},
+                         {"role", std::string(policy::nameOf(present.wanted.role))},
+                         {"version", std::to_string(presentVersion)}});
 }
 
 bool order_writer::writeRecord(order_record next)
 {
-    next.writer = tools.self;
-    next.wallMs = tools.clock.wall().time_since_epoch().count();
-    const auto deadline = tools.clock.mono() + config::storeCallTime;
-    const auto version = tools.store.put(key, textOf(next), presentVersion, deadline);
+    next.writer = context.self;
+    next.wallMs = context.clock.wall().time_since_epoch().count();
+    const auto deadline = context.clock.mono() + config::storeCallTime;
+    const auto version = context.store.put(key, textOf(next), presentVersion, deadline);
     if (succeeded(version)) {
         present = std::move(next);
         presentVersion = valueOf(version);
@@ -105,16 +106,16 @@
     for (const policy::model_version &each : wanted.models) {
         if (contains(seen.models, each))
             continue;
-        const auto manifest = tools.weights.manifest(each.model, each.version);
+        const auto manifest = context.weights.manifest(each.model, each.version);
         if (succeeded(manifest))
             continue;
         const auto wait = errorOf(manifest).retryAfter.value_or(config::orderHoldTime);
-        holdUntil = tools.clock.mono() + wait;
-        tools.events.emit("order_weights_missing",
-                          {{"runner", runner.text},
-                           {"model", each.model},
-                           {"version", each.version},
-                           {"code", std::string(nameOf(errorOf(manifest).code))}});
+        backoffUntil = context.clock.mono() + wait;
+        context.events.emit("order_weights_missing",
+                            {{"runner", runner.text},
+                             {"model", each.model},
+                             {"version", each.version},
+                             {"code", std::string(nameOf(errorOf(manifest).code))}});
         return false;
     }
     return true;
@@ -124,7 +125,7 @@
 // waited drained for it would be lost to callers meanwhile.
 bool order_writer::mayBegin(const policy::wanted_engine &wanted, const policy::load_report &seen)
 {
-    return known && !isBusy() && tools.clock.mono() >= holdUntil && hasWeights(wanted, seen);
+    return known && !isBusy() && context.clock.mono() >= backoffUntil && hasWeights(wanted, seen);
 }
 
 void order_writer::begin(const policy::wanted_engine &wanted, const policy::load_report &seen)
@@ -132,14 +133,14 @@
     if (!mayBegin(wanted, seen))
         return;
     order_record next = present;
-    next.fence = std::max({present.fence, seen.lastFence, fenceFloor}) + 1;
+    next.fence = std::max({present.fence, seen.lastFence, highestSeenFence}) + 1;
     next.phase = order_phase::Draining;
     next.wanted = wanted;
     next.nonce = randomHex128();
     window.reset();
     sent.reset();
     idle.reset();
-    drainBegan.reset();
+    drainStartedAt.reset();
     if (writeRecord(std::move(next)))
         emit("order_draining");
 }
@@ -160,41 +161,41 @@
 // lag has nothing left.
 bool order_writer::isIdle(const policy::runner_spec &spec)
 {
-    const std::optional<idle_sight> before = std::exchange(idle, std::nullopt);
-    if (!tools.appliedEverywhere(presentVersion))
+    const std::optional<idle_observation> before = std::exchange(idle, std::nullopt);
+    if (!context.appliedEverywhere(presentVersion))
         return false;
-    const auto report = tools.load(spec.address);
+    const auto report = context.load(spec.address);
     if (!succeeded(report))
         return false;
     const policy::load_report &seen = valueOf(report);
     if (seen.running != 0 || seen.queued != 0 || seen.isChanging)
         return false;
-    const mono_time now = tools.clock.mono();
-    const bool goesOn = before && before->life == seen.life;
-    idle = goesOn ? *before : idle_sight{seen.life, now};
+    const mono_time now = context.clock.mono();
+    const bool isContinued = before && before->engineIncarnation == seen.life;
+    idle = isContinued ? *before : idle_observation{seen.life, now};
     return now - idle->since >= config::orderIdleTime;
 }
 
 void order_writer::stepDraining(const policy::runner_spec &spec, milliseconds drainTime)
 {
-    const mono_time now = tools.clock.mono();
-    if (!drainBegan)
-        drainBegan = now;
+    const mono_time now = context.clock.mono();
+    if (!drainStartedAt)
+        drainStartedAt = now;
     if (isIdle(spec)) {
         openWindow();
         return;
     }
-    if (now - *drainBegan < drainTime)
+    if (now - *drainStartedAt < drainTime)
         return;
     // Nothing was sent under this number, and nothing will be: Open is written only on top of the
     // version that this write replaces.
-    holdUntil = now + config::orderHoldTime;
+    backoffUntil = now + config::orderHoldTime;
     settle("order_withdrawn");
 }
 
 bool order_writer::hasWindow() const
 {
-    return window && window->nonce == present.nonce && tools.clock.mono() < window->end;
+    return window && window->nonce == present.nonce && context.clock.mono() < window->end;
 }
 
 /// Writes Open, for the first time or to get a new window for the same order.
@@ -204,14 +205,14 @@
     next.phase = order_phase::Open;
     next.nonce = randomHex128();
     // Counted from before the write: whoever sees the record can only see it later.
-    window = send_window{next.nonce, tools.clock.mono() + config::orderWindow};
+    window = send_window{next.nonce, context.clock.mono() + config::orderWindow};
     if (!writeRecord(std::move(next)))
         return false;
     emit("order_open");
     return true;
 }
 
-bool order_writer::hasReached(const policy::runner_spec &spec,
+bool order_writer::hasApplied(const policy::runner_spec &spec,
                               const policy::load_report &report) const
 {
     const bool knowsFence = !spec.checksFence || report.lastFence >= present.fence;
@@ -225,29 +226,29 @@
 bool order_writer::isSendDue(const policy::load_report &report) const
 {
     // A crash in the middle of a change loses the order: the new life gets it again.
-    if (!sent || report.life != sent->life)
+    if (!sent || report.life != sent->engineIncarnation)
         return true;
-    return !report.isChanging && tools.clock.mono() - sent->at >= config::orderResendTime;
+    return !report.isChanging && context.clock.mono() - sent->at >= config::orderResendTime;
 }
 
 void order_writer::stepOpen(const policy::runner_spec &spec)
 {
-    const auto report = tools.load(spec.address);
+    const auto report = context.load(spec.address);
     if (!succeeded(report))
         return;
     // An order that arrives late, after the engine is back in service, cuts what runs there: one
     // that ignores fencing numbers obeys it even after the next order, and one that checks them may
     // have restarted without its number. So no order is settled while a copy may still arrive, and
     // one of an engine that ignores numbers is not taken over either.
-    const bool isQuiet = tools.clock.mono() >= unsafeUntil;
-    if (hasReached(spec, valueOf(report))) {
-        if (isQuiet)
+    const bool isNoneInFlight = context.clock.mono() >= inFlightUntil;
+    if (hasApplied(spec, valueOf(report))) {
+        if (isNoneInFlight)
             settle("order_settled");
         return;
     }
     if (!isSendDue(valueOf(report)))
         return;
-    if (!hasWindow() && (spec.checksFence || isQuiet))
+    if (!hasWindow() && (spec.checksFence || isNoneInFlight))
         openWindow();
     if (hasWindow())
         send(spec, valueOf(report));
@@ -256,30 +257,30 @@
 void order_writer::send(const policy::runner_spec &spec, const policy::load_report &report)
 {
     const mono_time end = window->end;
-    sent = sent_order{report.life, tools.clock.mono()};
-    fenceFloor = std::max(fenceFloor, report.lastFence);
+    sent = sent_order{report.life, context.clock.mono()};
+    highestSeenFence = std::max(highestSeenFence, report.lastFence);
     emit("order_sent");
     const runner::engine_order order{present.fence, orderNonceOf(present), present.wanted};
-    const auto outcome = tools.send(spec.address, order, end);
+    const auto outcome = context.send(spec.address, order, end);
     if (!succeeded(outcome))
         onSendFailed(errorOf(outcome));
 }
 
 void order_writer::onSendFailed(const error &fault)
 {
-    tools.events.emit("order_unanswered",
-                      {{"runner", runner.text},
-                       {"fence", std::to_string(present.fence)},
-                       {"code", std::string(nameOf(fault.code))},
-                       {"verdict", std::string(nameOf(fault.ran))}});
+    context.events.emit("order_unanswered",
+                        {{"runner", runner.text},
+                         {"fence", std::to_string(present.fence)},
+                         {"code", std::string(nameOf(fault.code))},
+                         {"verdict", std::string(nameOf(fault.ran))}});
     if (fault.code == error_code::Stale) {
         // The engine has obeyed a higher number, so it will never obey this one.
-        fenceFloor = std::max(fenceFloor, present.fence);
+        highestSeenFence = std::max(highestSeenFence, present.fence);
         settle("order_stale");
         return;
     }
     if (fault.ran == verdict::MayHaveRun)
-        unsafeUntil = std::max(unsafeUntil, window->end + config::orderMargin);
+        inFlightUntil = std::max(inFlightUntil, window->end + config::orderMargin);
 }
 
 void order_writer::settle(std::string_view event)
--- a/src/node/order_writer.h
+++ b/src/node/order_writer.h
@@ -37,7 +37,7 @@
 class order_writer
 {
 public:
-    order_writer(order_tools &tools, runner_id runner);
+    order_writer(order_tools &context, runner_id runner);
 
     /// Takes note of what the store holds.
     void adopt(const order_record &record, std::uint64_t version);
@@ -66,15 +66,15 @@
     };
 
     /// Whose first report of an idle engine it was, and when.
-    struct idle_sight
+    struct idle_observation
     {
-        incarnation life = 0;
+        incarnation engineIncarnation = 0;
         mono_time since;
     };
 
     struct sent_order
     {
-        incarnation life = 0; ///< Of the engine, before the order was sent.
+        incarnation engineIncarnation = 0; ///< Of the engine, before the order was sent.
         mono_time at;
     };
 
@@ -85,7 +85,7 @@
     void stepDraining(const policy::runner_spec &spec, milliseconds drainTime);
     void stepOpen(const policy::runner_spec &spec);
     bool isIdle(const policy::runner_spec &spec);
-    bool hasReached(const policy::runner_spec &spec, const policy::load_report &report) const;
+    bool hasApplied(const policy::runner_spec &spec, const policy::load_report &report) const;
     bool isSendDue(const policy::load_report &report) const;
     bool hasWindow() const;
     bool openWindow();
@@ -94,7 +94,7 @@
     void settle(std::string_view event);
     void emit(std::string_view event);
 
-    order_tools &tools;
+    order_tools &context;
     const runner_id runner;
     const std::string key;
 
@@ -104,12 +104,12 @@
 
     std::optional<send_window> window;
     /// Until then an order that was sent, by this writer or by an earlier one, may still arrive.
-    mono_time unsafeUntil{};
-    std::optional<mono_time> drainBegan;
-    std::optional<idle_sight> idle;
+    mono_time inFlightUntil{};
+    std::optional<mono_time> drainStartedAt;
+    std::optional<idle_observation> idle;
     std::optional<sent_order> sent;
-    std::uint64_t fenceFloor = 0; ///< Highest number that the engine said it has seen.
-    mono_time holdUntil{};
+    std::uint64_t highestSeenFence = 0; ///< Highest number that the engine said it has seen.
+    mono_time backoffUntil{};
 };
 
 /// @returns The number that names one order to the engine: the same whoever sends it and however
--- a/src/node/planner.cpp
+++ b/src/node/planner.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// An order under the guard of its window.
+/// Sends an order under an order_guard that ends with its send window.
 result<unit> sendGuarded(const runner::engine_api &engines, const clock_source &clock,
                          const endpoint &engine, const runner::engine_order &order,
                          mono_time windowEnd)
@@ -17,7 +17,7 @@
     const order_guard guard(windowEnd);
     const auto timeLeft = std::chrono::floor<milliseconds>(windowEnd - clock.mono());
     if (guard.hasEnded() || timeLeft <= milliseconds::zero())
-        return notRun(error_code::TimedOut, "order's window is over");
+        return notRun(error_code::TimedOut, "order not sent: its send window has ended");
     return engines.order(engine, order, timeLeft);
 }
 
@@ -25,8 +25,8 @@
 
 struct planner::state
 {
-    state(planner_needs needs, view_hub &views, order_tools tools)
-        : lookTime(needs.lookTime), core(std::move(needs), views, std::move(tools))
+    state(planner_needs dependencies, view_hub &views, order_tools context)
+        : interval(dependencies.lookTime), core(std::move(dependencies), views, std::move(context))
     { }
 
     void run()
@@ -36,38 +36,38 @@
             guard.unlock();
             core.look();
             guard.lock();
-            changed.wait_for(guard, lookTime, [this] { return isStopping; });
+            changed.wait_for(guard, interval, [this] { return isStopping; });
         }
     }
 
-    const milliseconds lookTime;
-    planner_core core; ///< Used by the thread alone.
+    const milliseconds interval;
+    planner_core core; ///< Used only by the thread.
     std::mutex lock;
     std::condition_variable changed;
     bool isStopping = false;
     std::thread thread;
 };
 
-planner::planner(planner_needs needs, view_hub &views, platform::object_store &store,
+planner::planner(planner_needs dependencies, view_hub &views, platform::object_store &store,
                  platform::weight_store weights, runner::engine_api engines, clock_source clock,
                  metrics_registry &metrics, journal &events)
 {
-    order_tools tools{.self = needs.self,
-                      .deployment = needs.deployment,
-                      .appliedEverywhere = needs.appliedEverywhere,
-                      .store = store,
-                      .weights = std::move(weights),
-                      .load = engines.load,
-                      .send = {},
-                      .clock = clock,
-                      .metrics = metrics,
-                      .events = events};
-    tools.send = [engines = std::move(engines), clock = std::move(clock)](
-                         const endpoint &engine, const runner::engine_order &order,
-                         mono_time windowEnd) {
+    order_tools context{.self = dependencies.self,
+                        .deployment = dependencies.deployment,
+                        .appliedEverywhere = dependencies.appliedEverywhere,
+                        .store = store,
+                        .weights = std::move(weights),
+                        .load = engines.load,
+                        .send = {},
+                        .clock = clock,
+                        .metrics = metrics,
+                        .events = events};
+    context.send = [engines = std::move(engines), clock = std::move(clock)](
+                           const endpoint &engine, const runner::engine_order &order,
+                           mono_time windowEnd) {
         return sendGuarded(engines, clock, engine, order, windowEnd);
     };
-    inner = std::make_unique<state>(std::move(needs), views, std::move(tools));
+    inner = std::make_unique<state>(std::move(dependencies), views, std::move(context));
 }
 
 planner::~planner()
--- a/src/node/planner_core.cpp
+++ b/src/node/planner_core.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-const policy::plan_rule *findRule(const policy::rules &book, const pool_id &pool)
+const policy::plan_rule *findRule(const policy::rules &rules, const pool_id &pool)
 {
-    for (const policy::plan_rule &rule : book.plans) {
+    for (const policy::plan_rule &rule : rules.plans) {
         if (rule.pool == pool)
             return &rule;
     }
@@ -40,9 +40,10 @@
     return owner && owner->id == self;
 }
 
-planner_core::planner_core(planner_needs needs, view_hub &views, order_tools tools,
+planner_core::planner_core(planner_needs dependencies, view_hub &views, order_tools context,
                            plan_function decide)
-    : needs(std::move(needs)), views(views), tools(std::move(tools)), decide(std::move(decide))
+    : dependencies(std::move(dependencies)), views(views), context(std::move(context)),
+      decide(std::move(decide))
 { }
 
 void planner_core::look()
@@ -53,54 +54,54 @@
     for (const policy::pool_spec &pool : now->fleet->pools) {
         if (pool.kind != policy::runner_kind::Engine)
             continue;
-        if (isPlannerOf(*now, pool.id, needs.self))
-            lookAt(*now, pool);
+        if (isPlannerOf(*now, pool.id, dependencies.self))
+            runPool(*now, pool);
         else
-            desks.erase(pool.id);
+            poolStates.erase(pool.id);
     }
 }
 
-void planner_core::lookAt(const policy::view &now, const policy::pool_spec &pool)
+void planner_core::runPool(const policy::view &now, const policy::pool_spec &pool)
 {
-    pool_desk &desk = desks[pool.id];
+    pool_state &state = poolStates[pool.id];
     for (const policy::runner_spec &spec : now.fleet->runners) {
         if (spec.pool == pool.id)
-            desk.writers.try_emplace(spec.id, tools, spec.id);
+            state.writers.try_emplace(spec.id, context, spec.id);
     }
-    if (!desk.isLoaded && !loadRecords(pool.id, desk))
+    if (!state.isLoaded && !loadRecords(pool.id, state))
         return;
-    stepOrders(now, pool.id, desk);
-    if (policy::isFresh(now, tools.clock.mono()))
-        plan(now, pool.id, desk);
+    stepOrders(now, pool.id, state);
+    if (policy::isFresh(now, context.clock.mono()))
+        plan(now, pool.id, state);
 }
 
 /// One call for all engines: a get for each would use up the call budget at every takeover.
-bool planner_core::loadRecords(const pool_id &pool, pool_desk &desk)
+bool planner_core::loadRecords(const pool_id &pool, pool_state &state)
 {
-    const auto listed = tools.store.list(operators::orderKey(needs.deployment, ""));
+    const auto listed = context.store.list(operators::orderKey(dependencies.deployment, ""));
     if (!succeeded(listed))
         return false;
-    for (auto &[id, writer] : desk.writers)
+    for (auto &[id, writer] : state.writers)
         writer.adoptNone();
     for (const platform::object &each : valueOf(listed).objects) {
         const auto record = parseOrderRecord(each.value);
         if (!succeeded(record)) {
-            tools.events.emit("order_unreadable",
-                              {{"key", each.key}, {"message", errorOf(record).message}});
+            context.events.emit("order_unreadable",
+                                {{"key", each.key}, {"message", errorOf(record).message}});
             continue;
         }
-        const auto found = desk.writers.find(valueOf(record).runner);
-        if (found != desk.writers.end())
+        const auto found = state.writers.find(valueOf(record).runner);
+        if (found != state.writers.end())
             found->second.adopt(valueOf(record), each.version);
     }
-    desk.isLoaded = true;
-    tools.events.emit("plan_taken_over", {{"pool", pool.text}});
+    state.isLoaded = true;
+    context.events.emit("plan_taken_over", {{"pool", pool.text}});
     return true;
 }
 
 void planner_core::readRecord(const runner_id &runner, order_writer &writer)
 {
-    const auto found = tools.store.get(operators::orderKey(needs.deployment, runner.text));
+    const auto found = context.store.get(operators::orderKey(dependencies.deployment, runner.text));
     if (!succeeded(found)) {
         if (errorOf(found).code == error_code::NotFound)
             writer.adoptNone();
@@ -111,12 +112,12 @@
         writer.adopt(valueOf(record), valueOf(found).version);
 }
 
-void planner_core::stepOrders(const policy::view &now, const pool_id &pool, pool_desk &desk)
+void planner_core::stepOrders(const policy::view &now, const pool_id &pool, pool_state &state)
 {
     for (std::uint32_t index = 0; index < now.fleet->runners.size(); ++index) {
         const policy::runner_spec &spec = now.fleet->runners[index];
-        const auto found = desk.writers.find(spec.id);
-        if (spec.pool != pool || found == desk.writers.end())
+        const auto found = state.writers.find(spec.id);
+        if (spec.pool != pool || found == state.writers.end())
             continue;
         order_writer &writer = found->second;
         // Another planner of this pool, from before a change of members that this instance learnt
@@ -129,17 +130,17 @@
     }
 }
 
-void planner_core::plan(const policy::view &now, const pool_id &pool, pool_desk &desk)
+void planner_core::plan(const policy::view &now, const pool_id &pool, pool_state &state)
 {
-    const policy::view marked = withReservations(now, desk.writers);
+    const policy::view marked = withReservations(now, state.writers);
     const policy::plan_rule *rule = findRule(*now.book, pool);
     const auto step = decide(marked, pool, rule ? *rule : policy::plan_rule{.pool = pool},
-                             desk.memory, needs.demand(pool), tools.clock.mono());
-    desk.memory = step.memory;
+                             state.memory, dependencies.demand(pool), context.clock.mono());
+    state.memory = step.memory;
     for (const policy::planned_change &change : step.changes) {
         const policy::runner_spec &spec = now.fleet->runners.at(change.runner.index);
-        const auto found = desk.writers.find(spec.id);
-        if (found != desk.writers.end())
+        const auto found = state.writers.find(spec.id);
+        if (found != state.writers.end())
             found->second.begin(change.wanted, now.runners[change.runner.index].report);
     }
 }
--- a/src/node/planner_core.h
+++ b/src/node/planner_core.h
@@ -22,7 +22,7 @@
 class planner_core
 {
 public:
-    planner_core(planner_needs needs, view_hub &views, order_tools tools,
+    planner_core(planner_needs dependencies, view_hub &views, order_tools context,
                  plan_function decide = policy::planPool);
 
     /// Takes the orders under way one step on, then plans.
@@ -30,24 +30,24 @@
 
 private:
     /// What this planner holds of one pool while the pool is its own.
-    struct pool_desk
+    struct pool_state
     {
         bool isLoaded = false; ///< Whether the order records were read.
         policy::plan_memory memory;
         std::unordered_map<runner_id, order_writer> writers;
     };
 
-    void lookAt(const policy::view &now, const policy::pool_spec &pool);
-    bool loadRecords(const pool_id &pool, pool_desk &desk);
+    void runPool(const policy::view &now, const policy::pool_spec &pool);
+    bool loadRecords(const pool_id &pool, pool_state &state);
     void readRecord(const runner_id &runner, order_writer &writer);
-    void stepOrders(const policy::view &now, const pool_id &pool, pool_desk &desk);
-    void plan(const policy::view &now, const pool_id &pool, pool_desk &desk);
+    void stepOrders(const policy::view &now, const pool_id &pool, pool_state &state);
+    void plan(const policy::view &now, const pool_id &pool, pool_state &state);
 
-    const planner_needs needs;
+    const planner_needs dependencies;
     view_hub &views;
-    order_tools tools;
+    order_tools context;
     const plan_function decide;
-    std::unordered_map<pool_id, pool_desk> desks;
+    std::unordered_map<pool_id, pool_state> poolStates;
 };
 
 } // namespace poplarspool::node
--- a/src/node/request_once.cpp
+++ b/src/node/request_once.cpp
@@ -93,21 +93,21 @@
 
 } // namespace
 
-void request_path::completeOnce(const caller::completion_ask &ask, const admitted &pass,
-                                caller::completion_sink &sink)
+void request_path::completeAtMostOnce(const caller::completion_ask &request,
+                                      const admitted &admission, caller::completion_sink &sink)
 {
     const std::string key =
-            claimNameOf(pass.facts.workspace.text, "completion", ask.head.idempotencyKey);
+            claimNameOf(admission.facts.workspace.text, "completion", request.head.idempotencyKey);
     const std::string bodyHash =
-            hashOfParts({ask.model, ask.prompt, std::to_string(ask.maxTokens)});
-    const entry_decision decision = duplicates.enter(key, bodyHash, pass.deadline);
+            hashOfParts({request.model, request.prompt, std::to_string(request.maxTokens)});
+    const entry_decision decision = duplicates.enter(key, bodyHash, admission.deadline);
     if (const auto *refusal = std::get_if<error>(&decision))
         return sink.fail(*refusal);
     if (const auto *earlier = std::get_if<earlier_answer>(&decision))
         return replay(earlier->reply, sink);
     claimed_attempt attempt(answers, key, std::get<may_dispatch>(decision).nonce);
     std::string whole;
-    const auto outcome = runCompletion(ask, pass, [&](const std::string &text) {
+    const auto outcome = runCompletion(request, admission, [&](const std::string &text) {
         whole += text;
         // The run goes on when its caller has gone: the caller's next try gets this answer.
         sink.token(text);
@@ -122,14 +122,15 @@
     sink.finish({std::string(runner::nameOf(end.reason)), end.promptTokens, end.outputTokens});
 }
 
-std::optional<error> request_path::callServiceOnce(const caller::service_ask &ask,
-                                                   const admitted &pass, http_sink &sink)
+std::optional<error> request_path::callServiceAtMostOnce(const caller::service_ask &call,
+                                                         const admitted &admission, http_sink &sink)
 {
-    const std::string operation = ask.service + " " + ask.request.method + " " + ask.request.path;
+    const std::string operation =
+            call.service + " " + call.request.method + " " + call.request.path;
     const std::string key =
-            claimNameOf(pass.facts.workspace.text, operation, ask.head.idempotencyKey);
-    const std::string bodyHash = hashOfParts({ask.request.contentType, ask.request.body});
-    const entry_decision decision = duplicates.enter(key, bodyHash, pass.deadline);
+            claimNameOf(admission.facts.workspace.text, operation, call.head.idempotencyKey);
+    const std::string bodyHash = hashOfParts({call.request.contentType, call.request.body});
+    const entry_decision decision = duplicates.enter(key, bodyHash, admission.deadline);
     if (const auto *refusal = std::get_if<error>(&decision))
         return *refusal;
     if (const auto *earlier = std::get_if<earlier_answer>(&decision)) {
@@ -140,7 +141,7 @@
     }
     claimed_attempt attempt(answers, key, std::get<may_dispatch>(decision).nonce);
     http_reply kept;
-    std::optional<error> failure = runService(ask, pass, sink, &kept);
+    std::optional<error> failure = runService(call, admission, sink, &kept);
     if (failure)
         attempt.fail(*failure);
     else
--- a/src/node/request_path.cpp
+++ b/src/node/request_path.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// When a caller should come back to an instance that can't take work just now.
-constexpr milliseconds comeBackTime{1000};
+constexpr milliseconds retryAfterTime{1000};
 
 /// Counts a request while it is open.
 class open_stream
@@ -30,10 +30,10 @@
 
 /// Hands a runner's reply on to the caller, and keeps a copy where one is wanted. A kept reply is
 /// read to its end even when its caller has gone: the caller's next try gets it.
-class reply_relay
+class reply_forwarder
 {
 public:
-    reply_relay(http_sink &sink, http_reply *kept) : sink(sink), kept(kept) { }
+    reply_forwarder(http_sink &sink, http_reply *kept) : sink(sink), kept(kept) { }
 
     bool onHead(const http_reply &head)
     {
@@ -61,71 +61,73 @@
     bool isCallerGone = false;
 };
 
-runner::generate_request workFor(const caller::completion_ask &ask, const admitted &pass)
+runner::generate_request generateRequestFor(const caller::completion_ask &request,
+                                            const admitted &admission)
 {
-    runner::generate_request work;
-    work.request = ask.head.request;
-    work.workspace = ask.head.workspace;
-    work.model = ask.model;
-    work.prompt = ask.prompt;
-    work.maxTokens = ask.maxTokens;
-    work.rank = pass.ruling.rank;
-    return work;
+    runner::generate_request generation;
+    generation.request = request.head.request;
+    generation.workspace = request.head.workspace;
+    generation.model = request.model;
+    generation.prompt = request.prompt;
+    generation.maxTokens = request.maxTokens;
+    generation.rank = admission.ruling.rank;
+    return generation;
 }
 
 } // namespace
 
-request_path::request_path(request_needs needs, view_hub &views, work_ledger &ledger,
+request_path::request_path(request_needs dependencies, view_hub &views, work_ledger &sentWork,
                            demand_book &demand, duplicate_guard &duplicates, answer_book &answers,
                            runner::engine_api engines, runner::service_api services,
                            clock_source clock, metrics_registry &metrics, journal &events)
-    : needs(std::move(needs)), views(views), ledger(ledger), demand(demand), duplicates(duplicates),
-      answers(answers), engines(std::move(engines)), services(std::move(services)),
-      clock(std::move(clock)), events(events), where(views, ledger, this->clock, metrics, events),
+    : dependencies(std::move(dependencies)), views(views), sentWork(sentWork), demand(demand),
+      duplicates(duplicates), answers(answers), engines(std::move(engines)),
+      services(std::move(services)), clock(std::move(clock)), events(events),
+      dispatch(views, sentWork, this->clock, metrics, events),
       resumed(metrics.counterOf("poplarspool_resumes_total"))
 { }
 
 result<admitted> request_path::admit(const caller::request_head &head,
                                      policy::request_facts facts) const
 {
-    admitted pass;
-    pass.seen = views.current();
-    if (needs.isClosed())
-        return notRun(error_code::Unavailable, "this instance is shutting down", comeBackTime);
-    if (streams.load(std::memory_order_relaxed) > needs.maxStreams)
-        return notRun(error_code::Overloaded, "too many open requests", comeBackTime);
-    if (!pass.seen->fleet || !pass.seen->book)
-        return notRun(error_code::Unavailable, "no configuration yet", comeBackTime);
-    if (!policy::isFresh(*pass.seen, clock.mono()))
+    admitted admission;
+    admission.seen = views.current();
+    if (dependencies.isClosed())
+        return notRun(error_code::Unavailable, "this instance is shutting down", retryAfterTime);
+    if (streams.load(std::memory_order_relaxed) > dependencies.maxStreams)
+        return notRun(error_code::Overloaded, "too many open requests", retryAfterTime);
+    if (!admission.seen->fleet || !admission.seen->book)
+        return notRun(error_code::Unavailable, "no configuration yet", retryAfterTime);
+    if (!policy::isFresh(*admission.seen, clock.mono()))
         return notRun(error_code::Unavailable, "this instance can't confirm its configuration",
-                      comeBackTime);
-    const policy::rules &book = *pass.seen->book;
-    const result<caller_id> who = policy::admitCaller(book, head.bearerKey);
-    if (!succeeded(who))
-        return errorOf(who);
-    facts.caller = valueOf(who).isValid() ? valueOf(who) : head.caller;
+                      retryAfterTime);
+    const policy::rules &rules = *admission.seen->book;
+    const result<caller_id> callerId = policy::admitCaller(rules, head.bearerKey);
+    if (!succeeded(callerId))
+        return errorOf(callerId);
+    facts.caller = valueOf(callerId).isValid() ? valueOf(callerId) : head.caller;
     facts.workspace = head.workspace;
-    if (valueOf(who).isValid() && !policy::mayUse(book, valueOf(who), head.workspace))
+    if (valueOf(callerId).isValid() && !policy::mayUse(rules, valueOf(callerId), head.workspace))
         return notRun(error_code::Forbidden, "this caller may not act for that workspace");
-    pass.ruling = policy::rulingOf(book, facts);
-    pass.facts = std::move(facts);
-    if (pass.ruling.needsKey && head.idempotencyKey.empty())
+    admission.ruling = policy::rulingOf(rules, facts);
+    admission.facts = std::move(facts);
+    if (admission.ruling.needsKey && head.idempotencyKey.empty())
         return notRun(error_code::BadRequest,
                       "this request must carry the header "
                               + std::string(caller::idempotencyHeader));
-    const milliseconds limit = head.timeLimit.value_or(pass.ruling.timeLimit);
-    pass.deadline = head.arrivedAt + std::min(limit, config::maxTimeLimit);
-    return pass;
+    const milliseconds limit = head.timeLimit.value_or(admission.ruling.timeLimit);
+    admission.deadline = head.arrivedAt + std::min(limit, config::maxTimeLimit);
+    return admission;
 }
 
 result<caller::address_answer> request_path::addresses(const zone_id &zone)
 {
     const policy::view_ptr now = views.current();
     caller::address_answer answer;
-    answer.addresses = policy::rankAddresses(*now, zone, where.nextSpread());
+    answer.addresses = policy::rankAddresses(*now, zone, dispatch.nextSpread());
     answer.keepTime = now->book ? now->book->addressKeepTime : config::addressKeepTime;
     if (answer.addresses.empty())
-        return notRun(error_code::Unavailable, "no instance takes callers", comeBackTime);
+        return notRun(error_code::Unavailable, "no instance takes callers", retryAfterTime);
     return answer;
 }
 
@@ -133,11 +135,11 @@
 {
     policy::request_facts facts;
     facts.method = "GET";
-    const auto pass = admit(head, facts);
-    if (!succeeded(pass))
-        return errorOf(pass);
+    const auto admission = admit(head, facts);
+    if (!succeeded(admission))
+        return errorOf(admission);
     std::vector<std::string> names;
-    for (const policy::pool_spec &pool : valueOf(pass).seen->fleet->pools) {
+    for (const policy::pool_spec &pool : valueOf(admission).seen->fleet->pools) {
         for (const policy::model_version &entry : pool.serves)
             names.push_back(entry.model);
     }
@@ -146,14 +148,14 @@
     return names;
 }
 
-result<runner::stream_end> request_path::runCompletion(const caller::completion_ask &ask,
-                                                       const admitted &pass,
+result<runner::stream_end> request_path::runCompletion(const caller::completion_ask &request,
+                                                       const admitted &admission,
                                                        const text_receiver &onText)
 {
-    policy::route_request wanted = wantedFor(ask, pass);
-    runner::generate_request work = workFor(ask, pass);
-    countDemand(*pass.seen, wanted);
-    try_series tries(where, pass, ask.head.request);
+    policy::route_request wanted = routeRequestFor(request, admission);
+    runner::generate_request generation = generateRequestFor(request, admission);
+    recordDemand(*admission.seen, wanted);
+    try_series tries(dispatch, admission, request.head.request);
     for (;;) {
         const result<chosen_runner> choice = tries.next(wanted);
         if (!succeeded(choice)) {
@@ -165,25 +167,25 @@
             continue;
         }
         const chosen_runner &to = valueOf(choice);
-        work.attempt = randomHex128();
-        work.timeLeft = wanted.timeLeft;
-        result<runner::stream_end> outcome = tryOnce(to, work, onText);
+        generation.attempt = randomHex128();
+        generation.timeLeft = wanted.timeLeft;
+        result<runner::stream_end> outcome = tryOnce(to, generation, onText);
         if (succeeded(outcome))
             return outcome;
         error failure = errorOf(outcome);
-        if (!work.emitted.empty())
+        if (!generation.emitted.empty())
             failure.ran = verdict::MayHaveRun;
-        const std::optional<error> ending =
-                tries.onFailure(to, failure, work.emitted.empty() ? rest::NotBegun : rest::Owed);
+        const std::optional<error> ending = tries.onFailure(
+                to, failure, generation.emitted.empty() ? rest::NotBegun : rest::Owed);
         if (ending)
             return *ending;
-        if (!work.emitted.empty())
+        if (!generation.emitted.empty())
             resumed.add();
     }
 }
 
 /// Refused work counts too: it is what the planner has too few engines for.
-void request_path::countDemand(const policy::view &now, const policy::route_request &wanted)
+void request_path::recordDemand(const policy::view &now, const policy::route_request &wanted)
 {
     for (const policy::runner_spec &spec : now.fleet->runners) {
         const auto carries = [&](const policy::model_version &entry) {
@@ -197,52 +199,52 @@
     }
 }
 
-policy::route_request request_path::wantedFor(const caller::completion_ask &ask,
-                                              const admitted &pass) const
+policy::route_request request_path::routeRequestFor(const caller::completion_ask &request,
+                                                    const admitted &admission) const
 {
     policy::route_request wanted;
-    wanted.model = ask.model;
-    wanted.promptTokens = policy::estimateTokens(ask.prompt);
-    wanted.outputTokens = ask.maxTokens;
-    wanted.prefixHash = policy::prefixHashOf(ask.model, ask.prompt);
-    wanted.rank = pass.ruling.rank;
-    wanted.zone = needs.zone;
+    wanted.model = request.model;
+    wanted.promptTokens = policy::estimateTokens(request.prompt);
+    wanted.outputTokens = request.maxTokens;
+    wanted.prefixHash = policy::prefixHashOf(request.model, request.prompt);
+    wanted.rank = admission.ruling.rank;
+    wanted.zone = dependencies.zone;
     return wanted;
 }
 
 result<runner::stream_end> request_path::tryOnce(const chosen_runner &to,
-                                                 runner::generate_request &work,
+                                                 runner::generate_request &generation,
                                                  const text_receiver &onText)
 {
     events.emit("dispatched",
-                {{"request", work.request.text},
+                {{"request", generation.request.text},
                  {"runner", to.spec().id.text},
-                 {"resume", std::to_string(work.emitted.size())}});
+                 {"resume", std::to_string(generation.emitted.size())}});
     std::vector<std::string> received;
     auto outcome =
-            engines.generate(to.spec().address, work, [&](const runner::stream_token &token) {
+            engines.generate(to.spec().address, generation, [&](const runner::stream_token &token) {
                 to.work->onAnswer();
                 received.push_back(token.text);
                 return onText(token.text);
             });
-    std::move(received.begin(), received.end(), std::back_inserter(work.emitted));
+    std::move(received.begin(), received.end(), std::back_inserter(generation.emitted));
     return outcome;
 }
 
-void request_path::complete(const caller::completion_ask &ask, caller::completion_sink &sink)
+void request_path::complete(const caller::completion_ask &request, caller::completion_sink &sink)
 {
     const open_stream counted(streams);
     policy::request_facts facts;
-    facts.model = ask.model;
+    facts.model = request.model;
     facts.method = "POST";
     facts.path = "/v1/completions";
-    const auto pass = admit(ask.head, facts);
-    if (!succeeded(pass))
-        return sink.fail(errorOf(pass));
-    if (valueOf(pass).ruling.repeat == policy::repeat_rule::Never
-        && !ask.head.idempotencyKey.empty())
-        return completeOnce(ask, valueOf(pass), sink);
-    auto outcome = runCompletion(ask, valueOf(pass),
+    const auto admission = admit(request.head, facts);
+    if (!succeeded(admission))
+        return sink.fail(errorOf(admission));
+    if (valueOf(admission).ruling.repeat == policy::repeat_rule::Never
+        && !request.head.idempotencyKey.empty())
+        return completeAtMostOnce(request, valueOf(admission), sink);
+    auto outcome = runCompletion(request, valueOf(admission),
                                  [&](const std::string &text) { return sink.token(text); });
     if (!succeeded(outcome))
         return sink.fail(errorOf(outcome));
@@ -250,46 +252,47 @@
     sink.finish({std::string(runner::nameOf(end.reason)), end.promptTokens, end.outputTokens});
 }
 
-std::optional<error> request_path::callService(const caller::service_ask &ask, http_sink &sink)
+std::optional<error> request_path::callService(const caller::service_ask &call, http_sink &sink)
 {
     const open_stream counted(streams);
     policy::request_facts facts;
-    facts.service = ask.service;
-    facts.method = ask.request.method;
-    facts.path = ask.request.path;
-    const auto pass = admit(ask.head, facts);
-    if (!succeeded(pass))
-        return errorOf(pass);
-    if (valueOf(pass).ruling.repeat == policy::repeat_rule::Never
-        && !ask.head.idempotencyKey.empty())
-        return callServiceOnce(ask, valueOf(pass), sink);
-    return runService(ask, valueOf(pass), sink, nullptr);
+    facts.service = call.service;
+    facts.method = call.request.method;
+    facts.path = call.request.path;
+    const auto admission = admit(call.head, facts);
+    if (!succeeded(admission))
+        return errorOf(admission);
+    if (valueOf(admission).ruling.repeat == policy::repeat_rule::Never
+        && !call.head.idempotencyKey.empty())
+        return callServiceAtMostOnce(call, valueOf(admission), sink);
+    return runService(call, valueOf(admission), sink, nullptr);
 }
 
-std::optional<error> request_path::runService(const caller::service_ask &ask, const admitted &pass,
-                                              http_sink &sink, http_reply *kept)
+std::optional<error> request_path::runService(const caller::service_ask &call,
+                                              const admitted &admission, http_sink &sink,
+                                              http_reply *kept)
 {
     policy::route_request wanted;
-    wanted.service = ask.service;
-    wanted.rank = pass.ruling.rank;
-    wanted.zone = needs.zone;
-    try_series tries(where, pass, ask.head.request);
+    wanted.service = call.service;
+    wanted.rank = admission.ruling.rank;
+    wanted.zone = dependencies.zone;
+    try_series tries(dispatch, admission, call.head.request);
     for (;;) {
         const result<chosen_runner> choice = tries.next(wanted);
         if (!succeeded(choice))
             return errorOf(choice);
         const chosen_runner &to = valueOf(choice);
         events.emit("dispatched",
-                    {{"request", ask.head.request.text}, {"runner", to.spec().id.text}});
-        reply_relay relay(sink, kept);
+                    {{"request", call.head.request.text}, {"runner", to.spec().id.text}});
+        reply_forwarder forwarder(sink, kept);
         const result<http_reply> outcome = [&] {
             return services.call(
-                    to.spec().address, ask.request, wanted.timeLeft,
+                    to.spec().address, call.request, wanted.timeLeft,
                     [&](const http_reply &head) {
                         to.work->onAnswer();
-                        return relay.onHead(head);
+                        return forwarder.onHead(head);
                     },
-                    [&](std::string_view piece) { return relay.onPiece(piece); });
+                    [&](std::string_view piece) { return forwarder.onPiece(piece); });
         }();
         if (succeeded(outcome)) {
             sink.end();
@@ -300,7 +303,7 @@
             return *ending;
         // A reply that broke after its head can't be begun again. The sink goes without end(), so
         // that the caller sees a broken reply and not a short one.
-        if (relay.hasBegun())
+        if (forwarder.hasBegun())
             return mayHaveRun(error_code::Broken, "the runner's reply broke");
     }
 }
--- a/src/node/request_path.h
+++ b/src/node/request_path.h
@@ -35,15 +35,15 @@
 class request_path
 {
 public:
-    request_path(request_needs needs, view_hub &views, work_ledger &ledger, demand_book &demand,
-                 duplicate_guard &duplicates, answer_book &answers, runner::engine_api engines,
-                 runner::service_api services, clock_source clock, metrics_registry &metrics,
-                 journal &events);
+    request_path(request_needs dependencies, view_hub &views, work_ledger &sentWork,
+                 demand_book &demand, duplicate_guard &duplicates, answer_book &answers,
+                 runner::engine_api engines, runner::service_api services, clock_source clock,
+                 metrics_registry &metrics, journal &events);
 
     result<caller::address_answer> addresses(const zone_id &zone);
     result<std::vector<std::string>> models(const caller::request_head &head);
-    void complete(const caller::completion_ask &ask, caller::completion_sink &sink);
-    std::optional<error> callService(const caller::service_ask &ask, http_sink &sink);
+    void complete(const caller::completion_ask &request, caller::completion_sink &sink);
+    std::optional<error> callService(const caller::service_ask &call, http_sink &sink);
 
     std::uint32_t openStreams() const { return streams.load(std::memory_order_relaxed); }
 
@@ -51,22 +51,24 @@
     using text_receiver = std::function<bool(const std::string &)>;
 
     result<admitted> admit(const caller::request_head &head, policy::request_facts facts) const;
-    result<runner::stream_end> runCompletion(const caller::completion_ask &ask,
-                                             const admitted &pass, const text_receiver &onText);
-    void completeOnce(const caller::completion_ask &ask, const admitted &pass,
-                      caller::completion_sink &sink);
-    std::optional<error> runService(const caller::service_ask &ask, const admitted &pass,
+    result<runner::stream_end> runCompletion(const caller::completion_ask &request,
+                                             const admitted &admission,
+                                             const text_receiver &onText);
+    void completeAtMostOnce(const caller::completion_ask &request, const admitted &admission,
+                            caller::completion_sink &sink);
+    std::optional<error> runService(const caller::service_ask &call, const admitted &admission,
                                     http_sink &sink, http_reply *kept);
-    void countDemand(const policy::view &now, const policy::route_request &wanted);
-    policy::route_request wantedFor(const caller::completion_ask &ask, const admitted &pass) const;
+    void recordDemand(const policy::view &now, const policy::route_request &wanted);
+    policy::route_request routeRequestFor(const caller::completion_ask &request,
+                                          const admitted &admission) const;
     result<runner::stream_end> tryOnce(const chosen_runner &to, runner::generate_request &work,
                                        const text_receiver &onText);
-    std::optional<error> callServiceOnce(const caller::service_ask &ask, const admitted &pass,
-                                         http_sink &sink);
+    std::optional<error> callServiceAtMostOnce(const caller::service_ask &call,
+                                               const admitted &admission, http_sink &sink);
 
-    request_needs needs;
+    request_needs dependencies;
     view_hub &views;
-    work_ledger &ledger;
+    work_ledger &sentWork;
     demand_book &demand;
     duplicate_guard &duplicates;
     answer_book &answers;
@@ -74,10 +76,10 @@
     runner::service_api services;
     clock_source clock;
     journal &events;
-    dispatcher where;
+    dispatcher dispatch;
     counter &resumed;
     std::atomic<std::uint32_t> streams{0};
-    std::atomic<std::uint64_t> spread{0}; ///< Breaks ties between equal runners.
+    std::atomic<std::uint64_t> tieBreaker{0}; ///< Breaks ties between equal runners.
 };
 
 } // namespace poplarspool::node
--- a/src/node/try_series.h
+++ b/src/node/try_series.h
@@ -40,7 +40,7 @@
 class dispatcher
 {
 public:
-    dispatcher(view_hub &views, work_ledger &ledger, const clock_source &clock,
+    dispatcher(view_hub &views, work_ledger &sentWork, const clock_source &clock,
                metrics_registry &metrics, journal &events);
 
     /// Chooses a runner that is open for work at the moment of the choice, and counts the try in.
@@ -52,7 +52,7 @@
     policy::view_ptr current() const { return views.current(); }
     mono_time now() const { return clock.mono(); }
     /// @returns A number that differs between requests, to spread them over equals.
-    std::uint64_t nextSpread() { return spread.fetch_add(1, std::memory_order_relaxed); }
+    std::uint64_t nextSpread() { return tieBreaker.fetch_add(1, std::memory_order_relaxed); }
 
     policy::retry_budget retries;
     counter &retried;
@@ -63,10 +63,10 @@
     bool isStillOpen(const chosen_runner &choice) const;
 
     view_hub &views;
-    work_ledger &ledger;
+    work_ledger &sentWork;
     clock_source clock;
     journal &events;
-    std::atomic<std::uint64_t> spread{0};
+    std::atomic<std::uint64_t> tieBreaker{0};
 };
 
 /// Whether the caller has a part of its answer already and is owed the rest.
@@ -75,7 +75,7 @@
 class try_series
 {
 public:
-    try_series(dispatcher &where, const admitted &pass, request_id request);
+    try_series(dispatcher &dispatch, const admitted &admission, request_id request);
 
     /// @returns Where the next try goes, with `wanted.timeLeft` set to what is left; or how the
     ///          request ends, its verdict true of all tries so far.
@@ -84,11 +84,12 @@
     /// Takes in that a try failed.
     /// @returns How the request ends; none where another try may follow.
     /// @attention Pauses before the rest of a stream is tried again without a retry in the budget.
-    std::optional<error> onFailure(const chosen_runner &choice, const error &failure, rest owed);
+    std::optional<error> onFailure(const chosen_runner &choice, const error &failure,
+                                   rest progress);
 
-    bool isFirst() const { return made == 0; }
+    bool isFirst() const { return triesMade == 0; }
     /// @returns Whether a runner may have begun this request.
-    bool mayHaveBegun() const { return hasBegun; }
+    bool mayHaveBegun() const { return hasStarted; }
     /// Lets runners that failed before be chosen again.
     void forgetFailures() { avoid.clear(); }
 
@@ -96,11 +97,11 @@
     error verdictOf(error failure) const;
     milliseconds timeLeft() const;
 
-    dispatcher &where;
-    const admitted &pass;
+    dispatcher &dispatch;
+    const admitted &admission;
     request_id request;
-    std::uint32_t made = 0;
-    bool hasBegun = false;
+    std::uint32_t triesMade = 0;
+    bool hasStarted = false;
     std::vector<runner_handle> avoid;
     std::shared_ptr<const policy::inventory> avoidFleet; ///< To which the handles belong.
 };
--- a/src/node/watched_sync.cpp
+++ b/src/node/watched_sync.cpp
@@ -31,10 +31,10 @@
 
 } // namespace
 
-watched_sync::watched_sync(sync_needs needs, platform::object_store &store, view_hub &views,
+watched_sync::watched_sync(sync_needs dependencies, platform::object_store &store, view_hub &views,
                            clock_source clock, metrics_registry &metrics, journal &events)
-    : needs(std::move(needs)), store(store), views(views), clock(std::move(clock)), events(events),
-      applied(metrics.counterOf("poplarspool_watched_updates_total")),
+    : dependencies(std::move(dependencies)), store(store), views(views), clock(std::move(clock)),
+      events(events), applied(metrics.counterOf("poplarspool_watched_updates_total")),
       rejected(metrics.counterOf("poplarspool_config_rejected_total"))
 { }
 
@@ -62,22 +62,22 @@
         peerThread.join();
 }
 
-peer::watched_reply watched_sync::replyTo(const peer::watched_ask &question) const
+peer::watched_reply watched_sync::replyTo(const peer::watched_ask &request) const
 {
     const std::lock_guard lock(guard);
     peer::watched_reply reply;
-    reply.version = complete;
+    reply.version = completeVersion;
     for (const auto &[key, entry] : objects) {
-        if (entry.version > question.knownVersion)
+        if (entry.version > request.knownVersion)
             reply.objects.push_back({entry.key, entry.value, entry.version});
     }
     return reply;
 }
 
-result<peer::body_reply> watched_sync::bodyFor(const peer::body_ask &question) const
+result<peer::body_reply> watched_sync::bodyFor(const peer::body_ask &request) const
 {
     const std::lock_guard lock(guard);
-    const auto found = bodies.find(question.sha256);
+    const auto found = bodies.find(request.sha256);
     if (found == bodies.end())
         return notRun(error_code::NotFound, "no such configuration body here");
     return peer::body_reply{found->second};
@@ -86,7 +86,7 @@
 std::uint64_t watched_sync::appliedVersion() const
 {
     const std::lock_guard lock(guard);
-    return complete;
+    return completeVersion;
 }
 
 mono_time watched_sync::confirmedAt() const
@@ -98,7 +98,7 @@
 std::pair<std::uint64_t, mono_time> watched_sync::progress() const
 {
     const std::lock_guard lock(guard);
-    return {complete, confirmed};
+    return {completeVersion, confirmed};
 }
 
 void watched_sync::storeLoop()
@@ -110,7 +110,7 @@
             if (isStopping)
                 return;
         }
-        if (!needs.isWatcher()) {
+        if (!dependencies.isWatcher()) {
             pause(config::gossipTime);
             continue;
         }
@@ -132,21 +132,21 @@
         after = cursor;
         isWatch = hasListed;
     }
-    const std::string prefix = operators::watchedPrefix(needs.deployment);
+    const std::string prefix = operators::watchedPrefix(dependencies.deployment);
     const mono_time asked = clock.mono();
     const milliseconds wait = config::confirmTime;
     const auto answer = isWatch ? store.watch(prefix, after, wait) : store.list(prefix);
     if (!succeeded(answer))
         return false;
-    const platform::object_list &news = valueOf(answer);
+    const platform::object_list &changes = valueOf(answer);
     // A watch that waited in vain says that nothing changed until `asked + wait`. The time of its
     // arrival says less: this process may have been frozen while the answer lay in its socket.
-    const bool waitedInVain = isWatch && news.objects.empty();
-    if (!take(news.objects, 0, waitedInVain ? asked + wait : asked))
+    const bool isUnchanged = isWatch && changes.objects.empty();
+    if (!applyUpdate(changes.objects, 0, isUnchanged ? asked + wait : asked))
         return false;
     const std::lock_guard lock(guard);
     hasListed = true;
-    cursor = std::max(cursor, news.version);
+    cursor = std::max(cursor, changes.version);
     return true;
 }
 
@@ -166,7 +166,7 @@
 void watched_sync::pullFromPeers()
 {
     const std::uint64_t known = appliedVersion();
-    std::vector<policy::member> peers = needs.peers();
+    std::vector<policy::member> peers = dependencies.peers();
     std::sort(peers.begin(), peers.end(), [](const policy::member &a, const policy::member &b) {
         return a.appliedVersion > b.appliedVersion;
     });
@@ -179,59 +179,59 @@
             confirmedByPeers = std::max(confirmedByPeers, other.confirmedAt);
             continue;
         }
-        const auto reply = needs.askState(other.peerAddress, {known});
+        const auto reply = dependencies.askState(other.peerAddress, {known});
         if (!succeeded(reply))
             continue;
         std::vector<platform::object> changed;
         for (const peer::watched_object &entry : valueOf(reply).objects)
             changed.push_back({entry.key, entry.value, entry.version});
-        if (take(changed, valueOf(reply).version, other.confirmedAt))
+        if (applyUpdate(changed, valueOf(reply).version, other.confirmedAt))
             return;
     }
     if (confirmedByPeers > confirmedAt())
-        take({}, known, confirmedByPeers);
+        applyUpdate({}, known, confirmedByPeers);
 }
 
 /// Works an update in. Each object only ever moves to a higher version, so an answer that comes
 /// late or crossed can't bring an older configuration back.
-bool watched_sync::take(const std::vector<platform::object> &changed, std::uint64_t completeTo,
-                        mono_time confirmedNow)
+bool watched_sync::applyUpdate(const std::vector<platform::object> &changed,
+                               std::uint64_t completeTo, mono_time confirmedNow)
 {
-    const std::lock_guard oneAtATime(takers);
+    const std::lock_guard oneAtATime(applyLock);
     object_map next;
     std::uint64_t before = 0;
     {
         const std::lock_guard lock(guard);
         next = objects;
-        before = complete;
+        before = completeVersion;
     }
     std::uint64_t newest = std::max(before, completeTo);
-    bool isNew = false;
+    bool hasChanges = false;
     for (const platform::object &entry : changed) {
         platform::object &present = next[entry.key];
         if (entry.version <= present.version)
             continue;
         present = entry;
         newest = std::max(newest, entry.version);
-        isNew = true;
+        hasChanges = true;
     }
-    if (isNew && !publish(next, newest))
+    if (hasChanges && !publish(next, newest))
         return false;
     mono_time stamp;
     {
         const std::lock_guard lock(guard);
         objects = std::move(next);
-        complete = newest;
+        completeVersion = newest;
         confirmed = std::max(confirmed, confirmedNow);
         stamp = confirmed;
     }
-    needs.onApplied(newest, stamp);
+    dependencies.onApplied(newest, stamp);
     return true;
 }
 
 bool watched_sync::publish(const object_map &next, std::uint64_t completeTo)
 {
-    const std::string headKey = operators::headKey(needs.deployment);
+    const std::string headKey = operators::headKey(dependencies.deployment);
     const auto head = next.find(headKey);
     const policy::view_ptr before = views.current();
     std::optional<loaded_config> loaded;
@@ -243,7 +243,7 @@
     const policy::view_ptr after = views.update([&](policy::view &draft) {
         if (loaded) {
             policy::replaceFleet(draft, loaded->fleet);
-            draft.book = loaded->book;
+            draft.book = loaded->rules;
             draft.configVersion = head->second.version;
         }
         draft.appliedVersion = completeTo;
@@ -271,10 +271,10 @@
     if (!succeeded(inventoryText) || !succeeded(rulesText))
         return std::nullopt;
     const auto fleet = operators::parseInventory("inventory", valueOf(inventoryText));
-    const auto book = operators::parseRules("rules", valueOf(rulesText));
+    const auto rules = operators::parseRules("rules", valueOf(rulesText));
     const auto *goodFleet = std::get_if<policy::inventory>(&fleet);
-    const auto *goodBook = std::get_if<policy::rules>(&book);
-    if (!goodFleet || !goodBook) {
+    const auto *goodRules = std::get_if<policy::rules>(&rules);
+    if (!goodFleet || !goodRules) {
         reject("texts do not pass the check");
         return std::nullopt;
     }
@@ -282,7 +282,7 @@
     bodies = {{valueOf(parsed).inventorySha, valueOf(inventoryText)},
               {valueOf(parsed).rulesSha, valueOf(rulesText)}};
     return loaded_config{std::make_shared<const policy::inventory>(*goodFleet),
-                         std::make_shared<const policy::rules>(*goodBook)};
+                         std::make_shared<const policy::rules>(*goodRules)};
 }
 
 void watched_sync::reject(const std::string &reason)
@@ -297,11 +297,11 @@
     const auto own = bodyFor({sha256});
     if (succeeded(own))
         return valueOf(own).content;
-    const auto stored = store.get(operators::bodyKey(needs.deployment, sha256));
+    const auto stored = store.get(operators::bodyKey(dependencies.deployment, sha256));
     if (succeeded(stored) && sha256Hex(valueOf(stored).value) == sha256)
         return valueOf(stored).value;
-    for (const policy::member &other : needs.peers()) {
-        const auto reply = needs.askBody(other.peerAddress, {sha256});
+    for (const policy::member &other : dependencies.peers()) {
+        const auto reply = dependencies.askBody(other.peerAddress, {sha256});
         if (succeeded(reply) && sha256Hex(valueOf(reply).content) == sha256)
             return valueOf(reply).content;
     }
--- a/src/node/watched_sync.h
+++ b/src/node/watched_sync.h
@@ -39,15 +39,15 @@
 class watched_sync
 {
 public:
-    watched_sync(sync_needs needs, platform::object_store &store, view_hub &views,
+    watched_sync(sync_needs dependencies, platform::object_store &store, view_hub &views,
                  clock_source clock, metrics_registry &metrics, journal &events);
     ~watched_sync();
     void start();
     void stop();
 
     /// The answer to a peer that asks for what is newer than it knows.
-    peer::watched_reply replyTo(const peer::watched_ask &question) const;
-    result<peer::body_reply> bodyFor(const peer::body_ask &question) const;
+    peer::watched_reply replyTo(const peer::watched_ask &request) const;
+    result<peer::body_reply> bodyFor(const peer::body_ask &request) const;
 
     /// @returns Up to which store version the published view is complete; 0: nothing known yet.
     std::uint64_t appliedVersion() const;
@@ -64,7 +64,7 @@
     struct loaded_config
     {
         std::shared_ptr<const policy::inventory> fleet;
-        std::shared_ptr<const policy::rules> book;
+        std::shared_ptr<const policy::rules> rules;
     };
 
     std::optional<loaded_config> load(const platform::object &head);
@@ -73,13 +73,13 @@
     void peerLoop();
     bool pullFromStore();
     void pullFromPeers();
-    bool take(const std::vector<platform::object> &changed, std::uint64_t completeTo,
-              mono_time confirmed);
+    bool applyUpdate(const std::vector<platform::object> &changed, std::uint64_t completeTo,
+                     mono_time confirmed);
     bool publish(const object_map &next, std::uint64_t completeTo);
     result<std::string> findBody(const std::string &sha256);
     void pause(milliseconds time);
 
-    sync_needs needs;
+    sync_needs dependencies;
     platform::object_store &store;
     view_hub &views;
     clock_source clock;
@@ -88,11 +88,11 @@
     counter &rejected;
 
     mutable std::mutex guard;
-    std::mutex takers; ///< One update is worked in at a time.
+    std::mutex applyLock; ///< One update is worked in at a time.
     std::condition_variable wake;
     object_map objects;
     std::map<std::string, std::string> bodies; ///< By SHA-256, of the present configuration.
-    std::uint64_t complete = 0;
+    std::uint64_t completeVersion = 0;
     bool hasListed = false; ///< The store's list was taken in; from then on it is watched.
     std::uint64_t cursor = 0; ///< Store version from which the next watch asks.
     mono_time confirmed{};
--- a/src/node/work_ledger.cpp
+++ b/src/node/work_ledger.cpp
@@ -30,7 +30,7 @@
     std::shared_ptr<const slot_table> present = table.load();
     if (present && present->fleet == now.fleet)
         return present;
-    const std::lock_guard lock(builders);
+    const std::lock_guard lock(buildLock);
     present = table.load();
     if (present && present->fleet == now.fleet)
         return present;
--- a/src/node/work_ledger.h
+++ b/src/node/work_ledger.h
@@ -75,7 +75,7 @@
     std::shared_ptr<const slot_table> tableOf(const policy::view &now);
 
     std::atomic<std::shared_ptr<const slot_table>> table;
-    std::mutex builders;
+    std::mutex buildLock;
 };
 
 } // namespace poplarspool::node
