--- a/src/node/order_writer.cpp
+++ b/src/node/order_writer.cpp
@@ -53,7 +53,8 @@
     }
     if (!isSameOrder)
         sent.reset();
-    // Another's window is counted from before its write, so before this first sight of it.
+    // Another writer's window is counted from before its write, so from before the record is first
+    // seen here.
     if (!isOwn && record.phase == order_phase::Open)
         inFlightUntil = context.clock.mono() + config::orderWindow + config::orderMargin;
     if (record.phase != order_phase::Settled)
@@ -87,7 +88,8 @@
         presentVersion = valueOf(version);
         return true;
     }
-    // Only a write that was truly not run and met no other leaves the record as it is known here.
+    // The record is still as known here only if the write certainly did not run and did not
+    // conflict with another.
     const error &fault = errorOf(version);
     known = fault.ran == verdict::NotRun && fault.code != error_code::Conflict;
     return false;
@@ -121,8 +123,8 @@
     return true;
 }
 
-// The weight store is asked before the engine is drained: it limits its rate, and an engine that
-// waited drained for it would be lost to callers meanwhile.
+// The weight store is queried before the engine is drained: the store limits its call rate, and an
+// engine that waited for it while drained would serve no callers meanwhile.
 bool order_writer::mayBegin(const policy::wanted_engine &wanted, const policy::load_report &seen)
 {
     return known && !isBusy() && context.clock.mono() >= backoffUntil && hasWeights(wanted, seen);
@@ -155,10 +157,9 @@
         stepOpen(spec);
 }
 
-// An engine says that it is idle with a lag, so one report may be older than the last request that
-// was sent to it; an order on the strength of it would cut that request. Nothing new is sent once
-// all instances have applied the reservation, so an idle engine that stays idle for longer than the
-// lag has nothing left.
+// An engine's reports lag behind, so one idle report may be older than the last request sent to it;
+// an order sent on that basis would abort the request. No new work is sent once all instances have
+// applied the reservation, so an engine that stays idle for longer than the lag has no work left.
 bool order_writer::isIdle(const policy::runner_spec &spec)
 {
     const std::optional<idle_observation> before = std::exchange(idle, std::nullopt);
@@ -187,7 +188,7 @@
     }
     if (now - *drainStartedAt < drainTime)
         return;
-    // Nothing was sent under this number, and nothing will be: Open is written only on top of the
+    // No order was sent under this fencing number, and none will be: Open is only written over the
     // version that this write replaces.
     backoffUntil = now + config::orderHoldTime;
     settle("order_withdrawn");
@@ -198,13 +199,13 @@
     return window && window->nonce == present.nonce && context.clock.mono() < window->end;
 }
 
-/// Writes Open, for the first time or to get a new window for the same order.
+/// Writes phase Open, either for the first time or to get a new send window for the same order.
 bool order_writer::openWindow()
 {
     order_record next = present;
     next.phase = order_phase::Open;
     next.nonce = randomHex128();
-    // Counted from before the write: whoever sees the record can only see it later.
+    // Counted from before the write: other instances can see the record only later.
     window = send_window{next.nonce, context.clock.mono() + config::orderWindow};
     if (!writeRecord(std::move(next)))
         return false;
@@ -225,7 +226,8 @@
 
 bool order_writer::isSendDue(const policy::load_report &report) const
 {
-    // A crash in the middle of a change loses the order: the new life gets it again.
+    // A crash during the change loses the order, so the engine's new incarnation is sent the order
+    // again.
     if (!sent || report.life != sent->engineIncarnation)
         return true;
     return !report.isChanging && context.clock.mono() - sent->at >= config::orderResendTime;
@@ -236,10 +238,11 @@
     const auto report = context.load(spec.address);
     if (!succeeded(report))
         return;
-    // An order that arrives late, after the engine is back in service, cuts what runs there: one
-    // that ignores fencing numbers obeys it even after the next order, and one that checks them may
-    // have restarted without its number. So no order is settled while a copy may still arrive, and
-    // one of an engine that ignores numbers is not taken over either.
+    // An order that arrives late, after the engine is back in service, aborts the work that runs
+    // there. An engine that ignores fencing numbers obeys it even after the next order, and one
+    // that checks them may have restarted without its number. So no order is settled while a copy
+    // may still arrive, and an order to an engine that ignores fencing numbers is not taken over
+    // during that time either.
     const bool isNoneInFlight = context.clock.mono() >= inFlightUntil;
     if (hasApplied(spec, valueOf(report))) {
         if (isNoneInFlight)
@@ -274,7 +277,7 @@
                          {"code", std::string(nameOf(fault.code))},
                          {"verdict", std::string(nameOf(fault.ran))}});
     if (fault.code == error_code::Stale) {
-        // The engine has obeyed a higher number, so it will never obey this one.
+        // The engine has obeyed a higher fencing number, so it will never obey this one.
         highestSeenFence = std::max(highestSeenFence, present.fence);
         settle("order_stale");
         return;
@@ -285,8 +288,9 @@
 
 void order_writer::settle(std::string_view event)
 {
-    // The write may take effect after we gave up on its answer. With the window still open this
-    // order could then be sent once more, after a successor saw it settled and sent the next one.
+    // The write may take effect after its answer was given up on. If the send window were still
+    // open, this order could then be sent once more, after a successor saw it settled and sent the
+    // next one.
     window.reset();
     if (write(order_phase::Settled))
         emit(event);
--- a/src/node/order_writer.h
+++ b/src/node/order_writer.h
@@ -13,11 +13,12 @@
 #include <string>
 #include <vector>
 
-/// The authority over one engine: its order record, taken through its phases step by step. No
-/// member waits longer than one call takes. See docs/design/orders.md.
+/// Writes the order record of one engine and takes it through its phases step by step. No member
+/// function blocks for longer than one call to the store, the weight store or the engine. See
+/// docs/design/orders.md.
 namespace poplarspool::node {
 
-/// What all order writers of one planner share.
+/// Shared by all order writers of one planner.
 struct order_tools
 {
     instance_id self;
@@ -26,7 +27,7 @@
     platform::object_store &store;
     platform::weight_store weights;
     std::function<result<policy::load_report>(const endpoint &)> load;
-    /// Sends one order. No byte of it may leave after `windowEnd`.
+    /// Sends one order. No byte of it may be sent after `windowEnd`.
     std::function<result<unit>(const endpoint &, const runner::engine_order &, mono_time windowEnd)>
             send;
     clock_source clock;
@@ -39,33 +40,34 @@
 public:
     order_writer(order_tools &context, runner_id runner);
 
-    /// Takes note of what the store holds.
+    /// Adopts the record that the store holds.
     void adopt(const order_record &record, std::uint64_t version);
-    /// Takes note that the store holds no record of this engine.
+    /// Records that the store holds no record of this engine.
     void adoptNone();
 
-    /// @returns False where the record has to be read (again) first.
+    /// @returns False if the record must be read, or read again, first.
     bool isKnown() const { return known; }
-    /// @returns Whether an order is under way.
+    /// @returns Whether an order is in progress.
     bool isBusy() const { return known && present.phase != order_phase::Settled; }
     std::uint64_t version() const { return presentVersion; }
 
-    /// Begins an order by reserving the engine, where none is under way and the weights can be had.
+    /// Begins an order by reserving the engine, if no order is in progress and the weights are
+    /// available.
     /// @param seen The engine's latest report.
     void begin(const policy::wanted_engine &wanted, const policy::load_report &seen);
 
-    /// One step of the order under way, if any.
+    /// Advances the order in progress, if any, by one step.
     void step(const policy::runner_spec &spec, milliseconds drainTime);
 
 private:
-    /// Authority to send the present order.
+    /// Authority to send the current order.
     struct send_window
     {
-        std::string nonce; ///< Of the write that gave it.
+        std::string nonce; ///< Nonce of the write that granted it.
         mono_time end;
     };
 
-    /// Whose first report of an idle engine it was, and when.
+    /// The first of consecutive idle reports: incarnation of the engine, and when it was received.
     struct idle_observation
     {
         incarnation engineIncarnation = 0;
@@ -74,7 +76,7 @@
 
     struct sent_order
     {
-        incarnation engineIncarnation = 0; ///< Of the engine, before the order was sent.
+        incarnation engineIncarnation = 0; ///< Incarnation of the engine before the order was sent.
         mono_time at;
     };
 
@@ -103,17 +105,18 @@
     std::uint64_t presentVersion = platform::mustNotExist;
 
     std::optional<send_window> window;
-    /// Until then an order that was sent, by this writer or by an earlier one, may still arrive.
+    /// Until this time an order sent by this writer or an earlier one may still arrive.
     mono_time inFlightUntil{};
     std::optional<mono_time> drainStartedAt;
     std::optional<idle_observation> idle;
     std::optional<sent_order> sent;
-    std::uint64_t highestSeenFence = 0; ///< Highest number that the engine said it has seen.
+    std::uint64_t highestSeenFence =
+            0; ///< Highest fencing number that the engine has reported as seen.
     mono_time backoffUntil{};
 };
 
-/// @returns The number that names one order to the engine: the same whoever sends it and however
-///          often, another where the wanted state is another.
+/// @returns The nonce that identifies one order to the engine. It is the same for every sender and
+///          every repetition, and differs if the wanted state differs.
 std::string orderNonceOf(const order_record &record);
 
 } // namespace poplarspool::node
--- a/src/node/planner_core.cpp
+++ b/src/node/planner_core.cpp
@@ -18,8 +18,9 @@
     return nullptr;
 }
 
-/// The view's own marks of reserved engines come from the store and so lag behind the orders that
-/// this planner has just begun; planning on them would begin more changes than the rule allows.
+/// Marks the engines that this planner has reserved. The marks in the view come from the store and
+/// lag behind the orders that this planner has just begun; planning with them alone would begin
+/// more changes than the rule allows.
 template <class Writers>
 policy::view withReservations(const policy::view &now, const Writers &writers)
 {
@@ -75,7 +76,8 @@
         plan(now, pool.id, state);
 }
 
-/// One call for all engines: a get for each would use up the call budget at every takeover.
+/// Reads all records with one call: a get per engine would use up the call budget at every
+/// takeover.
 bool planner_core::loadRecords(const pool_id &pool, pool_state &state)
 {
     const auto listed = context.store.list(operators::orderKey(dependencies.deployment, ""));
@@ -120,8 +122,8 @@
         if (spec.pool != pool || found == state.writers.end())
             continue;
         order_writer &writer = found->second;
-        // Another planner of this pool, from before a change of members that this instance learnt
-        // late, has begun an order: without this it would stay open for ever.
+        // Another planner of this pool, working on an older list of members, has begun an order. If
+        // it were not read here it would stay open forever.
         const bool isForeign = now.runners[index].isReserved && !writer.isBusy()
                 && now.appliedVersion >= writer.version();
         if (!writer.isKnown() || isForeign)
--- a/src/node/planner_core.h
+++ b/src/node/planner_core.h
@@ -7,14 +7,15 @@
 #include <functional>
 #include <unordered_map>
 
-/// What a planner does on each look, without its thread.
+/// One iteration of a planner, without its thread.
 namespace poplarspool::node {
 
-/// @returns Whether the planner of that pool falls on `self`. Two instances whose views differ may
-///          both think so; they then race for the same records, and no more.
+/// @returns Whether `self` is the planner of that pool. Two instances whose views differ may both
+///          consider themselves the planner; their conditional writes to the same records then
+///          conflict, which is safe.
 bool isPlannerOf(const policy::view &now, const pool_id &pool, const instance_id &self);
 
-/// What decides on changes: policy::planPool() but in tests.
+/// Decides on changes: policy::planPool(), except in tests.
 using plan_function = std::function<policy::plan_step(
         const policy::view &, const pool_id &, const policy::plan_rule &,
         const policy::plan_memory &, const policy::demand_estimate &, mono_time)>;
@@ -25,14 +26,14 @@
     planner_core(planner_needs dependencies, view_hub &views, order_tools context,
                  plan_function decide = policy::planPool);
 
-    /// Takes the orders under way one step on, then plans.
+    /// Advances the orders in progress by one step, then plans.
     void look();
 
 private:
-    /// What this planner holds of one pool while the pool is its own.
+    /// State of one pool, kept while this instance plans the pool.
     struct pool_state
     {
-        bool isLoaded = false; ///< Whether the order records were read.
+        bool isLoaded = false; ///< Whether the order records have been read.
         policy::plan_memory memory;
         std::unordered_map<runner_id, order_writer> writers;
     };
--- a/src/node/request_once.cpp
+++ b/src/node/request_once.cpp
@@ -1,5 +1,5 @@
-// Requests that must run at most once: claimed before they are dispatched, and their answers kept
-// for duplicates.
+// Handling of requests that must run at most once: they are claimed before they are dispatched, and
+// their answers are kept for duplicates.
 
 #include "node/request_path.h"
 
@@ -15,10 +15,10 @@
 
 using json = nlohmann::json;
 
-/// Content type under which a completion is kept; it never leaves the system.
+/// Content type of a kept completion; never sent to callers.
 constexpr std::string_view keptCompletionType = "application/x-poplarspool-completion";
 
-/// Hex digits of a body's hash: 128 bits, and half the bytes of a claim.
+/// Hex digits of a body's hash: 128 bits, half the size of the full hash in each claim.
 constexpr std::size_t hashDigits = 32;
 
 std::string hashOfParts(std::initializer_list<std::string_view> parts)
@@ -45,7 +45,7 @@
 {
     const json body = parseJson(kept.body);
     if (body.is_discarded())
-        return sink.fail(mayHaveRun(error_code::Duplicate, "the kept answer can't be read"));
+        return sink.fail(mayHaveRun(error_code::Duplicate, "the kept answer is unreadable"));
     if (!sink.token(body.at("text").get<std::string>()))
         return;
     sink.finish({body.at("finish_reason").get<std::string>(),
@@ -53,8 +53,9 @@
                  body.at("output_tokens").get<std::uint32_t>()});
 }
 
-/// Tells the answer book how a claimed attempt has ended. One that ends in no known way counts as
-/// lost: left "running", its duplicates would wait for an answer that never comes.
+/// Records in the answer_table how a claimed attempt ended. An attempt destroyed without an outcome
+/// is recorded as lost: if it stayed "running", its duplicates would wait for an answer that never
+/// comes.
 class claimed_attempt
 {
 public:
@@ -109,7 +110,8 @@
     std::string whole;
     const auto outcome = runCompletion(request, admission, [&](const std::string &text) {
         whole += text;
-        // The run goes on when its caller has gone: the caller's next try gets this answer.
+        // The run continues after its caller has disconnected: the caller's next attempt gets this
+        // answer.
         sink.token(text);
         return true;
     });
--- a/src/node/request_path.cpp
+++ b/src/node/request_path.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// When a caller should come back to an instance that can't take work just now.
+/// Retry-After for callers that this instance can't serve at the moment.
 constexpr milliseconds retryAfterTime{1000};
 
 /// Counts a request while it is open.
@@ -28,8 +28,8 @@
     std::atomic<std::uint32_t> &count;
 };
 
-/// Hands a runner's reply on to the caller, and keeps a copy where one is wanted. A kept reply is
-/// read to its end even when its caller has gone: the caller's next try gets it.
+/// Forwards a runner's reply to the caller, and copies it to `kept` if that is given. A kept reply
+/// is read to its end even after its caller has disconnected: the caller's next attempt gets it.
 class reply_forwarder
 {
 public:
@@ -97,9 +97,11 @@
     if (streams.load(std::memory_order_relaxed) > dependencies.maxStreams)
         return notRun(error_code::Overloaded, "too many open requests", retryAfterTime);
     if (!admission.seen->fleet || !admission.seen->book)
-        return notRun(error_code::Unavailable, "no configuration yet", retryAfterTime);
+        return notRun(error_code::Unavailable, "this instance has no configuration yet",
+                      retryAfterTime);
     if (!policy::isFresh(*admission.seen, clock.mono()))
-        return notRun(error_code::Unavailable, "this instance can't confirm its configuration",
+        return notRun(error_code::Unavailable,
+                      "this instance can't confirm that its configuration is current",
                       retryAfterTime);
     const policy::rules &rules = *admission.seen->book;
     const result<caller_id> callerId = policy::admitCaller(rules, head.bearerKey);
@@ -108,7 +110,7 @@
     facts.caller = valueOf(callerId).isValid() ? valueOf(callerId) : head.caller;
     facts.workspace = head.workspace;
     if (valueOf(callerId).isValid() && !policy::mayUse(rules, valueOf(callerId), head.workspace))
-        return notRun(error_code::Forbidden, "this caller may not act for that workspace");
+        return notRun(error_code::Forbidden, "this caller may not use that workspace");
     admission.ruling = policy::rulingOf(rules, facts);
     admission.facts = std::move(facts);
     if (admission.ruling.needsKey && head.idempotencyKey.empty())
@@ -127,7 +129,7 @@
     answer.addresses = policy::rankAddresses(*now, zone, dispatch.nextSpread());
     answer.keepTime = now->book ? now->book->addressKeepTime : config::addressKeepTime;
     if (answer.addresses.empty())
-        return notRun(error_code::Unavailable, "no instance takes callers", retryAfterTime);
+        return notRun(error_code::Unavailable, "no instance accepts callers", retryAfterTime);
     return answer;
 }
 
@@ -161,7 +163,8 @@
         if (!succeeded(choice)) {
             if (errorOf(choice).code == error_code::TimedOut || !tries.mayHaveBegun())
                 return errorOf(choice);
-            // A stream that has begun is owed its rest: look again while its time limit lasts.
+            // A stream that has begun must be completed, so choosing is retried within its time
+            // limit.
             tries.forgetFailures();
             std::this_thread::sleep_for(config::resumePause);
             continue;
@@ -184,7 +187,7 @@
     }
 }
 
-/// Refused work counts too: it is what the planner has too few engines for.
+/// Refused requests count too: they show the planner that there are too few engines.
 void request_path::recordDemand(const policy::view &now, const policy::route_request &wanted)
 {
     for (const policy::runner_spec &spec : now.fleet->runners) {
@@ -301,10 +304,11 @@
         const std::optional<error> ending = tries.onFailure(to, errorOf(outcome), rest::NotBegun);
         if (ending)
             return *ending;
-        // A reply that broke after its head can't be begun again. The sink goes without end(), so
-        // that the caller sees a broken reply and not a short one.
+        // A reply that failed after its head can't be started again. The sink is closed without
+        // end(), so that the caller sees an incomplete reply and not a short one.
         if (forwarder.hasBegun())
-            return mayHaveRun(error_code::Broken, "the runner's reply broke");
+            return mayHaveRun(error_code::Broken,
+                              "the runner's reply ended before it was complete");
     }
 }
 
--- a/src/node/request_path.h
+++ b/src/node/request_path.h
@@ -19,16 +19,16 @@
 #include <string>
 #include <vector>
 
-/// What happens to a request between its caller and its runner: admission, claim, route, try, try
-/// again, resume.
+/// Handles a request between its caller and its runner: admission, claim, routing, tries, retries
+/// and resumption.
 namespace poplarspool::node {
 
 struct request_needs
 {
     instance_id self;
     zone_id zone;
-    std::uint32_t maxStreams = 0; ///< Requests open at once; more are refused.
-    /// @returns Whether this instance takes no new work any more.
+    std::uint32_t maxStreams = 0; ///< Maximum number of open requests; more are refused.
+    /// @returns Whether this instance no longer accepts new work.
     std::function<bool()> isClosed;
 };
 
@@ -79,7 +79,7 @@
     dispatcher dispatch;
     counter &resumed;
     std::atomic<std::uint32_t> streams{0};
-    std::atomic<std::uint64_t> tieBreaker{0}; ///< Breaks ties between equal runners.
+    std::atomic<std::uint64_t> tieBreaker{0}; ///< Breaks ties between equally ranked runners.
 };
 
 } // namespace poplarspool::node
--- a/src/node/try_series.cpp
+++ b/src/node/try_series.cpp
@@ -11,7 +11,8 @@
     : retries(config::retryShare, config::retryBurst),
       retried(metrics.counterOf("poplarspool_retries_total")), views(views), sentWork(sentWork),
       clock(clock), events(events),
-      // Instances that began at the same number would all break ties towards the same runners.
+      // Seeded randomly: instances that started from the same number would all break ties in favour
+      // of the same runners.
       tieBreaker(hashOf(randomHex128()))
 { }
 
@@ -21,18 +22,20 @@
     for (;;) {
         const policy::view_ptr now = views.current();
         if (!now->fleet)
-            return notRun(error_code::Unavailable, "no configuration yet");
-        // Admission has looked already; but retries come later, and a process may have been frozen
+            return notRun(error_code::Unavailable, "this instance has no configuration yet");
+        // Admission has checked this, but retries come later, and the process may have been frozen
         // in between.
         if (!policy::isFresh(*now, clock.mono()))
-            return notRun(error_code::Unavailable, "this instance can't confirm its configuration");
+            return notRun(error_code::Unavailable,
+                          "this instance can't confirm that its configuration is current");
         wanted.avoid = avoid;
         result<chosen_runner> choice = chooseFrom(now, wanted);
         if (!succeeded(choice) || isStillOpen(valueOf(choice)))
             return choice;
-        // The runner was closed between the look and the choice: its planner may be about to order
-        // it, and the stream would be cut. Counted in before this check, the try either sees the
-        // closed runner here or holds this instance's acknowledgement back.
+        // The runner was closed between reading the view and counting the try: its planner may be
+        // about to send it an order, which would cut the stream. Because the try is counted before
+        // this check, either the check sees the closed runner, or the open try delays this
+        // instance's acknowledgement.
     }
 }
 
@@ -90,8 +93,8 @@
     return std::chrono::duration_cast<milliseconds>(admission.deadline - dispatch.now());
 }
 
-/// Once a runner may have begun the request, no later "not run" of another one is true of the
-/// whole.
+/// Once a runner may have started the request, a later "not run" of another runner is not true of
+/// the request as a whole.
 error try_series::verdictOf(error failure) const
 {
     if (hasStarted)
@@ -108,7 +111,7 @@
     }
     wanted.timeLeft = timeLeft();
     if (wanted.timeLeft <= milliseconds(0))
-        return verdictOf(notRun(error_code::TimedOut, "the time limit has passed"));
+        return verdictOf(notRun(error_code::TimedOut, "the request's time limit has passed"));
     auto choice = dispatch.choose(wanted, avoid);
     if (!succeeded(choice))
         return verdictOf(errorOf(choice));
@@ -128,9 +131,9 @@
     if (!dispatch.retries.tryTake()) {
         if (progress == rest::NotBegun)
             return whole;
-        // When a third of the engines vanish, the budget is used up at once, and refusing the rest
-        // of a stream would cut an answer that its caller has half of. The pause, and the bound on
-        // tries, keep these few from becoming a storm.
+        // When a third of the engines fail at once, the retry budget is used up immediately, and
+        // refusing the try would cut an answer that its caller has received in part. The pause and
+        // the limit on tries keep these retries from overloading the remaining engines.
         std::this_thread::sleep_for(config::resumePause * triesMade);
     }
     dispatch.retried.add();
--- a/src/node/try_series.h
+++ b/src/node/try_series.h
@@ -14,22 +14,23 @@
 #include <optional>
 #include <vector>
 
-/// The tries of one request: where each goes, and whether another follows a failure.
+/// The tries of one request: which runner each is sent to, and whether a failed one is followed by
+/// another.
 namespace poplarspool::node {
 
-/// A request that was let in, with what the rules say of it.
+/// An admitted request with the ruling of the rules on it.
 struct admitted
 {
-    policy::view_ptr seen; ///< The view that let it in.
+    policy::view_ptr seen; ///< The view under which it was admitted.
     policy::request_facts facts;
     policy::request_ruling ruling;
     mono_time deadline{};
 };
 
-/// Where one try goes.
+/// The runner chosen for one try.
 struct chosen_runner
 {
-    policy::view_ptr seen; ///< The view of the choice.
+    policy::view_ptr seen; ///< The view under which the runner was chosen.
     runner_handle runner;
     std::shared_ptr<open_work> work; ///< Counts the try while it is open.
 
@@ -43,15 +44,17 @@
     dispatcher(view_hub &views, work_ledger &sentWork, const clock_source &clock,
                metrics_registry &metrics, journal &events);
 
-    /// Chooses a runner that is open for work at the moment of the choice, and counts the try in.
+    /// Chooses a runner that is open for work at the time of the choice, and counts the try as sent
+    /// to it.
     result<chosen_runner> choose(policy::route_request wanted,
                                  const std::vector<runner_handle> &avoid);
-    /// Writes the failure down; a runner that can't be reached gets nothing for a while.
+    /// Logs the failure, and ejects a runner that can't be reached: it is not chosen for a while.
     void noteFailure(const chosen_runner &choice, const request_id &request, const error &failure);
 
     policy::view_ptr current() const { return views.current(); }
     mono_time now() const { return clock.mono(); }
-    /// @returns A number that differs between requests, to spread them over equals.
+    /// @returns A number that differs between requests, to distribute them among equally ranked
+    ///          runners.
     std::uint64_t nextSpread() { return tieBreaker.fetch_add(1, std::memory_order_relaxed); }
 
     policy::retry_budget retries;
@@ -69,7 +72,7 @@
     std::atomic<std::uint64_t> tieBreaker{0};
 };
 
-/// Whether the caller has a part of its answer already and is owed the rest.
+/// Whether the caller has received part of its answer and must be sent the remainder.
 enum class rest { NotBegun, Owed };
 
 class try_series
@@ -77,20 +80,21 @@
 public:
     try_series(dispatcher &dispatch, const admitted &admission, request_id request);
 
-    /// @returns Where the next try goes, with `wanted.timeLeft` set to what is left; or how the
-    ///          request ends, its verdict true of all tries so far.
+    /// @returns The runner of the next try, with `wanted.timeLeft` set to the remaining time; or
+    ///          the request's final error, whose verdict covers all tries so far.
     result<chosen_runner> next(policy::route_request &wanted);
 
-    /// Takes in that a try failed.
-    /// @returns How the request ends; none where another try may follow.
-    /// @attention Pauses before the rest of a stream is tried again without a retry in the budget.
+    /// Records a failed try.
+    /// @returns The request's final error; none if another try may follow.
+    /// @attention Sleeps before a try that completes a partly sent stream without a token of the
+    ///            retry budget.
     std::optional<error> onFailure(const chosen_runner &choice, const error &failure,
                                    rest progress);
 
     bool isFirst() const { return triesMade == 0; }
-    /// @returns Whether a runner may have begun this request.
+    /// @returns Whether a runner may have started to execute this request.
     bool mayHaveBegun() const { return hasStarted; }
-    /// Lets runners that failed before be chosen again.
+    /// Allows runners that failed before to be chosen again.
     void forgetFailures() { avoid.clear(); }
 
 private:
@@ -103,7 +107,8 @@
     std::uint32_t triesMade = 0;
     bool hasStarted = false;
     std::vector<runner_handle> avoid;
-    std::shared_ptr<const policy::inventory> avoidFleet; ///< To which the handles belong.
+    std::shared_ptr<const policy::inventory>
+            avoidFleet; ///< The fleet to which the handles in `avoid` belong.
 };
 
 } // namespace poplarspool::node
--- a/src/node/watched_sync.cpp
+++ b/src/node/watched_sync.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Marks the runners that an order in work has taken out of service.
+/// Marks the runners that an order in progress has taken out of service.
 void markReserved(policy::view &draft, const std::map<std::string, platform::object> &objects,
                   const std::string &headKey)
 {
@@ -79,7 +79,7 @@
     const std::lock_guard lock(guard);
     const auto found = bodies.find(request.sha256);
     if (found == bodies.end())
-        return notRun(error_code::NotFound, "no such configuration body here");
+        return notRun(error_code::NotFound, "this instance does not have that configuration body");
     return peer::body_reply{found->second};
 }
 
@@ -139,8 +139,9 @@
     if (!succeeded(answer))
         return false;
     const platform::object_list &changes = valueOf(answer);
-    // A watch that waited in vain says that nothing changed until `asked + wait`. The time of its
-    // arrival says less: this process may have been frozen while the answer lay in its socket.
+    // A watch that timed out without changes confirms that nothing changed until `asked + wait`.
+    // The time at which its answer is read must not be used: the process may have been frozen while
+    // the answer was in its socket.
     const bool isUnchanged = isWatch && changes.objects.empty();
     if (!applyUpdate(changes.objects, 0, isUnchanged ? asked + wait : asked))
         return false;
@@ -175,7 +176,8 @@
         if (other.appliedVersion == 0 || other.appliedVersion < known)
             break;
         if (other.appliedVersion == known) {
-            // Same version, so what the store confirmed to that peer it confirmed of our view too.
+            // The versions are equal, so a confirmation that the store gave to that peer holds for
+            // this view too.
             confirmedByPeers = std::max(confirmedByPeers, other.confirmedAt);
             continue;
         }
@@ -192,8 +194,8 @@
         applyUpdate({}, known, confirmedByPeers);
 }
 
-/// Works an update in. Each object only ever moves to a higher version, so an answer that comes
-/// late or crossed can't bring an older configuration back.
+/// Applies an update. Objects only move to higher versions, so an answer that arrives late or out
+/// of order can't bring back an older configuration.
 bool watched_sync::applyUpdate(const std::vector<platform::object> &changed,
                                std::uint64_t completeTo, mono_time confirmedNow)
 {
@@ -258,7 +260,7 @@
     return true;
 }
 
-/// Fetches and reads the configuration that a head names.
+/// Fetches and parses the configuration that a head refers to.
 std::optional<watched_sync::loaded_config> watched_sync::load(const platform::object &head)
 {
     const auto parsed = operators::parseConfigHead(head.value);
@@ -275,7 +277,7 @@
     const auto *goodFleet = std::get_if<policy::inventory>(&fleet);
     const auto *goodRules = std::get_if<policy::rules>(&rules);
     if (!goodFleet || !goodRules) {
-        reject("texts do not pass the check");
+        reject("the inventory or the rules are invalid");
         return std::nullopt;
     }
     const std::lock_guard lock(guard);
@@ -291,7 +293,8 @@
     events.emit("config_rejected", {{"reason", reason}});
 }
 
-/// Bodies are named by their content, so a copy from anywhere is as good once its hash fits.
+/// Bodies are addressed by their content hash, so a copy from any source is valid if its hash
+/// matches.
 result<std::string> watched_sync::findBody(const std::string &sha256)
 {
     const auto own = bodyFor({sha256});
@@ -305,7 +308,8 @@
         if (succeeded(reply) && sha256Hex(valueOf(reply).content) == sha256)
             return valueOf(reply).content;
     }
-    return notRun(error_code::Unavailable, "configuration body not found");
+    return notRun(error_code::Unavailable,
+                  "configuration body found neither in the store nor at a peer");
 }
 
 void watched_sync::pause(milliseconds time)
--- a/src/node/watched_sync.h
+++ b/src/node/watched_sync.h
@@ -18,21 +18,23 @@
 #include <vector>
 
 /// Keeps this instance's copy of the watched objects (the configuration head and the order records)
-/// up to date, from the store or from peers, and publishes what they say as views.
+/// up to date, from the store or from peers, and publishes their content in views.
 namespace poplarspool::node {
 
-/// What the sync takes from the rest of the instance.
+/// What watched_sync needs from the other components of the instance.
 struct sync_needs
 {
     std::string deployment;
-    /// Peers to ask, this instance not among them.
+    /// Peers that can be queried, without this instance.
     std::function<std::vector<policy::member>()> peers;
     std::function<result<peer::watched_reply>(const endpoint &, const peer::watched_ask &)>
             askState;
     std::function<result<peer::body_reply>(const endpoint &, const peer::body_ask &)> askBody;
-    /// @returns Whether this instance watches the store itself; the others learn from those who do.
+    /// @returns Whether this instance watches the store itself; the others get changes from those
+    ///          that do.
     std::function<bool()> isWatcher;
-    /// Told of each advance: complete up to that version, confirmed as of that time.
+    /// Called at each advance: the view is complete up to `appliedVersion` and was confirmed at
+    /// `confirmedAt`.
     std::function<void(std::uint64_t appliedVersion, mono_time confirmedAt)> onApplied;
 };
 
@@ -45,22 +47,23 @@
     void start();
     void stop();
 
-    /// The answer to a peer that asks for what is newer than it knows.
+    /// @returns The objects newer than the version that the requesting peer knows.
     peer::watched_reply replyTo(const peer::watched_ask &request) const;
     result<peer::body_reply> bodyFor(const peer::body_ask &request) const;
 
-    /// @returns Up to which store version the published view is complete; 0: nothing known yet.
+    /// @returns The store version up to which the published view is complete; 0 if nothing is known
+    ///          yet.
     std::uint64_t appliedVersion() const;
-    /// @returns When the store last confirmed, to this instance or to a peer, that nothing newer
-    ///          was there.
+    /// @returns When the store last confirmed, to this instance or to a peer, that there was
+    ///          nothing newer.
     mono_time confirmedAt() const;
-    /// @returns Both of the above as of one moment.
+    /// @returns Both of the above, read atomically.
     std::pair<std::uint64_t, mono_time> progress() const;
 
 private:
     using object_map = std::map<std::string, platform::object>;
 
-    /// A configuration as it was read from its bodies.
+    /// A configuration parsed from its bodies.
     struct loaded_config
     {
         std::shared_ptr<const policy::inventory> fleet;
@@ -88,13 +91,13 @@
     counter &rejected;
 
     mutable std::mutex guard;
-    std::mutex applyLock; ///< One update is worked in at a time.
+    std::mutex applyLock; ///< Serializes updates.
     std::condition_variable wake;
     object_map objects;
-    std::map<std::string, std::string> bodies; ///< By SHA-256, of the present configuration.
+    std::map<std::string, std::string> bodies; ///< By SHA-256; bodies of the current configuration.
     std::uint64_t completeVersion = 0;
-    bool hasListed = false; ///< The store's list was taken in; from then on it is watched.
-    std::uint64_t cursor = 0; ///< Store version from which the next watch asks.
+    bool hasListed = false; ///< The store's list was applied; from then on the store is watched.
+    std::uint64_t cursor = 0; ///< Store version after which the next watch asks for changes.
     mono_time confirmed{};
     bool isStopping = false;
     std::thread storeThread;
--- a/src/node/work_ledger.cpp
+++ b/src/node/work_ledger.cpp
@@ -6,7 +6,7 @@
 
 open_work::open_work(slot_ptr slot, std::uint32_t promptTokens) : slot(std::move(slot))
 {
-    // Sequentially consistent: see work_ledger::hasWorkOnItsWayToClosed().
+    // Sequentially consistent: see sent_work_table::hasUnansweredWorkAtClosedRunner().
     this->slot->unanswered.fetch_add(1);
     this->slot->open.fetch_add(1, std::memory_order_relaxed);
     this->slot->sent.fetch_add(1, std::memory_order_relaxed);
@@ -83,10 +83,10 @@
                                std::memory_order_relaxed);
 }
 
-/// A request counts itself in, and only then looks whether its runner is still open; here the view
-/// is published first, and the counts are read then. So one of the two sees the other, and no
-/// request decided on an older view reaches a runner after this instance acknowledged the newer
-/// one.
+/// A request first increments the count and then checks whether its runner is still open; here the
+/// view is published first and the counts are read afterwards. So at least one of the two sees the
+/// other, and no request routed under an older view reaches a runner after this instance has
+/// acknowledged the newer one.
 bool work_ledger::hasWorkOnItsWayToClosed(const policy::view &now)
 {
     if (!now.fleet)
--- a/src/node/work_ledger.h
+++ b/src/node/work_ledger.h
@@ -9,28 +9,30 @@
 #include <span>
 #include <vector>
 
-/// Counts what this instance has sent to each runner, because a load report lags behind it: without
-/// the correction a burst would all go to the runner that was emptiest when it last reported.
+/// Counts the work that this instance has sent to each runner, because load reports lag behind it.
+/// Without this correction all requests of a burst would be sent to the runner that was least
+/// loaded at its last report.
 namespace poplarspool::node {
 
-/// Work sent to one runner. Shared by ledgers of successive fleets, so that a request which ends
-/// after a change of the inventory is counted where it began.
+/// Work sent to one runner. Shared by the tables of successive fleets, so that a request which ends
+/// after a change of the inventory is counted at the slot where it started.
 struct ledger_slot
 {
     std::atomic<std::uint32_t> open{0};
-    /// Requests that were chosen for this runner and have not heard from it yet: they may still be
-    /// on their way to it.
+    /// Requests for which this runner was chosen and that it has not answered yet: they may still
+    /// be on their way to it.
     std::atomic<std::uint32_t> unanswered{0};
-    std::atomic<std::uint64_t> sent{0}; ///< Requests, since ever.
-    std::atomic<std::uint64_t> sentTokens{0}; ///< Prompt tokens, since ever.
-    std::atomic<std::uint64_t> sentAtReport{0}; ///< `sent` when the last report came.
+    std::atomic<std::uint64_t> sent{0}; ///< Requests, since the slot was created.
+    std::atomic<std::uint64_t> sentTokens{0}; ///< Prompt tokens, since the slot was created.
+    std::atomic<std::uint64_t> sentAtReport{0}; ///< `sent` at the time of the last report.
     std::atomic<std::uint64_t> tokensAtReport{0};
-    std::atomic<std::int64_t> avoidUntilNs{0}; ///< Monotonic; after a refused connection.
+    std::atomic<std::int64_t> avoidUntilNs{
+            0}; ///< Monotonic time until which the runner is ejected after a refused connection.
 };
 
 using slot_ptr = std::shared_ptr<ledger_slot>;
 
-/// One open request at one runner; closes its entry when it goes out of scope.
+/// One open request at one runner; counted until destruction.
 class open_work
 {
 public:
@@ -39,7 +41,8 @@
     open_work(const open_work &) = delete;
     open_work &operator=(const open_work &) = delete;
 
-    /// The runner has answered something: nothing of this request is on its way to it any more.
+    /// The runner has sent part of its answer: nothing of this request is on its way to it any
+    /// more.
     void onAnswer();
 
 private:
@@ -50,13 +53,13 @@
 class work_ledger
 {
 public:
-    /// @returns Slots in the order of the view's fleet; made anew where the fleet has changed.
+    /// @returns Slots in the order of the view's fleet; rebuilt if the fleet has changed.
     std::shared_ptr<const std::vector<slot_ptr>> slotsOf(const policy::view &now);
 
-    /// Fills one entry per runner of the view.
+    /// Fills in one entry per runner of the view.
     void snapshot(const policy::view &now, std::vector<policy::sent_work> &into);
 
-    /// A report of that runner has come: later sends count as not yet seen by it.
+    /// Called when a report of that runner arrives: requests sent later are not included in it.
     void onReport(const policy::view &now, runner_handle runner);
 
     slot_ptr slotOf(const policy::view &now, runner_handle runner);
--- a/tests/node/claim_writer_test.cpp
+++ b/tests/node/claim_writer_test.cpp
@@ -10,21 +10,21 @@
 class claim_writer_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(claim_writer_test);
-    CPPUNIT_TEST(readsWhatItWrote);
-    CPPUNIT_TEST(refusesWhatIsNoSegment);
-    CPPUNIT_TEST(writesABatchAtOnce);
-    CPPUNIT_TEST(keepsClaimsOfAnotherWriter);
-    CPPUNIT_TEST(findsItsClaimAfterALostAnswer);
-    CPPUNIT_TEST(failsWhereTheWriteStaysUndecided);
-    CPPUNIT_TEST(replacesOnlyTheDeadNonce);
-    CPPUNIT_TEST(refusesWhenTheBucketIsFull);
-    CPPUNIT_TEST(dropsOldClaimsWithTheNextWrite);
-    CPPUNIT_TEST(keepsClaimsWhenTheWallClockJumps);
-    CPPUNIT_TEST(neverWritesOverWhatItCannotRead);
+    CPPUNIT_TEST(segmentSurvivesSerialization);
+    CPPUNIT_TEST(malformedSegmentIsRejected);
+    CPPUNIT_TEST(batchTakesOneWrite);
+    CPPUNIT_TEST(claimsOfAnotherWriterAreKept);
+    CPPUNIT_TEST(claimIsFoundAfterLostAnswer);
+    CPPUNIT_TEST(undecidedWriteIsReportedAsNotRun);
+    CPPUNIT_TEST(onlySupersededNonceIsReplaced);
+    CPPUNIT_TEST(fullBucketRefusesNewClaims);
+    CPPUNIT_TEST(expiredClaimsAreDroppedWithNextWrite);
+    CPPUNIT_TEST(wallClockJumpDropsNoClaims);
+    CPPUNIT_TEST(unreadableSegmentIsNotOverwritten);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void readsWhatItWrote()
+    void segmentSurvivesSerialization()
     {
         claim_segment segment;
         segment.claims["k1"] = {"b1", "n1", {"i1"}, -1};
@@ -33,7 +33,7 @@
         CPPUNIT_ASSERT(segment == valueOf(parseClaimSegment(textOf(segment))));
     }
 
-    void refusesWhatIsNoSegment()
+    void malformedSegmentIsRejected()
     {
         for (const char *text :
              {"", "[]", "{}", R"({"format":2,"owners":[],"claims":[]})",
@@ -47,56 +47,58 @@
         }
     }
 
-    void writesABatchAtOnce()
+    void batchTakesOneWrite()
     {
-        writer_bench a(shared, clock(), "a");
-        const auto outcomes = a.write({wish("k1", "n1"), wish("k2", "n2"), wish("k1", "n3")});
+        writer_fixture a(shared, clock(), "a");
+        const auto outcomes =
+                a.write({makeClaim("k1", "n1"), makeClaim("k2", "n2"), makeClaim("k1", "n3")});
         CPPUNIT_ASSERT_EQUAL(std::string("n1"), valueOf(outcomes[0]).nonce);
         CPPUNIT_ASSERT_EQUAL(std::string("n2"), valueOf(outcomes[1]).nonce);
         CPPUNIT_ASSERT_EQUAL(std::string("n1"), valueOf(outcomes[2]).nonce);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), shared.putCount());
-        a.write({wish("k1", "n4")});
+        a.write({makeClaim("k1", "n4")});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), shared.putCount());
     }
 
-    // Two callers with one key see one run: the second batcher of the bucket writes while the first
-    // one believes that nothing has changed. The first one's write conflicts, it reads again, and
-    // finds the claim that stands.
-    void keepsClaimsOfAnotherWriter()
+    // Guards against one key running twice when two batchers write the same bucket. The first
+    // batcher writes with an outdated cache; its write conflicts, it reads again and finds the
+    // other's claim.
+    void claimsOfAnotherWriterAreKept()
     {
-        writer_bench a(shared, clock(), "a");
-        writer_bench b(shared, clock(), "b");
-        a.write({wish("k1", "a1")});
-        CPPUNIT_ASSERT_EQUAL(std::string("b1"), b.nonceOf(wish("k2", "b1")));
-        CPPUNIT_ASSERT_EQUAL(std::string("b1"), a.nonceOf(wish("k2", "a2")));
-        CPPUNIT_ASSERT_EQUAL(std::string("a1"), b.nonceOf(wish("k1", "b2")));
+        writer_fixture a(shared, clock(), "a");
+        writer_fixture b(shared, clock(), "b");
+        a.write({makeClaim("k1", "a1")});
+        CPPUNIT_ASSERT_EQUAL(std::string("b1"), b.nonceOf(makeClaim("k2", "b1")));
+        CPPUNIT_ASSERT_EQUAL(std::string("b1"), a.nonceOf(makeClaim("k2", "a2")));
+        CPPUNIT_ASSERT_EQUAL(std::string("a1"), b.nonceOf(makeClaim("k1", "b2")));
     }
 
-    // The caller sees its request run once: the claim's write takes effect, its answer is lost, and
-    // reading back shows our nonce.
-    void findsItsClaimAfterALostAnswer()
+    // Guards against a request failing, or running twice, when the claim's write takes effect and
+    // its answer is lost: the writer reads the bucket again and recognizes its nonce.
+    void claimIsFoundAfterLostAnswer()
     {
-        // The store's client backs off after the lost answer: its clock must go on.
+        // The store's client backs off after the lost answer, so its clock must advance.
         tick = milliseconds(1);
-        writer_bench a(shared, clock(), "a");
+        writer_fixture a(shared, clock(), "a");
         int left = 1;
         shared.fateOf = [&] { return left-- > 0 ? write_fate::AnswerLost : write_fate::Answered; };
-        CPPUNIT_ASSERT_EQUAL(std::string("n1"), a.nonceOf(wish("k1", "n1")));
+        CPPUNIT_ASSERT_EQUAL(std::string("n1"), a.nonceOf(makeClaim("k1", "n1")));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), shared.putCount());
     }
 
-    // The caller sees a true "not run": its claim's write is still on its way when time is up, so
-    // the attempt does not dispatch. The write takes effect later; the next attempt finds the dead
-    // nonce, and takes the key over once the owner has said that it never dispatched.
-    void failsWhereTheWriteStaysUndecided()
+    // A write that is still undecided at the deadline is reported as not run, so the attempt must
+    // not be dispatched. The write takes effect later; the next attempt finds its nonce, and
+    // supersedes it once the owner has confirmed that it was never dispatched.
+    void undecidedWriteIsReportedAsNotRun()
     {
-        writer_bench a(shared, clock(), "a");
+        writer_fixture a(shared, clock(), "a");
         shared.fateOf = [this] {
             shared.isCutOff = true;
             return write_fate::Held;
         };
         now += milliseconds(1);
-        const auto first = a.writer.write({wish("k1", "dead")}, now + milliseconds(1), noPause);
+        const auto first =
+                a.writer.write({makeClaim("k1", "dead")}, now + milliseconds(1), noPause);
         CPPUNIT_ASSERT(!succeeded(first[0]));
         CPPUNIT_ASSERT(errorOf(first[0]).ran == verdict::NotRun);
         CPPUNIT_ASSERT(errorOf(first[0]).retryAfter);
@@ -105,25 +107,25 @@
         shared.fateOf = [] { return write_fate::Answered; };
         shared.deliverHeld();
         now += milliseconds(1000);
-        CPPUNIT_ASSERT_EQUAL(std::string("dead"), a.nonceOf(wish("k1", "n2")));
-        CPPUNIT_ASSERT_EQUAL(std::string("n3"), a.nonceOf(wish("k1", "n3", "dead")));
+        CPPUNIT_ASSERT_EQUAL(std::string("dead"), a.nonceOf(makeClaim("k1", "n2")));
+        CPPUNIT_ASSERT_EQUAL(std::string("n3"), a.nonceOf(makeClaim("k1", "n3", "dead")));
     }
 
-    // Two attempts that take the same dead claim over: one of them gets it. The other one names a
-    // nonce that stands no more, and is shown the one that does.
-    void replacesOnlyTheDeadNonce()
+    // When two attempts supersede the same claim, only one succeeds. The other names a nonce that
+    // is no longer in force, and gets the claim that is.
+    void onlySupersededNonceIsReplaced()
     {
-        writer_bench a(shared, clock(), "a");
-        writer_bench b(shared, clock(), "b");
-        a.write({wish("k1", "dead")});
-        CPPUNIT_ASSERT_EQUAL(std::string("dead"), b.nonceOf(wish("k1", "x")));
-        CPPUNIT_ASSERT_EQUAL(std::string("a2"), a.nonceOf(wish("k1", "a2", "dead")));
-        CPPUNIT_ASSERT_EQUAL(std::string("a2"), b.nonceOf(wish("k1", "b2", "dead")));
+        writer_fixture a(shared, clock(), "a");
+        writer_fixture b(shared, clock(), "b");
+        a.write({makeClaim("k1", "dead")});
+        CPPUNIT_ASSERT_EQUAL(std::string("dead"), b.nonceOf(makeClaim("k1", "x")));
+        CPPUNIT_ASSERT_EQUAL(std::string("a2"), a.nonceOf(makeClaim("k1", "a2", "dead")));
+        CPPUNIT_ASSERT_EQUAL(std::string("a2"), b.nonceOf(makeClaim("k1", "b2", "dead")));
     }
 
-    // The caller sees 503, "not run" and when to come back: the bucket can take no more claims, and
-    // dropping one that stands would let its request run again. Those that stand are still told.
-    void refusesWhenTheBucketIsFull()
+    // A full bucket refuses new claims with 503, "not run" and a retry time, because dropping an
+    // existing claim would let its request run again. Existing claims are still returned.
+    void fullBucketRefusesNewClaims()
     {
         const std::string wide(config::maxNameBytes, 'x');
         claim_segment full;
@@ -136,13 +138,13 @@
             full.claims["k" + std::to_string(1000000 + i)] = {wide, "n", {"i"}, 0};
         CPPUNIT_ASSERT(textOf(full).size() <= config::maxObjectBytes);
         shared.set(objectKey, textOf(full));
-        const std::string standing = full.claims.begin()->first;
+        const std::string existing = full.claims.begin()->first;
 
-        writer_bench a(shared, clock(), "a");
-        claim_wish large = wish("new", "n1");
+        writer_fixture a(shared, clock(), "a");
+        claim_wish large = makeClaim("new", "n1");
         large.ask.bodyHash = wide;
         large.ask.nonce = wide;
-        const auto outcomes = a.write({large, wish(standing, "n2")});
+        const auto outcomes = a.write({large, makeClaim(existing, "n2")});
         CPPUNIT_ASSERT(!succeeded(outcomes[0]));
         CPPUNIT_ASSERT(errorOf(outcomes[0]).code == error_code::Overloaded);
         CPPUNIT_ASSERT(errorOf(outcomes[0]).ran == verdict::NotRun);
@@ -151,61 +153,61 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), shared.putCount());
     }
 
-    void dropsOldClaimsWithTheNextWrite()
+    void expiredClaimsAreDroppedWithNextWrite()
     {
-        writer_bench a(shared, clock(), "a");
-        a.write({wish("old", "n1")});
-        now += keepTime;
-        a.write({wish("mid", "n2")});
+        writer_fixture a(shared, clock(), "a");
+        a.write({makeClaim("old", "n1")});
+        now += retentionTime;
+        a.write({makeClaim("mid", "n2")});
         CPPUNIT_ASSERT(isStored("old"));
         now += milliseconds(1);
-        a.write({wish("new", "n3")});
+        a.write({makeClaim("new", "n3")});
         CPPUNIT_ASSERT(!isStored("old"));
         CPPUNIT_ASSERT(isStored("mid"));
     }
 
-    // The caller's duplicate is not run a second time: the wall clock of the bucket's new batcher
-    // is a day ahead, so by it every claim is long past its time. It decides by how long it has
-    // itself seen the claim.
-    void keepsClaimsWhenTheWallClockJumps()
+    // Guards against a duplicate running when the wall clock of the bucket's new batcher is a day
+    // ahead, so that every claim looks expired by it. Expiry counts only for how long the batcher
+    // has observed the claim on its monotonic clock.
+    void wallClockJumpDropsNoClaims()
     {
-        writer_bench a(shared, clock(), "a");
-        a.write({wish("k1", "n1")});
+        writer_fixture a(shared, clock(), "a");
+        a.write({makeClaim("k1", "n1")});
         wall += std::chrono::hours(24);
-        now += keepTime + milliseconds(1);
-        writer_bench b(shared, clock(), "b");
-        CPPUNIT_ASSERT_EQUAL(std::string("n1"), b.nonceOf(wish("k1", "n2")));
-        b.write({wish("k2", "n3")});
+        now += retentionTime + milliseconds(1);
+        writer_fixture b(shared, clock(), "b");
+        CPPUNIT_ASSERT_EQUAL(std::string("n1"), b.nonceOf(makeClaim("k1", "n2")));
+        b.write({makeClaim("k2", "n3")});
         CPPUNIT_ASSERT(isStored("k1"));
     }
 
-    void neverWritesOverWhatItCannotRead()
+    void unreadableSegmentIsNotOverwritten()
     {
         shared.set(objectKey, R"({"format":2,"claims":"of a later release"})");
-        writer_bench a(shared, clock(), "a");
-        const auto outcomes = a.write({wish("k1", "n1")});
+        writer_fixture a(shared, clock(), "a");
+        const auto outcomes = a.write({makeClaim("k1", "n1")});
         CPPUNIT_ASSERT(!succeeded(outcomes[0]));
         CPPUNIT_ASSERT(errorOf(outcomes[0]).ran == verdict::NotRun);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), shared.putCount());
     }
 
 private:
-    static constexpr milliseconds keepTime = config::claimKeepTime;
+    static constexpr milliseconds retentionTime = config::claimKeepTime;
     static inline const std::string objectKey = "claims/0";
     static inline const claim_pause noPause = [](milliseconds) { return false; };
 
-    struct writer_bench
+    struct writer_fixture
     {
-        writer_bench(memory_store &shared, const clock_source &clock, const std::string &name)
+        writer_fixture(memory_store &shared, const clock_source &clock, const std::string &name)
             : clock(clock), client(shared, clock, name),
               writer(
-                      objectKey, client.store, [] { return keepTime; }, clock, client.metrics,
+                      objectKey, client.store, [] { return retentionTime; }, clock, client.metrics,
                       client.events)
         { }
 
-        std::vector<claim_outcome> write(const std::vector<claim_wish> &wishes)
+        std::vector<claim_outcome> write(const std::vector<claim_wish> &claims)
         {
-            return writer.write(wishes, clock.mono() + std::chrono::minutes(1), noPause);
+            return writer.write(claims, clock.mono() + std::chrono::minutes(1), noPause);
         }
 
         std::string nonceOf(const claim_wish &wanted) { return valueOf(write({wanted})[0]).nonce; }
@@ -215,10 +217,10 @@
         claim_writer writer;
     };
 
-    static claim_wish wish(const std::string &key, const std::string &nonce,
-                           std::optional<std::string> dead = std::nullopt)
+    static claim_wish makeClaim(const std::string &key, const std::string &nonce,
+                                std::optional<std::string> supersededNonce = std::nullopt)
     {
-        return {{key, "body", nonce, {"i1"}, 0}, std::move(dead)};
+        return {{key, "body", nonce, {"i1"}, 0}, std::move(supersededNonce)};
     }
 
     bool isStored(const std::string &key)
@@ -233,7 +235,7 @@
 
     memory_store shared;
     mono_time now{std::chrono::hours(1)};
-    milliseconds tick{0}; ///< By which each look at the clock moves it on.
+    milliseconds tick{0}; ///< Time by which each reading of the clock advances it.
     wall_time wall{};
 };
 
--- a/tests/node/claims_test.cpp
+++ b/tests/node/claims_test.cpp
@@ -16,48 +16,49 @@
 class claims_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(claims_test);
-    CPPUNIT_TEST(grantsOneNoncePerKey);
-    CPPUNIT_TEST(refusesMalformedAsks);
-    CPPUNIT_TEST(refusesAtOnceWhileTheStoreIsDown);
-    CPPUNIT_TEST(stepsPastADeadBatcher);
-    CPPUNIT_TEST(obeysABatcherThatRefuses);
-    CPPUNIT_TEST(takesOverAClaimThatCameLate);
-    CPPUNIT_TEST(runsEachKeyOnceWithTwoBatchersAndLostAnswers);
-    CPPUNIT_TEST(stopsWhoWaits);
+    CPPUNIT_TEST(oneNonceIsGrantedPerKey);
+    CPPUNIT_TEST(malformedRequestsAreRefused);
+    CPPUNIT_TEST(claimFailsAtOnceWhileStoreIsDown);
+    CPPUNIT_TEST(deadBatcherIsBypassed);
+    CPPUNIT_TEST(refusalOfBatcherIsFinal);
+    CPPUNIT_TEST(claimOfLateWriteIsSuperseded);
+    CPPUNIT_TEST(eachKeyRunsOnceWithTwoBatchersAndLostAnswers);
+    CPPUNIT_TEST(stopEndsWaitingClaims);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void grantsOneNoncePerKey()
+    void oneNonceIsGrantedPerKey()
     {
-        instance_bench a(shared, "a");
-        const auto first = a.claims.claim(ask("k1", "n1", "a"), soon());
-        const auto second = a.claims.claim(ask("k1", "n2", "a"), soon());
+        instance_fixture a(shared, "a");
+        const auto first = a.claims.claim(makeRequest("k1", "n1", "a"), soon());
+        const auto second = a.claims.claim(makeRequest("k1", "n2", "a"), soon());
         CPPUNIT_ASSERT_EQUAL(std::string("n1"), valueOf(first).nonce);
         CPPUNIT_ASSERT_EQUAL(std::string("n1"), valueOf(second).nonce);
         CPPUNIT_ASSERT(claimNameOf("a", "bc", "d") != claimNameOf("ab", "c", "d"));
     }
 
-    void refusesMalformedAsks()
+    void malformedRequestsAreRefused()
     {
-        instance_bench a(shared, "a");
+        instance_fixture a(shared, "a");
         for (const peer::claim_ask &bad :
-             {ask("", "n", "a"), ask("k", "", "a"), ask("k", "n", ""), ask("k\xff", "n", "a"),
-              ask(std::string(config::maxNameBytes + 1, 'k'), "n", "a")}) {
+             {makeRequest("", "n", "a"), makeRequest("k", "", "a"), makeRequest("k", "n", ""),
+              makeRequest("k\xff", "n", "a"),
+              makeRequest(std::string(config::maxNameBytes + 1, 'k'), "n", "a")}) {
             const auto outcome = a.claims.decide(bad, soon());
             CPPUNIT_ASSERT(errorOf(outcome).code == error_code::BadRequest);
         }
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), shared.putCount());
     }
 
-    // Callers see "not run" and when to come back, and see it without waiting: the store has asked
-    // its clients to stay away for long, and no attempt waits for a claim that can't come.
-    void refusesAtOnceWhileTheStoreIsDown()
+    // While the store asks its clients to back off for a long time, claims fail at once with "not
+    // run" and a retry time instead of waiting for a claim that can't be granted.
+    void claimFailsAtOnceWhileStoreIsDown()
     {
-        instance_bench a(shared, "a");
+        instance_fixture a(shared, "a");
         shared.busyFor = std::chrono::hours(2);
         const mono_time farAway = systemClock().mono() + std::chrono::hours(1);
         for (int i = 0; i < 3; ++i) {
-            const auto outcome = a.claims.claim(ask("k1", std::to_string(i), "a"), farAway);
+            const auto outcome = a.claims.claim(makeRequest("k1", std::to_string(i), "a"), farAway);
             CPPUNIT_ASSERT(!succeeded(outcome));
             CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::NotRun);
             CPPUNIT_ASSERT(errorOf(outcome).retryAfter);
@@ -65,35 +66,35 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), a.store.callsMade());
     }
 
-    // The caller sees its request run: the bucket's batcher is dead, and safety does not rest on
-    // it.
-    void stepsPastADeadBatcher()
+    // A dead batcher does not keep a request from running: the claim is decided locally, because
+    // correctness does not depend on the batcher.
+    void deadBatcherIsBypassed()
     {
-        instance_bench a(shared, "a");
+        instance_fixture a(shared, "a");
         a.batcher = endpoint{"127.0.0.1", 1};
         a.batcherAnswer = notRun(error_code::Unavailable, "connection refused");
-        const auto outcome = a.claims.claim(ask("k1", "n1", "a"), soon());
+        const auto outcome = a.claims.claim(makeRequest("k1", "n1", "a"), soon());
         CPPUNIT_ASSERT_EQUAL(std::string("n1"), valueOf(outcome).nonce);
     }
 
-    void obeysABatcherThatRefuses()
+    void refusalOfBatcherIsFinal()
     {
-        instance_bench a(shared, "a");
+        instance_fixture a(shared, "a");
         a.batcher = endpoint{"127.0.0.1", 1};
         a.batcherAnswer = notRun(error_code::Overloaded, "full", milliseconds(1000));
-        const auto outcome = a.claims.claim(ask("k1", "n1", "a"), soon());
+        const auto outcome = a.claims.claim(makeRequest("k1", "n1", "a"), soon());
         CPPUNIT_ASSERT(errorOf(outcome).code == error_code::Overloaded);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), a.store.callsMade());
     }
 
-    // The first try hears "not run", the second one runs. The first claim's write is on its way
-    // when that try gives up, and takes effect afterwards. Its owner still answers that this nonce
-    // was never dispatched, so the key is not burnt; and the first try can't run beside the second
-    // one.
-    void takesOverAClaimThatCameLate()
+    // The write of the first attempt's claim is held until that attempt has failed as not run, and
+    // takes effect afterwards. The owner reports the nonce as never dispatched, so the second
+    // attempt supersedes it and runs: the key stays usable, and the first attempt can't run
+    // alongside.
+    void claimOfLateWriteIsSuperseded()
     {
-        instance_bench a(shared, "a");
-        instance_bench b(shared, "b");
+        instance_fixture a(shared, "a");
+        instance_fixture b(shared, "b");
         link({&a, &b});
         shared.fateOf = [] { return write_fate::Held; };
         const auto first = a.guard.enter("k1", "body", systemClock().mono() + milliseconds(30));
@@ -108,12 +109,12 @@
     }
 
     // Callers send each key several times through two instances that both act as batcher of every
-    // bucket. A third of the store's answers are lost, and a tenth of its writes come late. Each
-    // key runs exactly once, and who isn't told "not run" gets that run's answer.
-    void runsEachKeyOnceWithTwoBatchersAndLostAnswers()
+    // bucket. A third of the store's answers are lost, and a tenth of its writes arrive late. Each
+    // key runs exactly once, and every caller gets either that run's answer or "not run".
+    void eachKeyRunsOnceWithTwoBatchersAndLostAnswers()
     {
-        instance_bench a(shared, "a");
-        instance_bench b(shared, "b");
+        instance_fixture a(shared, "a");
+        instance_fixture b(shared, "b");
         link({&a, &b});
         std::mt19937 random(7);
         shared.fateOf = [&] {
@@ -124,14 +125,14 @@
         };
         constexpr int keyCount = 24;
         std::array<std::atomic<int>, keyCount> runs{};
-        std::atomic<int> falseAnswers{0};
+        std::atomic<int> wrongAnswers{0};
         std::vector<std::thread> callers;
         for (int thread = 0; thread < 6; ++thread) {
-            instance_bench &through = thread % 2 == 0 ? a : b;
+            instance_fixture &through = thread % 2 == 0 ? a : b;
             callers.emplace_back([&, thread] {
                 for (int i = 0; i < keyCount; ++i) {
                     const int key = (i + thread) % keyCount;
-                    callUntilAnswered(through, key, runs, falseAnswers);
+                    callUntilAnswered(through, key, runs, wrongAnswers);
                     if (i % 8 == 0)
                         shared.deliverHeld();
                 }
@@ -141,19 +142,19 @@
             caller.join();
         for (const auto &count : runs)
             CPPUNIT_ASSERT_EQUAL(1, count.load());
-        CPPUNIT_ASSERT_EQUAL(0, falseAnswers.load());
+        CPPUNIT_ASSERT_EQUAL(0, wrongAnswers.load());
     }
 
-    void stopsWhoWaits()
+    void stopEndsWaitingClaims()
     {
-        instance_bench a(shared, "a");
+        instance_fixture a(shared, "a");
         shared.fateOf = [&] {
             a.claims.stop();
             return write_fate::Held;
         };
-        const auto first =
-                a.claims.claim(ask("k1", "n1", "a"), systemClock().mono() + milliseconds(30));
-        const auto second = a.claims.claim(ask("k2", "n2", "a"), soon());
+        const auto first = a.claims.claim(makeRequest("k1", "n1", "a"),
+                                          systemClock().mono() + milliseconds(30));
+        const auto second = a.claims.claim(makeRequest("k2", "n2", "a"), soon());
         CPPUNIT_ASSERT(errorOf(first).ran == verdict::NotRun);
         CPPUNIT_ASSERT(errorOf(second).code == error_code::Unavailable);
     }
@@ -162,10 +163,10 @@
     static constexpr platform::object_store::limits wideLimits{1e9, 1e9, milliseconds(1),
                                                                milliseconds(2)};
 
-    /// The parts of one instance that decide on claims.
-    struct instance_bench
+    /// The components of one instance that decide claims.
+    struct instance_fixture
     {
-        instance_bench(memory_store &shared, const std::string &name)
+        instance_fixture(memory_store &shared, const std::string &name)
             : id{name}, events(id, systemClock(), 256),
               store(shared.api(), wideLimits, systemClock(), metrics, events),
               answers(systemClock()),
@@ -179,17 +180,17 @@
         {
             return {[this](std::uint32_t) { return batcher; },
                     [this](const endpoint &, const peer::claim_ask &) { return batcherAnswer; },
-                    [this](const instance_id &owner, const peer::answer_ask &question) {
-                        const auto found = books.find(owner);
-                        return found == books.end() ? peer::answer_reply()
-                                                    : found->second->find(question);
+                    [this](const instance_id &owner, const peer::answer_ask &query) {
+                        const auto found = answerTables.find(owner);
+                        return found == answerTables.end() ? peer::answer_reply()
+                                                           : found->second->find(query);
                     }};
         }
 
         instance_id id;
         std::optional<endpoint> batcher;
         result<peer::claim_reply> batcherAnswer;
-        std::map<instance_id, answer_book *> books; ///< Of the others.
+        std::map<instance_id, answer_book *> answerTables; ///< Tables of the other instances.
         metrics_registry metrics;
         journal events;
         platform::object_store store;
@@ -198,16 +199,16 @@
         duplicate_guard guard;
     };
 
-    static void link(const std::vector<instance_bench *> &all)
+    static void link(const std::vector<instance_fixture *> &all)
     {
-        for (instance_bench *one : all) {
-            for (instance_bench *other : all)
-                one->books[other->id] = &other->answers;
+        for (instance_fixture *one : all) {
+            for (instance_fixture *other : all)
+                one->answerTables[other->id] = &other->answers;
         }
     }
 
-    static peer::claim_ask ask(const std::string &key, const std::string &nonce,
-                               const std::string &owner)
+    static peer::claim_ask makeRequest(const std::string &key, const std::string &nonce,
+                                       const std::string &owner)
     {
         return {key, "body", nonce, {owner}, 0};
     }
@@ -215,9 +216,9 @@
     static mono_time soon() { return systemClock().mono() + std::chrono::minutes(1); }
 
     template <std::size_t Count>
-    static void callUntilAnswered(instance_bench &through, int key,
+    static void callUntilAnswered(instance_fixture &through, int key,
                                   std::array<std::atomic<int>, Count> &runs,
-                                  std::atomic<int> &falseAnswers)
+                                  std::atomic<int> &wrongAnswers)
     {
         const std::string name = "key" + std::to_string(key);
         const std::string answer = "answer" + std::to_string(key);
@@ -231,13 +232,13 @@
                 return;
             }
             if (const auto *earlier = std::get_if<earlier_answer>(&decision)) {
-                falseAnswers += earlier->reply.body == answer ? 0 : 1;
+                wrongAnswers += earlier->reply.body == answer ? 0 : 1;
                 return;
             }
-            // No owner is ever lost here, so that every refusal must be a true "not run".
-            falseAnswers += std::get<error>(decision).ran == verdict::NotRun ? 0 : 1;
+            // No owner is lost in this test, so every refusal must be a true "not run".
+            wrongAnswers += std::get<error>(decision).ran == verdict::NotRun ? 0 : 1;
         }
-        ++falseAnswers;
+        ++wrongAnswers;
     }
 
     memory_store shared;
--- a/tests/node/dispatch_test.cpp
+++ b/tests/node/dispatch_test.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-/// One service runner that an operator or a planner can close.
-struct dispatch_bench
+/// One service runner that can be closed by an operator or a planner.
+struct dispatch_fixture
 {
     metrics_registry metrics;
     journal events{{"unit"}, systemClock(), 16};
     view_hub views;
-    work_ledger ledger;
-    dispatcher where{views, ledger, systemClock(), metrics, events};
+    work_ledger sentWork;
+    dispatcher dispatch{views, sentWork, systemClock(), metrics, events};
 
-    dispatch_bench()
+    dispatch_fixture()
     {
         auto fleet = std::make_shared<policy::inventory>();
         fleet->deployment = "unit";
@@ -45,7 +45,7 @@
         policy::route_request wanted;
         wanted.service = "desk";
         wanted.timeLeft = std::chrono::seconds(10);
-        return where.choose(wanted, {});
+        return dispatch.choose(wanted, {});
     }
 
     void reserve()
@@ -62,47 +62,47 @@
 class dispatch_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(dispatch_test);
-    CPPUNIT_TEST(testChoiceIsCountedInUntilAnswered);
-    CPPUNIT_TEST(testClosedRunnerIsNotChosen);
-    CPPUNIT_TEST(testEndCountsAsAnswer);
+    CPPUNIT_TEST(chosenRunnerHasUnansweredWorkUntilItAnswers);
+    CPPUNIT_TEST(closedRunnerIsNotChosen);
+    CPPUNIT_TEST(endedTryHasNoUnansweredWork);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // A caller's stream would be cut: an instance chooses a runner, is frozen before it sends, and
-    // the planner reserves the runner, takes the instance's acknowledgement for "nothing more
-    // comes" and orders a role change; then the instance wakes and sends. So the instance may not
-    // acknowledge the reservation while a request that it decided before is on its way.
-    void testChoiceIsCountedInUntilAnswered()
+    // Guards against a stream being cut: an instance chooses a runner and is frozen before it
+    // sends; the planner reserves the runner, takes the instance's acknowledgement as proof that no
+    // more work comes, and orders a role change; then the instance resumes and sends. So the
+    // instance must not acknowledge the reservation while an earlier request is on its way.
+    void chosenRunnerHasUnansweredWorkUntilItAnswers()
     {
-        dispatch_bench bench;
-        const auto choice = bench.choose();
+        dispatch_fixture fixture;
+        const auto choice = fixture.choose();
         CPPUNIT_ASSERT(succeeded(choice));
-        CPPUNIT_ASSERT(!bench.ledger.hasWorkOnItsWayToClosed(*bench.views.current()));
-        bench.reserve();
-        CPPUNIT_ASSERT(bench.ledger.hasWorkOnItsWayToClosed(*bench.views.current()));
+        CPPUNIT_ASSERT(!fixture.sentWork.hasWorkOnItsWayToClosed(*fixture.views.current()));
+        fixture.reserve();
+        CPPUNIT_ASSERT(fixture.sentWork.hasWorkOnItsWayToClosed(*fixture.views.current()));
         valueOf(choice).work->onAnswer();
-        CPPUNIT_ASSERT(!bench.ledger.hasWorkOnItsWayToClosed(*bench.views.current()));
+        CPPUNIT_ASSERT(!fixture.sentWork.hasWorkOnItsWayToClosed(*fixture.views.current()));
     }
 
-    void testClosedRunnerIsNotChosen()
+    void closedRunnerIsNotChosen()
     {
-        dispatch_bench bench;
-        bench.reserve();
-        const auto choice = bench.choose();
+        dispatch_fixture fixture;
+        fixture.reserve();
+        const auto choice = fixture.choose();
         CPPUNIT_ASSERT(!succeeded(choice));
         CPPUNIT_ASSERT(errorOf(choice).ran == verdict::NotRun);
-        CPPUNIT_ASSERT(!bench.ledger.hasWorkOnItsWayToClosed(*bench.views.current()));
+        CPPUNIT_ASSERT(!fixture.sentWork.hasWorkOnItsWayToClosed(*fixture.views.current()));
     }
 
-    void testEndCountsAsAnswer()
+    void endedTryHasNoUnansweredWork()
     {
-        dispatch_bench bench;
+        dispatch_fixture fixture;
         {
-            const auto choice = bench.choose();
+            const auto choice = fixture.choose();
             CPPUNIT_ASSERT(succeeded(choice));
         }
-        bench.reserve();
-        CPPUNIT_ASSERT(!bench.ledger.hasWorkOnItsWayToClosed(*bench.views.current()));
+        fixture.reserve();
+        CPPUNIT_ASSERT(!fixture.sentWork.hasWorkOnItsWayToClosed(*fixture.views.current()));
     }
 };
 
--- a/tests/node/freshness_test.cpp
+++ b/tests/node/freshness_test.cpp
@@ -48,28 +48,29 @@
 class freshness_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(freshness_test);
-    CPPUNIT_TEST(testConfirmedViewIsFresh);
-    CPPUNIT_TEST(testFrozenInstanceWakesToAnOldView);
-    CPPUNIT_TEST(testCutOffInstanceIsNotFresh);
-    CPPUNIT_TEST(testStoreDownForAllServesOn);
-    CPPUNIT_TEST(testMajorityWithNewerViewIsNotFresh);
-    CPPUNIT_TEST(testNothingKnownIsNeverFresh);
-    CPPUNIT_TEST(testSilentInstanceHoldsChangeBack);
-    CPPUNIT_TEST(testLostInstanceHoldsChangeBackWhileItMayServe);
+    CPPUNIT_TEST(confirmedViewIsFresh);
+    CPPUNIT_TEST(publishedViewExpiresWhileInstanceIsFrozen);
+    CPPUNIT_TEST(partitionedInstanceIsNotFresh);
+    CPPUNIT_TEST(majorityIsFreshWhileStoreIsDown);
+    CPPUNIT_TEST(viewOlderThanThatOfPeerIsNotFresh);
+    CPPUNIT_TEST(emptyViewIsNeverFresh);
+    CPPUNIT_TEST(silentListedInstanceBlocksChange);
+    CPPUNIT_TEST(departedInstanceBlocksChangeWhileItMayServe);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testConfirmedViewIsFresh()
+    void confirmedViewIsFresh()
     {
         freshness_facts facts = factsOfThree();
         facts.now = facts.confirmedAt + config::freshTime - milliseconds(1);
         CPPUNIT_ASSERT(isFresh(facts));
     }
 
-    // An instance is frozen with callers waiting in its sockets, a runner is drained meanwhile, and
-    // it wakes. Whatever thread runs first, the view that it has says itself that it is too old, so
-    // no waiting caller is sent to the drained runner before the instance has looked anew.
-    void testFrozenInstanceWakesToAnOldView()
+    // Guards against requests being routed by an outdated view: an instance is frozen with requests
+    // waiting in its sockets, a runner is drained meanwhile, and the instance resumes. The
+    // published view itself expires, so whichever thread runs first sends no request to the drained
+    // runner before the view is confirmed again.
+    void publishedViewExpiresWhileInstanceIsFrozen()
     {
         freshness_facts facts = factsOfThree();
         facts.now = facts.confirmedAt;
@@ -84,10 +85,10 @@
         CPPUNIT_ASSERT(!policy::isFresh(published, facts.now + config::reachTime));
     }
 
-    // The caller gets a true "not run" from an instance that can reach neither the store nor its
-    // peers. It was cut off before a drain was accepted; served on, it would send new work to the
-    // draining target for as long as the cut lasts.
-    void testCutOffInstanceIsNotFresh()
+    // An instance that reaches neither the store nor its peers refuses requests as not run. It may
+    // have been partitioned before a drain was accepted, and would otherwise send new work to the
+    // draining target for as long as the partition lasts.
+    void partitionedInstanceIsNotFresh()
     {
         freshness_facts facts = factsOfThree();
         CPPUNIT_ASSERT(!isFresh(facts));
@@ -95,25 +96,25 @@
         CPPUNIT_ASSERT(!isFresh(facts));
     }
 
-    // The store goes down for all. Callers notice nothing: two of three instances reach each other,
-    // neither has anything newer, so nothing can have been accepted behind their backs.
-    void testStoreDownForAllServesOn()
+    // When the store is down for all instances, callers are still served: two of three instances
+    // reach each other and neither has a newer view, so nothing newer can have been accepted.
+    void majorityIsFreshWhileStoreIsDown()
     {
         freshness_facts facts = factsOfThree();
         facts.members.push_back(memberOf("b", 7));
         CPPUNIT_ASSERT(isFresh(facts));
     }
 
-    // A majority is reached, but a peer has a newer view that this instance couldn't fetch yet. The
-    // caller is sent elsewhere: here it might be routed to a runner that is already reserved.
-    void testMajorityWithNewerViewIsNotFresh()
+    // A majority is reached, but a peer has a newer view that this instance has not fetched yet.
+    // Requests are refused here, because they might be routed to a runner that is already reserved.
+    void viewOlderThanThatOfPeerIsNotFresh()
     {
         freshness_facts facts = factsOfThree();
         facts.members.push_back(memberOf("b", 8));
         CPPUNIT_ASSERT(!isFresh(facts));
     }
 
-    void testNothingKnownIsNeverFresh()
+    void emptyViewIsNeverFresh()
     {
         freshness_facts facts = factsOfThree();
         facts.appliedVersion = 0;
@@ -121,10 +122,10 @@
         CPPUNIT_ASSERT(!isFresh(facts));
     }
 
-    // An operator's drain is applied by two of three listed instances; the third is frozen and
-    // dropped by gossip. Its callers could still be sent to the runner when it wakes, so the order
-    // to the runner has to wait until the list drops that instance or it answers.
-    void testSilentInstanceHoldsChangeBack()
+    // An operator's drain is applied by two of three listed instances; the third is frozen and no
+    // longer in gossip. When it resumes, it could still send requests to the runner, so the order
+    // to the runner must wait until the list drops that instance or it acknowledges.
+    void silentListedInstanceBlocksChange()
     {
         acknowledgements known;
         known.version = 9;
@@ -141,11 +142,11 @@
         CPPUNIT_ASSERT(isAppliedEverywhere(known));
     }
 
-    // A stream would be cut: the platform has dropped an instance from its list and gossip has
-    // taken it for dead, but it is only cut off from store and peers, and still routes to the
-    // runner that is about to be ordered. It stops by itself once its view is no longer fresh; only
-    // then is its acknowledgement no longer needed.
-    void testLostInstanceHoldsChangeBackWhileItMayServe()
+    // Guards against a stream being cut: an instance is neither in the platform's list nor alive in
+    // gossip, but is only partitioned from the store and its peers and still routes to the runner
+    // that is about to be ordered. It stops once its view is no longer fresh; only then is its
+    // acknowledgement not needed.
+    void departedInstanceBlocksChangeWhileItMayServe()
     {
         acknowledgements known;
         known.version = 9;
--- a/tests/node/memory_store.h
+++ b/tests/node/memory_store.h
@@ -13,34 +13,34 @@
 
 namespace poplarspool::node {
 
-/// What becomes of one write that arrives at a memory_store.
+/// Outcome of one write to a memory_store.
 enum class write_fate {
     Answered,
-    AnswerLost, ///< Takes effect; its writer does not hear so.
-    Held, ///< Stays on its way until deliverHeld(); its writer hears nothing.
+    AnswerLost, ///< Takes effect, but the writer gets no answer.
+    Held, ///< Is delayed until deliverHeld(); the writer gets no answer.
 };
 
-/// The platform's object API in memory, shared by any number of clients, with faults on request.
+/// The platform's object API in memory, shared by any number of clients, with fault injection.
 class memory_store
 {
 public:
-    /// Asked for each write, under the store's lock.
+    /// Called for each write, under the store's lock.
     std::function<write_fate()> fateOf = [] { return write_fate::Answered; };
     /// No read is answered.
     bool isCutOff = false;
-    /// Instead, every read is refused with that wait.
+    /// If set, every read is refused with this retry time.
     std::optional<milliseconds> busyFor;
 
     platform::object_api api()
     {
-        platform::object_api seam;
-        seam.get = [this](const std::string &key) { return get(key); };
-        seam.put = [this](const std::string &key, const std::string &value,
+        platform::object_api fake;
+        fake.get = [this](const std::string &key) { return get(key); };
+        fake.put = [this](const std::string &key, const std::string &value,
                           std::uint64_t ifVersion) { return put(key, value, ifVersion); };
-        return seam;
+        return fake;
     }
 
-    /// Lets the held writes take effect, each where its condition still holds.
+    /// Applies the held writes, each if its condition still holds.
     void deliverHeld()
     {
         const std::lock_guard guard(lock);
@@ -93,12 +93,13 @@
     {
         const std::lock_guard guard(lock);
         ++puts;
-        const write_fate fate = fateOf();
-        if (fate == write_fate::Held)
+        const write_fate writeOutcome = fateOf();
+        if (writeOutcome == write_fate::Held)
             held.push_back({key, value, ifVersion});
-        const auto outcome = fate == write_fate::Held ? result<std::uint64_t>(std::uint64_t(0))
-                                                      : apply(key, value, ifVersion);
-        if (fate != write_fate::Answered)
+        const auto outcome = writeOutcome == write_fate::Held
+                ? result<std::uint64_t>(std::uint64_t(0))
+                : apply(key, value, ifVersion);
+        if (writeOutcome != write_fate::Answered)
             return mayHaveRun(error_code::TimedOut, "no answer");
         return outcome;
     }
@@ -122,7 +123,7 @@
     std::uint64_t puts = 0;
 };
 
-/// One instance's client of a memory_store, with a budget that is out of the way.
+/// One instance's client of a memory_store, with rate limits high enough not to matter.
 struct store_client
 {
     store_client(memory_store &shared, const clock_source &clock, const std::string &name)
--- a/tests/node/order_fakes.h
+++ b/tests/node/order_fakes.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-/// Fakes at the planner's seams: an engine and one planning instance.
+/// Fakes of the planner's dependencies: an engine and one planning instance.
 namespace poplarspool::node::order_fakes {
 
 inline const pool_id pool{"recovery-llm"};
@@ -21,7 +21,7 @@
 inline const std::string deployment = "lanka";
 inline const policy::model_version model{"recovery-llm", "1"};
 
-/// A clock that a test moves; each look at it takes a little time, so that waits end.
+/// A clock that a test advances. Each reading advances it slightly too, so that timed waits end.
 struct fake_clock
 {
     mono_time now{std::chrono::hours(1)};
@@ -33,7 +33,7 @@
     }
 };
 
-/// A model engine that changes its state only when a test says so.
+/// A model engine that changes its state only when a test tells it to.
 struct fake_engine
 {
     bool checksFence = true;
@@ -83,7 +83,7 @@
         changingTo.reset();
     }
 
-    /// Forgets the change; keeps the fencing number, as engines that check it must.
+    /// Loses the change in progress. Keeps the fencing number, as engines that check it must.
     void crash()
     {
         changingTo.reset();
@@ -92,11 +92,11 @@
     }
 };
 
-/// @returns The store's API, with a list of the one record that these tests have.
+/// @returns The store's API, with a list() of the one record that these tests use.
 inline platform::object_api apiOf(memory_store &shared)
 {
-    platform::object_api seam = shared.api();
-    seam.list = [get = seam.get](const std::string &) -> result<platform::object_list> {
+    platform::object_api fake = shared.api();
+    fake.list = [get = fake.get](const std::string &) -> result<platform::object_list> {
         platform::object_list out;
         const auto found = get(operators::orderKey(deployment, engineId.text));
         if (succeeded(found))
@@ -105,10 +105,10 @@
             return errorOf(found);
         return out;
     };
-    return seam;
+    return fake;
 }
 
-/// @returns The engine's order record; an empty one where there is none.
+/// @returns The engine's order record; an empty one if there is none.
 inline order_record recordIn(memory_store &shared)
 {
     const auto found = shared.api().get(operators::orderKey(deployment, engineId.text));
@@ -117,7 +117,7 @@
     return valueOf(parseOrderRecord(valueOf(found).value));
 }
 
-/// One instance that takes itself for the planner, and wants one role for the engine.
+/// One instance that considers itself the planner, and wants one role for the engine.
 struct planning_instance
 {
     using send_function = decltype(order_tools::send);
@@ -148,7 +148,7 @@
           events(self, clock.source(), 4096),
           store(apiOf(platform), {1e6, 1e6, milliseconds(1), milliseconds(2)}, clock.source(),
                 metrics, events),
-          core(needs(), views, tools(),
+          core(dependencies(), views, context(),
                [this](const policy::view &now, const pool_id &, const policy::plan_rule &,
                       const policy::plan_memory &memory, const policy::demand_estimate &,
                       mono_time) { return plan(now, memory); })
@@ -156,14 +156,14 @@
         publishView();
     }
 
-    planner_needs needs()
+    planner_needs dependencies()
     {
         return {self, deployment, milliseconds(500),
                 [](const pool_id &) { return policy::demand_estimate{}; },
                 [this](std::uint64_t) { return isAppliedEverywhere; }};
     }
 
-    order_tools tools()
+    order_tools context()
     {
         return {self,
                 deployment,
@@ -214,7 +214,7 @@
         });
     }
 
-    /// One look after some time, with a fresh view.
+    /// Runs one iteration after some time, with a fresh view.
     void look(milliseconds after = milliseconds(500))
     {
         clock.now += after;
--- a/tests/node/order_guard_test.cpp
+++ b/tests/node/order_guard_test.cpp
@@ -18,25 +18,25 @@
 constexpr milliseconds longWindow{30000};
 constexpr milliseconds safetyTime{30000};
 
-/// Stands for a process that is stopped here and woken once its window is over.
-void pauseBeyondWindow()
+/// Simulates a process that is stopped here and resumed after its window has ended.
+void sleepUntilWindowEnds()
 {
-    const auto giveUp = std::chrono::steady_clock::now() + safetyTime;
-    while (!order_guard::current()->hasEnded() && std::chrono::steady_clock::now() < giveUp)
+    const auto deadline = std::chrono::steady_clock::now() + safetyTime;
+    while (!order_guard::current()->hasEnded() && std::chrono::steady_clock::now() < deadline)
         std::this_thread::sleep_for(milliseconds(1));
 }
 
 } // namespace
 
-/// Orders over HTTP to a server that counts what arrives.
+/// Sends orders over HTTP to a server that counts those that arrive.
 class order_guard_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(order_guard_test);
     CPPUNIT_TEST(orderWithinWindowArrives);
     CPPUNIT_TEST(pausedWriterSendsNothing);
     CPPUNIT_TEST(waitForAnswerEndsWithWindow);
-    CPPUNIT_TEST(nothingIsSentWithoutWindow);
-    CPPUNIT_TEST(nextGuardIsNotEndedByThePast);
+    CPPUNIT_TEST(nothingIsSentOutsideWindow);
+    CPPUNIT_TEST(signalOfEarlierGuardDoesNotEndNextGuard);
     CPPUNIT_TEST_SUITE_END();
 
     metrics_registry metrics;
@@ -67,11 +67,11 @@
         return withGuardedOrders({}, hook).order(address, order, safetyTime);
     }
 
-    /// Until the engine has read all that reached it.
+    /// Waits until the engine has read everything that reached it.
     void waitForClosedConnections()
     {
-        const auto giveUp = std::chrono::steady_clock::now() + safetyTime;
-        while (server.openConnections() > 0 && std::chrono::steady_clock::now() < giveUp)
+        const auto deadline = std::chrono::steady_clock::now() + safetyTime;
+        while (server.openConnections() > 0 && std::chrono::steady_clock::now() < deadline)
             std::this_thread::sleep_for(milliseconds(1));
         CPPUNIT_ASSERT_EQUAL(0U, server.openConnections());
     }
@@ -100,14 +100,14 @@
         CPPUNIT_ASSERT_EQUAL(1, arrived.load());
     }
 
-    // The writer has checked its window and is stopped right before it sends; it wakes when its
-    // authority is over. The engine gets no byte, because the guard's signal is handled before
-    // the thread runs on, and aborts the connection.
+    // The writer checks its window, is stopped right before it sends, and resumes when the window
+    // has ended. The engine receives no byte, because the guard's signal handler runs before the
+    // thread continues, and aborts the connection.
     void pausedWriterSendsNothing()
     {
         {
             const order_guard guard(endOf(shortWindow));
-            const auto outcome = send(pauseBeyondWindow);
+            const auto outcome = send(sleepUntilWindowEnds);
             CPPUNIT_ASSERT(!succeeded(outcome));
             CPPUNIT_ASSERT(guard.hasEnded());
         }
@@ -115,8 +115,8 @@
         CPPUNIT_ASSERT_EQUAL(0, arrived.load());
     }
 
-    // The engine gets the order and does not answer. The writer's call ends with its window, not
-    // with the longer time limit of the call.
+    // The engine receives the order and does not answer. The writer's call ends with its window,
+    // not at the call's longer time limit.
     void waitForAnswerEndsWithWindow()
     {
         answers = false;
@@ -126,7 +126,7 @@
         CPPUNIT_ASSERT(guard.hasEnded());
     }
 
-    void nothingIsSentWithoutWindow()
+    void nothingIsSentOutsideWindow()
     {
         CPPUNIT_ASSERT(errorOf(send()).ran == verdict::NotRun);
         const order_guard over(endOf(milliseconds(-1)));
@@ -134,7 +134,7 @@
         CPPUNIT_ASSERT_EQUAL(0, arrived.load());
     }
 
-    void nextGuardIsNotEndedByThePast()
+    void signalOfEarlierGuardDoesNotEndNextGuard()
     {
         for (int round = 0; round < 50; ++round) {
             const order_guard over(endOf(milliseconds(round % 3)));
--- a/tests/node/orders_race_test.cpp
+++ b/tests/node/orders_race_test.cpp
@@ -15,28 +15,28 @@
 
 constexpr int steps = 400;
 constexpr unsigned seeds = 6;
-constexpr int looksToRest = 120;
+constexpr int iterationsWithoutFaults = 120;
 
 /// An order that is on its way and may arrive until `lastMoment`.
-struct flying_order
+struct in_flight_order
 {
     runner::engine_order order;
     mono_time lastMoment;
 };
 
-/// Two planners that want opposite roles, and everything between them and the engine that can go
-/// wrong, drawn from one seed.
-class chaos
+/// Two planners that want opposite roles, with random faults between them and the engine, drawn
+/// from one seed.
+class fault_injection_run
 {
 public:
-    chaos(unsigned seed, bool checksFence) : random(seed)
+    fault_injection_run(unsigned seed, bool checksFence) : random(seed)
     {
         engine.checksFence = checksFence;
         clock.tick = milliseconds(5);
         for (planning_instance *each : {&first, &second})
             each->send = [this](const endpoint &, const runner::engine_order &order,
                                 mono_time end) { return send(order, end); };
-        platform.fateOf = [this] { return fate(); };
+        platform.fateOf = [this] { return writeOutcome(); };
     }
 
     void step()
@@ -53,13 +53,13 @@
         next.look(milliseconds(draw(50, 900)));
     }
 
-    /// No more faults, and one planner alone.
-    void rest()
+    /// Runs without faults and with only the first planner.
+    void runWithoutFaults()
     {
         isFaulty = false;
         platform.deliverHeld();
         engine.report.running = 0;
-        for (int look = 0; look < looksToRest; ++look) {
+        for (int iteration = 0; iteration < iterationsWithoutFaults; ++iteration) {
             first.look();
             deliver();
             engine.finishChange();
@@ -79,27 +79,27 @@
     }
     bool happens(double share) { return isFaulty && std::bernoulli_distribution(share)(random); }
 
-    write_fate fate()
+    write_fate writeOutcome()
     {
         if (happens(0.1))
             return write_fate::AnswerLost;
         return happens(0.05) ? write_fate::Held : write_fate::Answered;
     }
 
-    /// The order arrives, or stays on its way until the guard and TCP's own limit end it.
+    /// Delivers the order, or keeps it on its way until the guard and TCP's time limit end it.
     result<unit> send(const runner::engine_order &order, mono_time end)
     {
         if (clock.now >= end)
             return notRun(error_code::TimedOut, "window over");
         if (!happens(0.4))
             return engine.order(order);
-        flying.push_back({order, end + config::orderDeliveryTime});
+        inFlight.push_back({order, end + config::orderDeliveryTime});
         return mayHaveRun(error_code::TimedOut, "no answer");
     }
 
     void deliver()
     {
-        std::erase_if(flying, [&](const flying_order &each) {
+        std::erase_if(inFlight, [&](const in_flight_order &each) {
             if (each.lastMoment < clock.now)
                 return true;
             if (isFaulty && !happens(0.3))
@@ -111,11 +111,11 @@
 
     std::mt19937 random;
     bool isFaulty = true;
-    std::vector<flying_order> flying;
+    std::vector<in_flight_order> inFlight;
 };
 
-/// @returns Whether numbers never fall and each one names one order.
-bool areInOrder(const std::vector<runner::engine_order> &orders)
+/// @returns Whether fencing numbers never decrease and each one identifies one order.
+bool areFencesConsistent(const std::vector<runner::engine_order> &orders)
 {
     std::map<std::uint64_t, runner::engine_order> byFence;
     const bool isConsistent = std::ranges::all_of(orders, [&](const runner::engine_order &each) {
@@ -129,37 +129,37 @@
 class orders_race_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(orders_race_test);
-    CPPUNIT_TEST(engineThatChecksFences);
-    CPPUNIT_TEST(engineThatIgnoresFences);
+    CPPUNIT_TEST(engineCheckingFencesObeysOrdersInSequence);
+    CPPUNIT_TEST(engineIgnoringFencesReceivesOrdersInSequence);
     CPPUNIT_TEST_SUITE_END();
 
     static void race(bool checksFence)
     {
         for (unsigned seed = 1; seed <= seeds; ++seed) {
-            chaos world(seed, checksFence);
+            fault_injection_run run(seed, checksFence);
             for (int step = 0; step < steps; ++step)
-                world.step();
+                run.step();
             const std::string message = "seed " + std::to_string(seed);
-            CPPUNIT_ASSERT_MESSAGE(message, areInOrder(world.engine.obeyed));
-            CPPUNIT_ASSERT_MESSAGE(message, world.engine.report.lastFence > 3);
-            world.rest();
-            CPPUNIT_ASSERT_MESSAGE(message, areInOrder(world.engine.obeyed));
-            CPPUNIT_ASSERT_MESSAGE(message, world.engine.report.role == engine_role::Prefill);
-            const order_record last = recordIn(world.platform);
+            CPPUNIT_ASSERT_MESSAGE(message, areFencesConsistent(run.engine.obeyed));
+            CPPUNIT_ASSERT_MESSAGE(message, run.engine.report.lastFence > 3);
+            run.runWithoutFaults();
+            CPPUNIT_ASSERT_MESSAGE(message, areFencesConsistent(run.engine.obeyed));
+            CPPUNIT_ASSERT_MESSAGE(message, run.engine.report.role == engine_role::Prefill);
+            const order_record last = recordIn(run.platform);
             CPPUNIT_ASSERT_MESSAGE(message, last.phase == order_phase::Settled);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(message, world.engine.report.lastFence, last.fence);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(message, run.engine.report.lastFence, last.fence);
         }
     }
 
 public:
-    // Two instances take themselves for the planner and want opposite roles, while the store loses
-    // answers or delivers writes late, orders arrive late and the engine crashes. The engine obeys
-    // one wanted state per number and never an old number, because it refuses those.
-    void engineThatChecksFences() { race(true); }
-
-    // The same with an engine that obeys whatever arrives. It must not even receive an order after
-    // one with a higher number, because nobody else would refuse it.
-    void engineThatIgnoresFences() { race(false); }
+    // Two instances consider themselves the planner and want opposite roles, while the store loses
+    // answers or delivers writes late, orders arrive late and the engine crashes. The engine
+    // refuses old fencing numbers, so it obeys one wanted state per number and never an old number.
+    void engineCheckingFencesObeysOrdersInSequence() { race(true); }
+
+    // The same with an engine that obeys every order. It must not even receive an order after one
+    // with a higher fencing number, because nothing else would refuse it.
+    void engineIgnoringFencesReceivesOrdersInSequence() { race(false); }
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(orders_race_test);
--- a/tests/node/orders_test.cpp
+++ b/tests/node/orders_test.cpp
@@ -9,29 +9,29 @@
 
 namespace {
 
-constexpr int enoughLooks = 40;
+constexpr int maxIterations = 40;
 
 } // namespace
 
 class orders_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(orders_test);
-    CPPUNIT_TEST(recordSurvivesText);
-    CPPUNIT_TEST(plannerIsOneOfTheAlive);
+    CPPUNIT_TEST(recordSurvivesSerialization);
+    CPPUNIT_TEST(poolHasOneAlivePlanner);
     CPPUNIT_TEST(changeGoesThroughAllPhases);
     CPPUNIT_TEST(nextOrderHasHigherFence);
-    CPPUNIT_TEST(unacknowledgedReservationHoldsChangeBack);
-    CPPUNIT_TEST(busyEngineHoldsChangeBack);
-    CPPUNIT_TEST(throttledWeightsHoldChangeBack);
-    CPPUNIT_TEST(crashInTheMiddleGetsSameOrderAgain);
+    CPPUNIT_TEST(unacknowledgedReservationBlocksChange);
+    CPPUNIT_TEST(busyEngineBlocksChange);
+    CPPUNIT_TEST(throttledWeightStoreBlocksChange);
+    CPPUNIT_TEST(crashedEngineReceivesSameOrderAgain);
     CPPUNIT_TEST(successorFinishesOpenOrder);
     CPPUNIT_TEST(successorWaitsForEngineThatIgnoresFences);
-    CPPUNIT_TEST(unansweredSendHoldsSettlingBack);
-    CPPUNIT_TEST(unansweredSendHoldsSettlingBackWithFenceToo);
-    CPPUNIT_TEST(lostAnswerOfOpenKeepsAuthority);
-    CPPUNIT_TEST(overtakenWriterSendsNothing);
-    CPPUNIT_TEST(slowStoreLeavesNoWindow);
-    CPPUNIT_TEST(engineAheadOfRecordIsPassed);
+    CPPUNIT_TEST(unansweredSendDelaysSettling);
+    CPPUNIT_TEST(unansweredSendDelaysSettlingWithFenceChecks);
+    CPPUNIT_TEST(lostAnswerToOpenKeepsSendWindow);
+    CPPUNIT_TEST(conflictingWriterSendsOnlyWinningOrder);
+    CPPUNIT_TEST(slowStoreWriteGivesNoSendWindow);
+    CPPUNIT_TEST(nextFenceExceedsThatOfEngine);
     CPPUNIT_TEST_SUITE_END();
 
     fake_clock clock;
@@ -46,27 +46,28 @@
     order_phase phase() { return recordIn(platform).phase; }
     std::uint64_t fence() { return recordIn(platform).fence; }
 
-    /// Looks until the record is in that phase.
-    void lookUntil(planning_instance &instance, order_phase wanted)
+    /// Runs iterations until the record is in that phase.
+    void runUntil(planning_instance &instance, order_phase wanted)
     {
-        for (int look = 0; look < enoughLooks; ++look) {
+        for (int iteration = 0; iteration < maxIterations; ++iteration) {
             instance.look();
             if (fence() > 0 && phase() == wanted)
                 return;
         }
-        CPPUNIT_FAIL("the order does not come that far");
+        CPPUNIT_FAIL("the order did not reach the expected phase");
     }
 
-    void lookUntilSent(planning_instance &instance)
+    void runUntilSent(planning_instance &instance)
     {
         const std::size_t before = engine.received.size();
-        for (int look = 0; look < enoughLooks && engine.received.size() == before; ++look)
+        for (int iteration = 0; iteration < maxIterations && engine.received.size() == before;
+             ++iteration)
             instance.look();
         CPPUNIT_ASSERT_EQUAL(before + 1, engine.received.size());
     }
 
 public:
-    void recordSurvivesText()
+    void recordSurvivesSerialization()
     {
         order_record record;
         record.runner = engineId;
@@ -81,7 +82,7 @@
             CPPUNIT_ASSERT(!succeeded(parseOrderRecord(text)));
     }
 
-    void plannerIsOneOfTheAlive()
+    void poolHasOneAlivePlanner()
     {
         policy::view now;
         for (const auto *name : {"a", "b", "c"})
@@ -103,7 +104,7 @@
         auto instance = makeInstance("a", engine_role::Prefill);
         instance.look();
         CPPUNIT_ASSERT(phase() == order_phase::Draining);
-        lookUntilSent(instance);
+        runUntilSent(instance);
         CPPUNIT_ASSERT(phase() == order_phase::Open);
         const runner::engine_order sent = engine.received.front();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), sent.fence);
@@ -121,18 +122,18 @@
     void nextOrderHasHigherFence()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
-        lookUntilSent(instance);
+        runUntilSent(instance);
         engine.finishChange();
         instance.wantedRole = engine_role::Decode;
-        lookUntilSent(instance);
+        runUntilSent(instance);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), engine.received.back().fence);
         CPPUNIT_ASSERT(engine.received.back().nonce != engine.received.front().nonce);
     }
 
-    // One instance was cut off and has not applied the reservation, so it may still send requests
-    // to the engine. Callers see nothing of the change: it waits, and is given up after the drain
-    // time without an order. Once all have applied it, the next one goes through.
-    void unacknowledgedReservationHoldsChangeBack()
+    // One instance is partitioned and has not applied the reservation, so it may still send
+    // requests to the engine. The change waits, and is withdrawn after the drain time without an
+    // order. Once all instances have applied the reservation, the next order is sent.
+    void unacknowledgedReservationBlocksChange()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
         instance.isAppliedEverywhere = false;
@@ -144,19 +145,20 @@
         CPPUNIT_ASSERT(engine.received.empty());
         CPPUNIT_ASSERT(instance.hasEvent("order_withdrawn"));
         instance.isAppliedEverywhere = true;
-        lookUntilSent(instance);
+        runUntilSent(instance);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), engine.received.front().fence);
     }
 
-    // The engine's reports lag: it says that it is idle, and only then tells of a request that it
-    // got before the reservation. That request must not be cut, so one idle report is not enough.
-    void busyEngineHoldsChangeBack()
+    // The engine's reports lag behind: it reports itself idle, and only later reports a request
+    // that it received before the reservation. That request must not be aborted, so one idle report
+    // is not enough.
+    void busyEngineBlocksChange()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
         instance.look();
         instance.look();
         engine.report.running = 1;
-        for (int look = 0; look < enoughLooks; ++look)
+        for (int iteration = 0; iteration < maxIterations; ++iteration)
             instance.look();
         CPPUNIT_ASSERT(phase() == order_phase::Draining);
         engine.report.running = 0;
@@ -166,9 +168,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), engine.received.size());
     }
 
-    // The weight store allows no call now. The engine goes on serving meanwhile: it is reserved
-    // only once its weights can be had.
-    void throttledWeightsHoldChangeBack()
+    // The weight store refuses calls for now. The engine continues to serve: it is reserved only
+    // once its weights are available.
+    void throttledWeightStoreBlocksChange()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
         instance.wantedModels = {{"recovery-llm", "2"}};
@@ -182,12 +184,12 @@
         CPPUNIT_ASSERT(phase() == order_phase::Draining);
     }
 
-    // The engine crashes in the middle of the change and comes back as it was. It gets the same
-    // order again, under the same number, so that it can't be taken for another one.
-    void crashInTheMiddleGetsSameOrderAgain()
+    // The engine crashes during the change and restarts in its old state. It is sent the same order
+    // under the same fencing number, so that it can't be mistaken for a new one.
+    void crashedEngineReceivesSameOrderAgain()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
-        lookUntilSent(instance);
+        runUntilSent(instance);
         engine.crash();
         instance.look();
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), engine.received.size());
@@ -197,28 +199,28 @@
         CPPUNIT_ASSERT(phase() == order_phase::Settled);
     }
 
-    // The writer stops for ever right after it wrote Open, before it sent the order. Its successor
-    // wants something else, but first finishes that order under its number.
+    // The writer stops permanently right after it wrote Open, before it sent the order. Its
+    // successor wants a different state, but first finishes that order under its fencing number.
     void successorFinishesOpenOrder()
     {
         auto first = makeInstance("a", engine_role::Prefill);
         first.send = [](const endpoint &, const runner::engine_order &, mono_time) {
             return notRun(error_code::Cancelled, "stopped");
         };
-        lookUntil(first, order_phase::Open);
+        runUntil(first, order_phase::Open);
         auto second = makeInstance("b", engine_role::Decode);
-        lookUntilSent(second);
+        runUntilSent(second);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), engine.received.front().fence);
         CPPUNIT_ASSERT(engine.received.front().wanted.role == engine_role::Prefill);
         engine.finishChange();
-        lookUntilSent(second);
+        runUntilSent(second);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), engine.received.back().fence);
         CPPUNIT_ASSERT(engine.received.back().wanted.role == engine_role::Decode);
     }
 
-    // The writer is paused after it wrote Open, and its order reaches the engine at the last moment
-    // at which it may. The engine ignores fencing numbers, so the successor must not have sent or
-    // settled anything until then, or the late order would undo a newer one.
+    // The writer is paused after it wrote Open, and its order reaches the engine at the last
+    // possible moment. The engine ignores fencing numbers, so the successor must not send or settle
+    // anything before that, or the late order would undo a newer one.
     void successorWaitsForEngineThatIgnoresFences()
     {
         engine.checksFence = false;
@@ -231,7 +233,7 @@
             lastMoment = end + config::orderDeliveryTime;
             return mayHaveRun(error_code::TimedOut, "paused");
         };
-        lookUntil(first, order_phase::Open);
+        runUntil(first, order_phase::Open);
         const order_record opened = recordIn(platform);
         auto second = makeInstance("b", engine_role::Decode);
         while (clock.now + milliseconds(100) < lastMoment) {
@@ -241,19 +243,19 @@
         }
         engine.order(held);
         engine.finishChange();
-        lookUntilSent(second);
+        runUntilSent(second);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), engine.received.back().fence);
     }
 
-    // The order is sent twice, because the engine crashed; the first copy is still on its way when
-    // the second is obeyed. The engine ignores fencing numbers, so the next order has to wait until
-    // that copy can't arrive any more.
-    void unansweredSendHoldsSettlingBack() { unansweredSend(false); }
+    // The order is sent twice because the engine crashed; the first copy is still on its way when
+    // the second is obeyed. The engine ignores fencing numbers, so the next order must wait until
+    // that copy can no longer arrive.
+    void unansweredSendDelaysSettling() { unansweredSend(false); }
 
-    // As above, but the engine checks numbers. It may restart without the number that it obeyed,
-    // and then takes the late copy for a new order: settled too early, it would change in the
-    // middle of its callers' streams.
-    void unansweredSendHoldsSettlingBackWithFenceToo() { unansweredSend(true); }
+    // As above, but the engine checks fencing numbers. It may restart without the number that it
+    // obeyed and then take the late copy for a new order: if the order were settled too early, the
+    // engine would change role while streams are running on it.
+    void unansweredSendDelaysSettlingWithFenceChecks() { unansweredSend(true); }
 
     void unansweredSend(bool checksFence)
     {
@@ -268,44 +270,44 @@
                 return engine.order(order);
             return mayHaveRun(error_code::TimedOut, "no answer");
         };
-        lookUntil(instance, order_phase::Open);
+        runUntil(instance, order_phase::Open);
         engine.crash();
-        lookUntilSent(instance);
+        runUntilSent(instance);
         engine.finishChange();
         CPPUNIT_ASSERT_EQUAL(2, sends);
         while (clock.now + milliseconds(100) < lastMoment) {
             instance.look(milliseconds(50));
             CPPUNIT_ASSERT(phase() == order_phase::Open);
         }
-        lookUntil(instance, order_phase::Settled);
+        runUntil(instance, order_phase::Settled);
     }
 
-    // Open is written, and the store's answer to it is lost. The writer reads it back, still has
-    // its authority and sends; nothing is ordered twice.
-    void lostAnswerOfOpenKeepsAuthority()
+    // Open is written, and the store's answer is lost. The writer reads the record back, still has
+    // its send window and sends; nothing is ordered twice.
+    void lostAnswerToOpenKeepsSendWindow()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
         instance.look();
         platform.fateOf = [isLost = false]() mutable {
             return std::exchange(isLost, true) ? write_fate::Answered : write_fate::AnswerLost;
         };
-        lookUntilSent(instance);
+        runUntilSent(instance);
         engine.finishChange();
         instance.look();
         CPPUNIT_ASSERT(phase() == order_phase::Settled);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), engine.received.size());
     }
 
-    // Two instances both take themselves for the planner and drain the same engine. The one whose
-    // write of Open comes second hears of the conflict and sends only the order that stands.
-    void overtakenWriterSendsNothing()
+    // Two instances both consider themselves the planner and drain the same engine. The one whose
+    // write of Open comes second gets a conflict and sends only the order that won.
+    void conflictingWriterSendsOnlyWinningOrder()
     {
         auto first = makeInstance("a", engine_role::Prefill);
         first.look();
         auto second = makeInstance("b", engine_role::Decode);
         second.look();
         second.isPlanning = false;
-        lookUntilSent(first);
+        runUntilSent(first);
         second.look(config::orderIdleTime);
         second.look();
         for (const runner::engine_order &each : engine.received)
@@ -313,9 +315,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), fence());
     }
 
-    // The store takes longer to answer the write of Open than the window lasts. The writer's
-    // authority is over when the answer comes: it sends nothing under it and writes Open again.
-    void slowStoreLeavesNoWindow()
+    // The store takes longer to answer the write of Open than the send window lasts. The window has
+    // ended when the answer arrives, so the writer sends nothing and writes Open again.
+    void slowStoreWriteGivesNoSendWindow()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
         instance.look();
@@ -323,23 +325,23 @@
             clock.now += config::orderWindow;
             return write_fate::Answered;
         };
-        for (int look = 0; look < enoughLooks / 4; ++look)
+        for (int iteration = 0; iteration < maxIterations / 4; ++iteration)
             instance.look();
         CPPUNIT_ASSERT(phase() == order_phase::Open);
         CPPUNIT_ASSERT(engine.received.empty());
     }
 
-    // The engine has already seen a higher number than the record says. It refuses the order; the
-    // record is settled, and the next order passes the engine's number.
-    void engineAheadOfRecordIsPassed()
+    // The engine has already seen a higher fencing number than the record has. It refuses the
+    // order; the record is settled, and the next order's number exceeds the engine's.
+    void nextFenceExceedsThatOfEngine()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
         instance.look();
         engine.report.lastFence = 41;
-        lookUntilSent(instance);
+        runUntilSent(instance);
         CPPUNIT_ASSERT(engine.obeyed.empty());
         CPPUNIT_ASSERT(instance.hasEvent("order_stale"));
-        lookUntilSent(instance);
+        runUntilSent(instance);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(42), engine.obeyed.back().fence);
     }
 };
--- a/tests/node/watched_sync_test.cpp
+++ b/tests/node/watched_sync_test.cpp
@@ -25,8 +25,8 @@
 
 const std::string rulesText = "[[classes]]\nname = \"all\"\nrank = 0\n";
 
-/// A store in memory that can be down, and peers that can answer for it.
-struct sync_bench
+/// An in-memory store that can be down, and peers that can answer instead of it.
+struct sync_fixture
 {
     std::mutex guard;
     std::map<std::string, platform::object> objects;
@@ -41,7 +41,7 @@
     view_hub views;
     platform::object_store store{
             api(), {1e6, 1e6, milliseconds(1), milliseconds(1)}, systemClock(), metrics, events};
-    watched_sync sync{needs(), store, views, systemClock(), metrics, events};
+    watched_sync sync{dependencies(), store, views, systemClock(), metrics, events};
 
     std::uint64_t put(const std::string &key, const std::string &value)
     {
@@ -63,15 +63,15 @@
         return text;
     }
 
-    /// Lets a peer say that it has applied that version, and hand over those objects.
-    void offer(std::uint64_t applied, std::vector<peer::watched_object> news)
+    /// Makes a peer announce that it has applied that version, and return those objects.
+    void offer(std::uint64_t applied, std::vector<peer::watched_object> changes)
     {
         policy::member other;
         other.id = {"other"};
         other.appliedVersion = applied;
         const std::lock_guard lock(guard);
         peers = {other};
-        peerState = {applied, std::move(news)};
+        peerState = {applied, std::move(changes)};
     }
 
     platform::object_api api()
@@ -107,28 +107,28 @@
         return list;
     }
 
-    sync_needs needs()
+    sync_needs dependencies()
     {
-        sync_needs needs;
-        needs.deployment = deployment;
-        needs.peers = [this] {
+        sync_needs dependencies;
+        dependencies.deployment = deployment;
+        dependencies.peers = [this] {
             const std::lock_guard lock(guard);
             return peers;
         };
-        needs.askState = [this](const endpoint &, const peer::watched_ask &) {
+        dependencies.askState = [this](const endpoint &, const peer::watched_ask &) {
             const std::lock_guard lock(guard);
             return result<peer::watched_reply>(peerState);
         };
-        needs.askBody = [this](const endpoint &,
-                               const peer::body_ask &question) -> result<peer::body_reply> {
-            const auto found = peerBodies.find(question.sha256);
+        dependencies.askBody = [this](const endpoint &,
+                                      const peer::body_ask &request) -> result<peer::body_reply> {
+            const auto found = peerBodies.find(request.sha256);
             if (found == peerBodies.end())
                 return notRun(error_code::NotFound, "no body");
             return peer::body_reply{found->second};
         };
-        needs.isWatcher = [] { return true; };
-        needs.onApplied = [](std::uint64_t, mono_time) {};
-        return needs;
+        dependencies.isWatcher = [] { return true; };
+        dependencies.onApplied = [](std::uint64_t, mono_time) {};
+        return dependencies;
     }
 
     /// Waits until the sync has applied that version.
@@ -147,64 +147,65 @@
 class watched_sync_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(watched_sync_test);
-    CPPUNIT_TEST(testAcceptedConfigurationIsApplied);
-    CPPUNIT_TEST(testRestartWhileStoreIsDownLearnsFromPeer);
-    CPPUNIT_TEST(testOlderConfigurationNeverComesBack);
+    CPPUNIT_TEST(acceptedConfigurationIsApplied);
+    CPPUNIT_TEST(startWhileStoreIsDownUsesPeers);
+    CPPUNIT_TEST(olderConfigurationIsNotApplied);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testAcceptedConfigurationIsApplied()
+    void acceptedConfigurationIsApplied()
     {
-        sync_bench bench;
-        bench.accept(inventoryText("false"));
-        bench.sync.start();
-        bench.waitFor(bench.version);
-        const policy::view_ptr first = bench.views.current();
+        sync_fixture fixture;
+        fixture.accept(inventoryText("false"));
+        fixture.sync.start();
+        fixture.waitFor(fixture.version);
+        const policy::view_ptr first = fixture.views.current();
         CPPUNIT_ASSERT(!first->fleet->runners[0].isDraining);
-        bench.accept(inventoryText("true"));
-        bench.waitFor(bench.version);
-        CPPUNIT_ASSERT(bench.views.current()->fleet->runners[0].isDraining);
-        CPPUNIT_ASSERT(bench.views.current()->version > first->version);
-        bench.sync.stop();
+        fixture.accept(inventoryText("true"));
+        fixture.waitFor(fixture.version);
+        CPPUNIT_ASSERT(fixture.views.current()->fleet->runners[0].isDraining);
+        CPPUNIT_ASSERT(fixture.views.current()->version > first->version);
+        fixture.sync.stop();
     }
 
-    // An instance starts while the store is down. Its callers are served all the same: a peer hands
-    // over the watched objects and, by their hash, the bodies that the accepted head names.
-    void testRestartWhileStoreIsDownLearnsFromPeer()
+    // An instance that starts while the store is down serves its callers all the same: a peer sends
+    // the watched objects and, by hash, the bodies that the accepted head refers to.
+    void startWhileStoreIsDownUsesPeers()
     {
-        sync_bench bench;
+        sync_fixture fixture;
         const std::string inventory = inventoryText("true");
-        const std::string head = bench.accept(inventory);
-        bench.isDown = true;
+        const std::string head = fixture.accept(inventory);
+        fixture.isDown = true;
         policy::member other;
         other.id = {"other"};
-        other.appliedVersion = bench.version;
-        bench.peers = {other};
-        bench.peerState = {bench.version, {{operators::headKey(deployment), head, bench.version}}};
-        bench.peerBodies = {{sha256Hex(inventory), inventory}, {sha256Hex(rulesText), rulesText}};
-        bench.sync.start();
-        bench.waitFor(bench.version);
-        CPPUNIT_ASSERT(bench.views.current()->fleet->runners[0].isDraining);
-        bench.sync.stop();
+        other.appliedVersion = fixture.version;
+        fixture.peers = {other};
+        fixture.peerState = {fixture.version,
+                             {{operators::headKey(deployment), head, fixture.version}}};
+        fixture.peerBodies = {{sha256Hex(inventory), inventory}, {sha256Hex(rulesText), rulesText}};
+        fixture.sync.start();
+        fixture.waitFor(fixture.version);
+        CPPUNIT_ASSERT(fixture.views.current()->fleet->runners[0].isDraining);
+        fixture.sync.stop();
     }
 
-    // A drain is accepted and applied. A peer that lagged, or an answer that crossed, then offers
-    // the head from before the drain as news. Were it taken, the draining runner would get new work
-    // again, so an object only ever moves to a higher version.
-    void testOlderConfigurationNeverComesBack()
+    // Guards against an older configuration being applied again: after a drain, a lagging peer or a
+    // reordered answer offers the head from before the drain. If it were applied, the draining
+    // runner would get new work again, so objects only move to higher versions.
+    void olderConfigurationIsNotApplied()
     {
-        sync_bench bench;
-        const std::string oldHead = bench.accept(inventoryText("false"));
-        const std::uint64_t oldVersion = bench.version;
-        bench.accept(inventoryText("true"));
-        const std::uint64_t newVersion = bench.version;
-        bench.sync.start();
-        bench.waitFor(newVersion);
-        bench.offer(newVersion + 5, {{operators::headKey(deployment), oldHead, oldVersion}});
-        bench.waitFor(newVersion + 5);
-        CPPUNIT_ASSERT(bench.views.current()->fleet->runners[0].isDraining);
-        CPPUNIT_ASSERT_EQUAL(newVersion, bench.views.current()->configVersion);
-        bench.sync.stop();
+        sync_fixture fixture;
+        const std::string oldHead = fixture.accept(inventoryText("false"));
+        const std::uint64_t oldVersion = fixture.version;
+        fixture.accept(inventoryText("true"));
+        const std::uint64_t newVersion = fixture.version;
+        fixture.sync.start();
+        fixture.waitFor(newVersion);
+        fixture.offer(newVersion + 5, {{operators::headKey(deployment), oldHead, oldVersion}});
+        fixture.waitFor(newVersion + 5);
+        CPPUNIT_ASSERT(fixture.views.current()->fleet->runners[0].isDraining);
+        CPPUNIT_ASSERT_EQUAL(newVersion, fixture.views.current()->configVersion);
+        fixture.sync.stop();
     }
 };
 
