--- a/src/node/instance.cpp
+++ b/src/node/instance.cpp
@@ -217,7 +217,7 @@
 
 /// Announces up to which version this instance's view is complete. A planner relies on it that this
 /// instance sends no more work to runners that the view has closed. So a version is announced only
-/// when no request routed under an older view may still be on its way to such a runner.
+/// when no request routed under an older view may still be in transit to such a runner.
 void instance::state::acknowledge()
 {
     const std::lock_guard lock(acknowledgeLock);
--- a/src/node/work_ledger.h
+++ b/src/node/work_ledger.h
@@ -20,7 +20,7 @@
 {
     std::atomic<std::uint32_t> open{0};
     /// Requests for which this runner was chosen and that it has not answered yet: they may still
-    /// be on their way to it.
+    /// be in transit.
     std::atomic<std::uint32_t> unanswered{0};
     std::atomic<std::uint64_t> sent{0}; ///< Requests, since the slot was created.
     std::atomic<std::uint64_t> sentTokens{0}; ///< Prompt tokens, since the slot was created.
@@ -41,7 +41,7 @@
     open_work(const open_work &) = delete;
     open_work &operator=(const open_work &) = delete;
 
-    /// The runner has sent part of its answer: nothing of this request is on its way to it any
+    /// The runner has sent part of its answer: nothing of this request is in transit any
     /// more.
     void onAnswer();
 
@@ -64,7 +64,7 @@
 
     slot_ptr slotOf(const policy::view &now, runner_handle runner);
 
-    /// @returns Whether a request may still be on its way to a runner that the view has closed for
+    /// @returns Whether a request may still be in transit to a runner that the view has closed for
     ///          new work.
     bool hasWorkOnItsWayToClosed(const policy::view &now);
 
--- a/tests/node/answers_test.cpp
+++ b/tests/node/answers_test.cpp
@@ -75,9 +75,9 @@
         CPPUNIT_ASSERT(stateOf(table, "n") == answer_state::Lost);
     }
 
-    // Answers beyond the memory limit evict the oldest answer; its caller is told that the request
-    // may have run. Records that are costlier to lose are kept: that an attempt is running, or was
-    // never dispatched.
+    // Answers beyond the memory limit evict the oldest answer; its caller gets the reply that the
+    // request may have run. Records that are costlier to lose are kept: that an attempt is running,
+    // or was never dispatched.
     void oldestAnswersAreEvictedFirst()
     {
         answer_book table(clock());
--- a/tests/node/dispatch_test.cpp
+++ b/tests/node/dispatch_test.cpp
@@ -71,7 +71,7 @@
     // Guards against a stream being cut: an instance chooses a runner and is frozen before it
     // sends; the planner reserves the runner, takes the instance's acknowledgement as proof that no
     // more work comes, and orders a role change; then the instance resumes and sends. So the
-    // instance must not acknowledge the reservation while an earlier request is on its way.
+    // instance must not acknowledge the reservation while an earlier request is in transit.
     void chosenRunnerHasUnansweredWorkUntilItAnswers()
     {
         dispatch_fixture fixture;
--- a/tests/node/orders_race_test.cpp
+++ b/tests/node/orders_race_test.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned seeds = 6;
 constexpr int iterationsWithoutFaults = 120;
 
-/// An order that is on its way and may arrive until `lastMoment`.
+/// An order that is in transit and may arrive until `lastMoment`.
 struct in_flight_order
 {
     runner::engine_order order;
@@ -86,7 +86,7 @@
         return happens(0.05) ? write_fate::Held : write_fate::Answered;
     }
 
-    /// Delivers the order, or keeps it on its way until the guard and TCP's time limit end it.
+    /// Delivers the order, or keeps it in transit until the guard and TCP's time limit end it.
     result<unit> send(const runner::engine_order &order, mono_time end)
     {
         if (clock.now >= end)
--- a/tests/node/orders_test.cpp
+++ b/tests/node/orders_test.cpp
@@ -247,7 +247,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), engine.received.back().fence);
     }
 
-    // The order is sent twice because the engine crashed; the first copy is still on its way when
+    // The order is sent twice because the engine crashed; the first copy is still in transit when
     // the second is obeyed. The engine ignores fencing numbers, so the next order must wait until
     // that copy can no longer arrive.
     void unansweredSendDelaysSettling() { unansweredSend(false); }
