--- a/src/node/request_once.cpp
+++ b/src/node/request_once.cpp
@@ -1,5 +1,5 @@
-// Requests that must run at most once: claimed before they are dispatched, and their answers kept
-// for duplicates.
+// Handling of requests that must run at most once: they are claimed before they are dispatched, and
+// their answers are kept for duplicates.
 
 #include "node/request_path.h"
 
@@ -15,10 +15,10 @@
 
 using json = nlohmann::json;
 
-/// Content type under which a completion is kept; it never leaves the system.
+/// Content type of a kept completion; never sent to callers.
 constexpr std::string_view keptCompletionType = "application/x-poplarspool-completion";
 
-/// Hex digits of a body's hash: 128 bits, and half the bytes of a claim.
+/// Hex digits of a body's hash: 128 bits, half the size of the full hash in each claim.
 constexpr std::size_t hashDigits = 32;
 
 std::string hashOfParts(std::initializer_list<std::string_view> parts)
@@ -45,7 +45,7 @@
 {
     const json body = parseJson(kept.body);
     if (body.is_discarded())
-        return sink.fail(mayHaveRun(error_code::Duplicate, "the kept answer can't be read"));
+        return sink.fail(mayHaveRun(error_code::Duplicate, "the kept answer is unreadable"));
     if (!sink.token(body.at("text").get<std::string>()))
         return;
     sink.finish({body.at("finish_reason").get<std::string>(),
@@ -53,8 +53,9 @@
                  body.at("output_tokens").get<std::uint32_t>()});
 }
 
-/// Tells the answer book how a claimed attempt has ended. One that ends in no known way counts as
-/// lost: left "running", its duplicates would wait for an answer that never comes.
+/// Records in the answer_table how a claimed attempt ended. An attempt destroyed without an outcome
+/// is recorded as lost: if it stayed "running", its duplicates would wait for an answer that never
+/// comes.
 class claimed_attempt
 {
 public:
@@ -93,23 +94,24 @@
 
 } // namespace
 
-void request_path::completeOnce(const caller::completion_ask &ask, const admitted &pass,
-                                caller::completion_sink &sink)
+void request_path::completeAtMostOnce(const caller::completion_ask &request,
+                                      const admitted &admission, caller::completion_sink &sink)
 {
     const std::string key =
-            claimNameOf(pass.facts.workspace.text, "completion", ask.head.idempotencyKey);
+            claimNameOf(admission.facts.workspace.text, "completion", request.head.idempotencyKey);
     const std::string bodyHash =
-            hashOfParts({ask.model, ask.prompt, std::to_string(ask.maxTokens)});
-    const entry_decision decision = duplicates.enter(key, bodyHash, pass.deadline);
+            hashOfParts({request.model, request.prompt, std::to_string(request.maxTokens)});
+    const entry_decision decision = duplicates.enter(key, bodyHash, admission.deadline);
     if (const auto *refusal = std::get_if<error>(&decision))
         return sink.fail(*refusal);
     if (const auto *earlier = std::get_if<earlier_answer>(&decision))
         return replay(earlier->reply, sink);
     claimed_attempt attempt(answers, key, std::get<may_dispatch>(decision).nonce);
     std::string whole;
-    const auto outcome = runCompletion(ask, pass, [&](const std::string &text) {
+    const auto outcome = runCompletion(request, admission, [&](const std::string &text) {
         whole += text;
-        // The run goes on when its caller has gone: the caller's next try gets this answer.
+        // The run continues after its caller has disconnected: the caller's next attempt gets this
+        // answer.
         sink.token(text);
         return true;
     });
@@ -122,14 +124,15 @@
     sink.finish({std::string(runner::nameOf(end.reason)), end.promptTokens, end.outputTokens});
 }
 
-std::optional<error> request_path::callServiceOnce(const caller::service_ask &ask,
-                                                   const admitted &pass, http_sink &sink)
+std::optional<error> request_path::callServiceAtMostOnce(const caller::service_ask &call,
+                                                         const admitted &admission, http_sink &sink)
 {
-    const std::string operation = ask.service + " " + ask.request.method + " " + ask.request.path;
+    const std::string operation =
+            call.service + " " + call.request.method + " " + call.request.path;
     const std::string key =
-            claimNameOf(pass.facts.workspace.text, operation, ask.head.idempotencyKey);
-    const std::string bodyHash = hashOfParts({ask.request.contentType, ask.request.body});
-    const entry_decision decision = duplicates.enter(key, bodyHash, pass.deadline);
+            claimNameOf(admission.facts.workspace.text, operation, call.head.idempotencyKey);
+    const std::string bodyHash = hashOfParts({call.request.contentType, call.request.body});
+    const entry_decision decision = duplicates.enter(key, bodyHash, admission.deadline);
     if (const auto *refusal = std::get_if<error>(&decision))
         return *refusal;
     if (const auto *earlier = std::get_if<earlier_answer>(&decision)) {
@@ -140,7 +143,7 @@
     }
     claimed_attempt attempt(answers, key, std::get<may_dispatch>(decision).nonce);
     http_reply kept;
-    std::optional<error> failure = runService(ask, pass, sink, &kept);
+    std::optional<error> failure = runService(call, admission, sink, &kept);
     if (failure)
         attempt.fail(*failure);
     else
--- a/src/node/watched_sync.cpp
+++ b/src/node/watched_sync.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Marks the runners that an order in work has taken out of service.
+/// Marks the runners that an order in progress has taken out of service.
 void markReserved(policy::view &draft, const std::map<std::string, platform::object> &objects,
                   const std::string &headKey)
 {
@@ -31,10 +31,10 @@
 
 } // namespace
 
-watched_sync::watched_sync(sync_needs needs, platform::object_store &store, view_hub &views,
+watched_sync::watched_sync(sync_needs dependencies, platform::object_store &store, view_hub &views,
                            clock_source clock, metrics_registry &metrics, journal &events)
-    : needs(std::move(needs)), store(store), views(views), clock(std::move(clock)), events(events),
-      applied(metrics.counterOf("poplarspool_watched_updates_total")),
+    : dependencies(std::move(dependencies)), store(store), views(views), clock(std::move(clock)),
+      events(events), applied(metrics.counterOf("poplarspool_watched_updates_total")),
       rejected(metrics.counterOf("poplarspool_config_rejected_total"))
 { }
 
@@ -62,31 +62,31 @@
         peerThread.join();
 }
 
-peer::watched_reply watched_sync::replyTo(const peer::watched_ask &question) const
+peer::watched_reply watched_sync::replyTo(const peer::watched_ask &request) const
 {
     const std::lock_guard lock(guard);
     peer::watched_reply reply;
-    reply.version = complete;
+    reply.version = completeVersion;
     for (const auto &[key, entry] : objects) {
-        if (entry.version > question.knownVersion)
+        if (entry.version > request.knownVersion)
             reply.objects.push_back({entry.key, entry.value, entry.version});
     }
     return reply;
 }
 
-result<peer::body_reply> watched_sync::bodyFor(const peer::body_ask &question) const
+result<peer::body_reply> watched_sync::bodyFor(const peer::body_ask &request) const
 {
     const std::lock_guard lock(guard);
-    const auto found = bodies.find(question.sha256);
+    const auto found = bodies.find(request.sha256);
     if (found == bodies.end())
-        return notRun(error_code::NotFound, "no such configuration body here");
+        return notRun(error_code::NotFound, "this instance does not have that configuration body");
     return peer::body_reply{found->second};
 }
 
 std::uint64_t watched_sync::appliedVersion() const
 {
     const std::lock_guard lock(guard);
-    return complete;
+    return completeVersion;
 }
 
 mono_time watched_sync::confirmedAt() const
@@ -98,7 +98,7 @@
 std::pair<std::uint64_t, mono_time> watched_sync::progress() const
 {
     const std::lock_guard lock(guard);
-    return {complete, confirmed};
+    return {completeVersion, confirmed};
 }
 
 void watched_sync::storeLoop()
@@ -110,7 +110,7 @@
             if (isStopping)
                 return;
         }
-        if (!needs.isWatcher()) {
+        if (!dependencies.isWatcher()) {
             pause(config::gossipTime);
             continue;
         }
@@ -132,21 +132,22 @@
         after = cursor;
         isWatch = hasListed;
     }
-    const std::string prefix = operators::watchedPrefix(needs.deployment);
+    const std::string prefix = operators::watchedPrefix(dependencies.deployment);
     const mono_time asked = clock.mono();
     const milliseconds wait = config::confirmTime;
     const auto answer = isWatch ? store.watch(prefix, after, wait) : store.list(prefix);
     if (!succeeded(answer))
         return false;
-    const platform::object_list &news = valueOf(answer);
-    // A watch that waited in vain says that nothing changed until `asked + wait`. The time of its
-    // arrival says less: this process may have been frozen while the answer lay in its socket.
-    const bool waitedInVain = isWatch && news.objects.empty();
-    if (!take(news.objects, 0, waitedInVain ? asked + wait : asked))
+    const platform::object_list &changes = valueOf(answer);
+    // A watch that timed out without changes confirms that nothing changed until `asked + wait`.
+    // The time at which its answer is read must not be used: the process may have been frozen while
+    // the answer was in its socket.
+    const bool isUnchanged = isWatch && changes.objects.empty();
+    if (!applyUpdate(changes.objects, 0, isUnchanged ? asked + wait : asked))
         return false;
     const std::lock_guard lock(guard);
     hasListed = true;
-    cursor = std::max(cursor, news.version);
+    cursor = std::max(cursor, changes.version);
     return true;
 }
 
@@ -166,7 +167,7 @@
 void watched_sync::pullFromPeers()
 {
     const std::uint64_t known = appliedVersion();
-    std::vector<policy::member> peers = needs.peers();
+    std::vector<policy::member> peers = dependencies.peers();
     std::sort(peers.begin(), peers.end(), [](const policy::member &a, const policy::member &b) {
         return a.appliedVersion > b.appliedVersion;
     });
@@ -175,63 +176,64 @@
         if (other.appliedVersion == 0 || other.appliedVersion < known)
             break;
         if (other.appliedVersion == known) {
-            // Same version, so what the store confirmed to that peer it confirmed of our view too.
+            // The versions are equal, so a confirmation that the store gave to that peer holds for
+            // this view too.
             confirmedByPeers = std::max(confirmedByPeers, other.confirmedAt);
             continue;
         }
-        const auto reply = needs.askState(other.peerAddress, {known});
+        const auto reply = dependencies.askState(other.peerAddress, {known});
         if (!succeeded(reply))
             continue;
         std::vector<platform::object> changed;
         for (const peer::watched_object &entry : valueOf(reply).objects)
             changed.push_back({entry.key, entry.value, entry.version});
-        if (take(changed, valueOf(reply).version, other.confirmedAt))
+        if (applyUpdate(changed, valueOf(reply).version, other.confirmedAt))
             return;
     }
     if (confirmedByPeers > confirmedAt())
-        take({}, known, confirmedByPeers);
+        applyUpdate({}, known, confirmedByPeers);
 }
 
-/// Works an update in. Each object only ever moves to a higher version, so an answer that comes
-/// late or crossed can't bring an older configuration back.
-bool watched_sync::take(const std::vector<platform::object> &changed, std::uint64_t completeTo,
-                        mono_time confirmedNow)
+/// Applies an update. Objects only move to higher versions, so an answer that arrives late or out
+/// of order can't bring back an older configuration.
+bool watched_sync::applyUpdate(const std::vector<platform::object> &changed,
+                               std::uint64_t completeTo, mono_time confirmedNow)
 {
-    const std::lock_guard oneAtATime(takers);
+    const std::lock_guard oneAtATime(applyLock);
     object_map next;
     std::uint64_t before = 0;
     {
         const std::lock_guard lock(guard);
         next = objects;
-        before = complete;
+        before = completeVersion;
     }
     std::uint64_t newest = std::max(before, completeTo);
-    bool isNew = false;
+    bool hasChanges = false;
     for (const platform::object &entry : changed) {
         platform::object &present = next[entry.key];
         if (entry.version <= present.version)
             continue;
         present = entry;
         newest = std::max(newest, entry.version);
-        isNew = true;
+        hasChanges = true;
     }
-    if (isNew && !publish(next, newest))
+    if (hasChanges && !publish(next, newest))
         return false;
     mono_time stamp;
     {
         const std::lock_guard lock(guard);
         objects = std::move(next);
-        complete = newest;
+        completeVersion = newest;
         confirmed = std::max(confirmed, confirmedNow);
         stamp = confirmed;
     }
-    needs.onApplied(newest, stamp);
+    dependencies.onApplied(newest, stamp);
     return true;
 }
 
 bool watched_sync::publish(const object_map &next, std::uint64_t completeTo)
 {
-    const std::string headKey = operators::headKey(needs.deployment);
+    const std::string headKey = operators::headKey(dependencies.deployment);
     const auto head = next.find(headKey);
     const policy::view_ptr before = views.current();
     std::optional<loaded_config> loaded;
@@ -243,7 +245,7 @@
     const policy::view_ptr after = views.update([&](policy::view &draft) {
         if (loaded) {
             policy::replaceFleet(draft, loaded->fleet);
-            draft.book = loaded->book;
+            draft.book = loaded->rules;
             draft.configVersion = head->second.version;
         }
         draft.appliedVersion = completeTo;
@@ -258,7 +260,7 @@
     return true;
 }
 
-/// Fetches and reads the configuration that a head names.
+/// Fetches and parses the configuration that a head refers to.
 std::optional<watched_sync::loaded_config> watched_sync::load(const platform::object &head)
 {
     const auto parsed = operators::parseConfigHead(head.value);
@@ -271,18 +273,18 @@
     if (!succeeded(inventoryText) || !succeeded(rulesText))
         return std::nullopt;
     const auto fleet = operators::parseInventory("inventory", valueOf(inventoryText));
-    const auto book = operators::parseRules("rules", valueOf(rulesText));
+    const auto rules = operators::parseRules("rules", valueOf(rulesText));
     const auto *goodFleet = std::get_if<policy::inventory>(&fleet);
-    const auto *goodBook = std::get_if<policy::rules>(&book);
-    if (!goodFleet || !goodBook) {
-        reject("texts do not pass the check");
+    const auto *goodRules = std::get_if<policy::rules>(&rules);
+    if (!goodFleet || !goodRules) {
+        reject("the inventory or the rules are invalid");
         return std::nullopt;
     }
     const std::lock_guard lock(guard);
     bodies = {{valueOf(parsed).inventorySha, valueOf(inventoryText)},
               {valueOf(parsed).rulesSha, valueOf(rulesText)}};
     return loaded_config{std::make_shared<const policy::inventory>(*goodFleet),
-                         std::make_shared<const policy::rules>(*goodBook)};
+                         std::make_shared<const policy::rules>(*goodRules)};
 }
 
 void watched_sync::reject(const std::string &reason)
@@ -291,21 +293,23 @@
     events.emit("config_rejected", {{"reason", reason}});
 }
 
-/// Bodies are named by their content, so a copy from anywhere is as good once its hash fits.
+/// Bodies are addressed by their content hash, so a copy from any source is valid if its hash
+/// matches.
 result<std::string> watched_sync::findBody(const std::string &sha256)
 {
     const auto own = bodyFor({sha256});
     if (succeeded(own))
         return valueOf(own).content;
-    const auto stored = store.get(operators::bodyKey(needs.deployment, sha256));
+    const auto stored = store.get(operators::bodyKey(dependencies.deployment, sha256));
     if (succeeded(stored) && sha256Hex(valueOf(stored).value) == sha256)
         return valueOf(stored).value;
-    for (const policy::member &other : needs.peers()) {
-        const auto reply = needs.askBody(other.peerAddress, {sha256});
+    for (const policy::member &other : dependencies.peers()) {
+        const auto reply = dependencies.askBody(other.peerAddress, {sha256});
         if (succeeded(reply) && sha256Hex(valueOf(reply).content) == sha256)
             return valueOf(reply).content;
     }
-    return notRun(error_code::Unavailable, "configuration body not found");
+    return notRun(error_code::Unavailable,
+                  "configuration body found neither in the store nor at a peer");
 }
 
 void watched_sync::pause(milliseconds time)
--- a/src/node/watched_sync.h
+++ b/src/node/watched_sync.h
@@ -18,53 +18,56 @@
 #include <vector>
 
 /// Keeps this instance's copy of the watched objects (the configuration head and the order records)
-/// up to date, from the store or from peers, and publishes what they say as views.
+/// up to date, from the store or from peers, and publishes their content in views.
 namespace poplarspool::node {
 
-/// What the sync takes from the rest of the instance.
+/// What watched_sync needs from the other components of the instance.
 struct sync_needs
 {
     std::string deployment;
-    /// Peers to ask, this instance not among them.
+    /// Peers that can be queried, without this instance.
     std::function<std::vector<policy::member>()> peers;
     std::function<result<peer::watched_reply>(const endpoint &, const peer::watched_ask &)>
             askState;
     std::function<result<peer::body_reply>(const endpoint &, const peer::body_ask &)> askBody;
-    /// @returns Whether this instance watches the store itself; the others learn from those who do.
+    /// @returns Whether this instance watches the store itself; the others get changes from those
+    ///          that do.
     std::function<bool()> isWatcher;
-    /// Told of each advance: complete up to that version, confirmed as of that time.
+    /// Called at each advance: the view is complete up to `appliedVersion` and was confirmed at
+    /// `confirmedAt`.
     std::function<void(std::uint64_t appliedVersion, mono_time confirmedAt)> onApplied;
 };
 
 class watched_sync
 {
 public:
-    watched_sync(sync_needs needs, platform::object_store &store, view_hub &views,
+    watched_sync(sync_needs dependencies, platform::object_store &store, view_hub &views,
                  clock_source clock, metrics_registry &metrics, journal &events);
     ~watched_sync();
     void start();
     void stop();
 
-    /// The answer to a peer that asks for what is newer than it knows.
-    peer::watched_reply replyTo(const peer::watched_ask &question) const;
-    result<peer::body_reply> bodyFor(const peer::body_ask &question) const;
+    /// @returns The objects newer than the version that the requesting peer knows.
+    peer::watched_reply replyTo(const peer::watched_ask &request) const;
+    result<peer::body_reply> bodyFor(const peer::body_ask &request) const;
 
-    /// @returns Up to which store version the published view is complete; 0: nothing known yet.
+    /// @returns The store version up to which the published view is complete; 0 if nothing is known
+    ///          yet.
     std::uint64_t appliedVersion() const;
-    /// @returns When the store last confirmed, to this instance or to a peer, that nothing newer
-    ///          was there.
+    /// @returns When the store last confirmed, to this instance or to a peer, that there was
+    ///          nothing newer.
     mono_time confirmedAt() const;
-    /// @returns Both of the above as of one moment.
+    /// @returns Both of the above, read atomically.
     std::pair<std::uint64_t, mono_time> progress() const;
 
 private:
     using object_map = std::map<std::string, platform::object>;
 
-    /// A configuration as it was read from its bodies.
+    /// A configuration parsed from its bodies.
     struct loaded_config
     {
         std::shared_ptr<const policy::inventory> fleet;
-        std::shared_ptr<const policy::rules> book;
+        std::shared_ptr<const policy::rules> rules;
     };
 
     std::optional<loaded_config> load(const platform::object &head);
@@ -73,13 +76,13 @@
     void peerLoop();
     bool pullFromStore();
     void pullFromPeers();
-    bool take(const std::vector<platform::object> &changed, std::uint64_t completeTo,
-              mono_time confirmed);
+    bool applyUpdate(const std::vector<platform::object> &changed, std::uint64_t completeTo,
+                     mono_time confirmed);
     bool publish(const object_map &next, std::uint64_t completeTo);
     result<std::string> findBody(const std::string &sha256);
     void pause(milliseconds time);
 
-    sync_needs needs;
+    sync_needs dependencies;
     platform::object_store &store;
     view_hub &views;
     clock_source clock;
@@ -88,13 +91,13 @@
     counter &rejected;
 
     mutable std::mutex guard;
-    std::mutex takers; ///< One update is worked in at a time.
+    std::mutex applyLock; ///< Serializes updates.
     std::condition_variable wake;
     object_map objects;
-    std::map<std::string, std::string> bodies; ///< By SHA-256, of the present configuration.
-    std::uint64_t complete = 0;
-    bool hasListed = false; ///< The store's list was taken in; from then on it is watched.
-    std::uint64_t cursor = 0; ///< Store version from which the next watch asks.
+    std::map<std::string, std::string> bodies; ///< By SHA-256; bodies of the current configuration.
+    std::uint64_t completeVersion = 0;
+    bool hasListed = false; ///< The store's list was applied; from then on the store is watched.
+    std::uint64_t cursor = 0; ///< Store version after which the next watch asks for changes.
     mono_time confirmed{};
     bool isStopping = false;
     std::thread storeThread;
