--- a/include/poplarspool/peer/calls.h
+++ b/include/poplarspool/peer/calls.h
@@ -14,19 +14,19 @@
 
 namespace poplarspool::peer {
 
-/// Answers one call with an encoded reply. Called on a thread of the server.
+/// Handles one call and returns the encoded reply. Runs on a server thread.
 using call_handler = std::function<result<std::string>(std::string_view payload)>;
 
-/// Who this process is, for the header of every call.
+/// Identity of this process, sent in the header of every call.
 struct call_identity
 {
     instance_id instance;
     incarnation life = 0;
-    std::string key; ///< Secret of the MAC.
+    std::string key; ///< Secret from which the MAC key is derived.
 };
 
-/// Serves calls of other instances over TCP. A frame that is too long, foreign, replayed or bad is
-/// counted and ends its connection.
+/// Serves calls of other instances over TCP. A frame that is too long, foreign, replayed or
+/// malformed is counted and closes its connection.
 class call_server
 {
 public:
@@ -41,16 +41,16 @@
     std::unique_ptr<state> inner;
 };
 
-/// Calls other instances over kept TCP connections. An answer is taken only where call id and both
-/// incarnations match the open call; any other is dropped and counted.
+/// Calls other instances over pooled TCP connections. A reply is accepted only if its call id and
+/// both incarnations match the open call; any other reply is dropped and counted.
 class call_client
 {
 public:
     call_client(call_identity self, metrics_registry &metrics, journal &events);
     ~call_client();
 
-    /// @returns The reply's payload; the other side's error as it was; NotRun where the call can't
-    ///          have reached it.
+    /// @returns The payload of the reply, or the error that the other instance returned. The
+    ///          verdict is NotRun if the call can't have reached the other instance.
     result<std::string> call(const endpoint &to, call_kind kind, const std::string &payload,
                              milliseconds timeLimit);
     void stop();
@@ -60,15 +60,15 @@
     std::unique_ptr<state> inner;
 };
 
-/// Typed call.
-template <class Reply, class Ask>
-result<Reply> ask(call_client &client, const endpoint &to, call_kind kind, const Ask &question,
+/// Encodes `request`, sends the call and decodes the reply.
+template <class Reply, class Request>
+result<Reply> ask(call_client &client, const endpoint &to, call_kind kind, const Request &request,
                   milliseconds timeLimit)
 {
-    const result<std::string> answer = client.call(to, kind, encode(question), timeLimit);
-    if (!succeeded(answer))
-        return errorOf(answer);
-    return decode<Reply>(valueOf(answer));
+    const result<std::string> reply = client.call(to, kind, encode(request), timeLimit);
+    if (!succeeded(reply))
+        return errorOf(reply);
+    return decode<Reply>(valueOf(reply));
 }
 
 } // namespace poplarspool::peer
--- a/include/poplarspool/peer/datagram_settings.h
+++ b/include/poplarspool/peer/datagram_settings.h
@@ -7,13 +7,13 @@
 
 namespace poplarspool::peer {
 
-/// Of whatever tells other instances something in datagrams.
+/// Settings of a component that exchanges datagrams with other instances.
 struct datagram_settings
 {
     instance_id self;
     incarnation life = 0;
-    endpoint address; ///< Bound for UDP.
-    std::string key; ///< Secret of the MAC.
+    endpoint address; ///< UDP address to bind.
+    std::string key; ///< Secret from which the MAC key is derived.
 };
 
 } // namespace poplarspool::peer
--- a/include/poplarspool/peer/load_exchange.h
+++ b/include/poplarspool/peer/load_exchange.h
@@ -17,78 +17,82 @@
 
 namespace poplarspool::peer {
 
-/// What one instance has going on at one runner.
+/// Requests of one instance at one runner.
 struct runner_work
 {
     std::uint32_t runner = 0; ///< runnerKey() of its id.
-    std::uint32_t open = 0; ///< Requests sent and not ended.
-    std::uint32_t readingMs = 0; ///< Time for reading the prompts of urgent ones not begun.
-    std::uint32_t laterMs = 0; ///< The same of those that all urgent ones overtake.
-    /// Tokens of prompts that this instance has put into its cache; counts on, and wraps around.
+    std::uint32_t open = 0; ///< Requests sent that have not ended.
+    std::uint32_t readingMs = 0; ///< Estimated prefill time of urgent requests not begun.
+    std::uint32_t laterMs = 0; ///< The same for low-priority requests, which wait for urgent ones.
+    /// Running total of prompt tokens that this instance has added to the
+    /// runner's cache; wraps around at 2^32.
     std::uint32_t tokensIn = 0;
-    std::uint32_t waiting = 0; ///< Urgent ones that have not begun.
-    std::uint32_t waitingLater = 0; ///< Such as all urgent ones overtake, not begun.
+    std::uint32_t waiting = 0; ///< Urgent requests that have not begun.
+    std::uint32_t waitingLater = 0; ///< Low-priority requests that have not begun.
 
     bool operator==(const runner_work &) const = default;
 };
 
-/// A runner has been given a prompt that begins so, and keeps it in its cache for a while.
+/// A prompt prefix that a runner was sent and keeps in its cache for a while.
 struct cached_chain
 {
     std::uint32_t runner = 0;
-    std::uint32_t chain = 0; ///< Low half of the chain's hash.
-    bool isRead = false; ///< The runner has read it; until then, others can't copy it from there.
+    std::uint32_t chain = 0; ///< Low half of the hash of the prefix.
+    bool isRead = false; ///< Prefill has ended; before that, other runners can't copy it.
 
     bool operator==(const cached_chain &) const = default;
 };
 
-/// What one instance tells the others. A hint: it may be lost, and what it says is soon old.
+/// Load update of one instance. Only a hint: the datagram may be lost, and its data is soon stale.
 struct load_news
 {
-    std::vector<runner_work> work; ///< All of it; runners that aren't named have none.
-    std::vector<cached_chain> cached; ///< New since lately.
+    std::vector<runner_work> work; ///< Complete: runners not listed have no requests of the sender.
+    std::vector<cached_chain> cached; ///< Prefixes added recently.
 
     bool operator==(const load_news &) const = default;
 };
 
-/// @returns The number that stands for a runner in these messages.
+/// @returns Hash that identifies a runner in load updates.
 std::uint32_t runnerKey(const runner_id &id);
 
-/// @returns TooLarge where a bound is broken.
-result<std::string> encode(const load_news &news);
+/// @returns TooLarge if the update exceeds a bound.
+result<std::string> encode(const load_news &update);
 result<load_news> decodeLoadNews(std::string_view payload);
 
-/// Whom news go to. Both hear all of it, at their own pace.
+/// Recipients of an update: the instances in the sender's availability zone, or all others. Both
+/// groups get the same data, at different intervals.
 enum class news_audience { Near, Far };
 inline constexpr std::size_t newsAudiences = 2;
 
-/// @param peers Of one audience.
-/// @param others All other instances.
-/// @param datagramsPerSecond What one instance of a fleet that isn't large sends to that audience.
-/// @returns Time between two messages to the audience.
+/// @param peers Number of instances in the recipient group.
+/// @param others Number of all other instances in the fleet.
+/// @param datagramsPerSecond Rate at which one instance sends to the group in a fleet that is
+///                           small enough for the full rate.
+/// @returns Time between two updates to the group.
 milliseconds loadNewsInterval(std::size_t peers, std::size_t others,
                               std::size_t datagramsPerSecond);
 
-/// Tells every other instance what this one has sent where, and hears the same from them; those of
-/// the own availability zone many times a second, in large fleets the others more rarely. Gossip
-/// would spread it too, but two or three rounds late, and half of a request's time is over by then.
+/// Exchanges load updates with every other instance: many times a second within the availability
+/// zone, less often with other zones in large fleets. Gossip would deliver the updates two or
+/// three rounds later, when half of a request's duration has passed.
 class load_exchange
 {
 public:
-    /// @param collect Gives what to tell; called on the exchange's thread, as is onNews.
-    /// @param onNews Gets a sender's number and its news, in the sender's order.
-    load_exchange(datagram_settings choices, std::function<load_news(news_audience)> collect,
-                  std::function<void(std::uint64_t sender, const load_news &)> onNews,
+    /// @param collect Returns the update to send. Called on the thread
+    ///                of the exchange, as is onUpdate.
+    /// @param onUpdate Gets the sender's number and its update, in the order in which it sent them.
+    load_exchange(datagram_settings settings, std::function<load_news(news_audience)> collect,
+                  std::function<void(std::uint64_t sender, const load_news &)> onUpdate,
                   clock_source clock, metrics_registry &metrics, journal &events);
     ~load_exchange();
 
     result<unit> start();
     void stop();
-    /// Whom to tell.
-    /// @param near In the own availability zone: told most often, since requests mostly stay in
-    ///             their zone and bytes between zones are dear.
-    /// @param far All others.
-    void setPeers(std::vector<endpoint> near, std::vector<endpoint> far);
+    /// Sets the recipients.
+    /// @param sameZone Instances in the own availability zone. They get updates most often, since
+    ///                 most requests stay in their zone and traffic between zones is expensive.
+    /// @param otherZones All other instances.
+    void setPeers(std::vector<endpoint> sameZone, std::vector<endpoint> otherZones);
 
 private:
     struct state;
--- a/include/poplarspool/peer/messages.h
+++ b/include/poplarspool/peer/messages.h
@@ -12,16 +12,17 @@
 
 namespace poplarspool::peer {
 
-/// What one instance may ask another over TCP.
+/// Calls between instances over TCP.
 enum class call_kind : std::uint8_t {
-    WatchedState = 1, ///< watched_ask -> watched_reply
-    Body = 2, ///< body_ask -> body_reply
-    Claim = 3, ///< claim_ask -> claim_reply
-    Answer = 4, ///< answer_ask -> answer_reply
-    Events = 5, ///< events_ask -> events_reply
+    WatchedState = 1, ///< watched_request -> watched_reply
+    Body = 2, ///< body_request -> body_reply
+    Claim = 3, ///< claim_request -> claim_reply
+    Answer = 4, ///< answer_request -> answer_reply
+    Events = 5, ///< events_request -> events_reply
 };
 
-/// Asks for the watched objects (configuration head, order records) if newer than known.
+/// Requests the watched objects (configuration head, order
+/// records) that are newer than `knownVersion`.
 struct watched_ask
 {
     std::uint64_t knownVersion = 0;
@@ -40,13 +41,14 @@
 
 struct watched_reply
 {
-    std::uint64_t version = 0; ///< Complete up to here; objects are empty where not newer.
+    std::uint64_t version = 0; ///< Version up to which the objects are complete.
+    /// Objects newer than the version known to the requester; may be empty.
     std::vector<watched_object> objects;
 
     bool operator==(const watched_reply &) const = default;
 };
 
-/// Asks for an immutable body by the SHA-256 of its content.
+/// Requests an immutable body by the SHA-256 of its content.
 struct body_ask
 {
     std::string sha256;
@@ -61,13 +63,13 @@
     bool operator==(const body_reply &) const = default;
 };
 
-/// Asks the batcher of a claim bucket to have a claim written.
+/// Asks the batcher of a claim bucket to write a claim.
 struct claim_ask
 {
     std::string key; ///< Hash of workspace, operation and idempotency key.
     std::string bodyHash;
-    std::string nonce; ///< Of the attempt.
-    instance_id owner; ///< Instance that will dispatch.
+    std::string nonce; ///< Identifies the attempt.
+    instance_id owner; ///< Instance that will dispatch the request.
     std::uint32_t timeLeftMs = 0;
 
     bool operator==(const claim_ask &) const = default;
@@ -75,7 +77,7 @@
 
 struct claim_reply
 {
-    std::string bodyHash; ///< Of the claim that stands.
+    std::string bodyHash; ///< Of the claim that is stored.
     std::string nonce;
     instance_id owner;
 
@@ -83,19 +85,19 @@
 };
 
 enum class answer_state : std::uint8_t {
-    Unknown = 0, ///< This instance knows nothing of that attempt.
-    NotDispatched = 1, ///< The attempt ended, and never will be dispatched.
+    Unknown = 0, ///< This instance has no record of the attempt.
+    NotDispatched = 1, ///< The attempt ended and will never be dispatched.
     Running = 2,
-    Done = 3, ///< The answer is here.
-    Lost = 4, ///< It may have run; the answer was not kept.
+    Done = 3, ///< The reply contains the answer.
+    Lost = 4, ///< The attempt may have run, but its answer was not kept.
 };
 
-/// Asks the owner of a claim for the answer to it.
+/// Requests the answer of a claimed attempt from the owner of the claim.
 struct answer_ask
 {
     std::string key;
     std::string nonce;
-    std::uint32_t waitMs = 0; ///< While it is running.
+    std::uint32_t waitMs = 0; ///< Maximum time to wait while the attempt is running.
 
     bool operator==(const answer_ask &) const = default;
 };
@@ -123,8 +125,9 @@
     bool operator==(const events_reply &) const = default;
 };
 
-// Encoders, and decoders that bound every length before they allocate: a payload that claims more
-// than it holds, or leaves bytes over, is Broken.
+// Decoders check every length against its bound before they allocate. A payload that is shorter
+// than its lengths say, or has trailing bytes, is Broken. An encoder returns an empty payload,
+// which no decoder accepts, if the message exceeds a bound.
 
 std::string encode(const watched_ask &message);
 std::string encode(const watched_reply &message);
@@ -137,7 +140,7 @@
 std::string encode(const events_ask &message);
 std::string encode(const events_reply &message);
 
-/// @tparam Message One of the above.
+/// @tparam Message One of the message types above.
 template <class Message>
 result<Message> decode(std::string_view payload);
 
--- a/include/poplarspool/peer/store_news.h
+++ b/include/poplarspool/peer/store_news.h
@@ -11,17 +11,18 @@
 #include <string_view>
 #include <vector>
 
-/// What an instance that follows the platform's store tells those that don't.
+/// Store updates: sent by a relay, an instance that watches
+/// the platform's store on behalf of others.
 namespace poplarspool::peer {
 
-/// One kind of objects in the store, as the sender knows it.
+/// State of one kind of store objects, as known to the sender.
 struct kind_news
 {
-    std::uint32_t kind = 0; ///< Numbered by whoever follows the store.
-    bool isAnswered = false; ///< The store has answered the sender's last call for this kind.
-    std::uint64_t since = 0; ///< `changes` has all that came after this revision of the epoch,
-    store_version version; ///< up to this one.
-    std::uint32_t ageMs = 0; ///< Since the store last said that there was nothing else.
+    std::uint32_t kind = 0; ///< Number assigned by the component that watches the store.
+    bool isAnswered = false; ///< The sender's last call to the store for this kind succeeded.
+    std::uint64_t since = 0; ///< `changes` is complete after this revision of the epoch,
+    store_version version; ///< up to and including this version.
+    std::uint32_t ageMs = 0; ///< Time since the store last confirmed that `version` was the newest.
     std::vector<std::string> changes; ///< Oldest first; each at most config::maxChangeBytes.
 
     bool operator==(const kind_news &) const = default;
@@ -34,37 +35,38 @@
     bool operator==(const store_news &) const = default;
 };
 
-/// @returns TooLarge where a bound is broken.
-result<std::string> encode(const store_news &news);
+/// @returns TooLarge if the update exceeds a bound.
+result<std::string> encode(const store_news &update);
 result<store_news> decodeStoreNews(std::string_view payload);
 
-/// The changes of one kind that were seen lately, without a hole between them: each datagram
-/// repeats them, so that one that is lost costs its receivers no call to the store.
+/// Recent changes of one kind, without gaps. Each datagram repeats them, so that a lost datagram
+/// does not cost its receivers a call to the store.
 class recent_changes
 {
 public:
-    /// Forgets all changes: what came before this version is known from a list.
+    /// Discards all changes. Called after the kind was listed at this version.
     void reset(store_version version);
-    /// Adds all changes after a revision of the same epoch. Such as are too long to be told are
-    /// forgotten with all before them: a receiver that lacks them asks the store.
+    /// Adds all changes from `since` (exclusive) to `version` of one epoch. A change
+    /// that is too long to be relayed is discarded with all changes before it;
+    /// receivers that lack it query the store.
     void add(std::uint64_t since, store_version version, std::vector<std::string> changes,
              mono_time now);
-    /// @returns As many of the last changes as fit; since and version are set.
+    /// @returns An update with as many of the newest changes as fit; `since` and `version` are set.
     kind_news tell(std::size_t maxBytes) const;
 
 private:
-    struct step
+    struct change_batch
     {
         std::uint64_t since = 0;
         std::uint64_t to = 0;
-        mono_time at{};
+        mono_time addedAt{};
         std::vector<std::string> changes;
         std::size_t bytes = 0;
     };
 
-    std::uint64_t begin = 0; ///< All that came after it is known,
-    store_version version; ///< up to this one.
-    std::deque<step> steps; ///< Oldest first; nothing else has changed between them.
+    std::uint64_t baseRevision = 0; ///< Changes are known after this revision,
+    store_version version; ///< up to and including this version.
+    std::deque<change_batch> batches; ///< Oldest first; no other changes lie between them.
 };
 
 } // namespace poplarspool::peer
--- a/include/poplarspool/peer/teller_board.h
+++ b/include/poplarspool/peer/teller_board.h
@@ -10,65 +10,68 @@
 
 namespace poplarspool::peer {
 
-/// How far this instance knows one kind of objects.
+/// State of one kind of objects at this instance.
 struct known_kind
 {
     std::uint32_t kind = 0;
     store_version version;
-    mono_time confirmedAt{}; ///< When the store last said that there was nothing else.
+    mono_time confirmedAt{}; ///< When the store last confirmed that `version` was the newest.
 };
 
-/// @returns How many instances shall follow the store for so many others.
+/// @returns Number of relays wanted in a fleet with so many other instances.
 std::size_t tellersFor(std::size_t others);
 
-/// Decides who follows the store for the others, without a message of its own and without a list
-/// of members: whoever hears fewer than enough instances tell begins to, and whoever hears enough
-/// of a higher rank ends. Two views that differ cost calls to the store, and no news: an instance
-/// that isn't told follows the store by itself.
+/// Decides whether this instance is a relay, from the store updates it receives; needs neither
+/// extra messages nor a member list. An instance becomes a relay if it receives updates from
+/// fewer relays than wanted, and stops when enough relays with a higher rank exist.
+/// Inconsistent views cost extra calls to the store but lose no update: an instance that
+/// receives none watches the store itself.
 ///
-/// @attention Not safe against concurrent calls.
+/// @attention Not thread-safe.
 class teller_board
 {
 public:
     explicit teller_board(const instance_id &self);
 
-    void hear(std::uint64_t sender, const store_news &news, mono_time now);
+    void hear(std::uint64_t sender, const store_news &update, mono_time now);
 
-    /// To be asked at every turn.
-    /// @param isAble This instance has whom to tell, and the store answers it.
-    /// @param enough Instances that shall tell.
-    /// @returns Whether this instance is to tell.
-    bool decide(bool isAble, std::size_t enough, mono_time now);
-    /// @returns When decide() may say otherwise although nothing is heard; nothing: it won't.
+    /// To be called in every iteration.
+    /// @param isAble This instance has recipients, and the store answers its calls.
+    /// @param wantedRelays Number of relays wanted, from relayCountFor().
+    /// @returns Whether this instance is a relay.
+    bool decide(bool isAble, std::size_t wantedRelays, mono_time now);
+    /// @returns Time at which this instance becomes a relay if no
+    ///          update arrives; nullopt if it won't.
     std::optional<mono_time> standsInAt() const;
 
-    /// @param maxAge Of a confirmation that is good enough.
-    /// @returns Until when others follow the kind for this instance, if nothing more is heard;
-    ///          nothing where they don't, or where one of them knows more than this instance.
+    /// @param maxAge Maximum age of a confirmation by the store.
+    /// @returns Time until which relays cover the kind for this instance if no
+    ///          further update arrives; nullopt if none does, or if a relay knows
+    ///          a newer version than this instance.
     std::optional<mono_time> coveredUntil(const known_kind &known, milliseconds maxAge,
                                           mono_time now) const;
 
 private:
-    struct heard_kind
+    struct received_kind
     {
         bool isAnswered = false;
         store_version version;
         mono_time confirmedAt{};
     };
 
-    struct teller
+    struct relay
     {
-        mono_time heardAt{};
-        std::map<std::uint32_t, heard_kind> kinds;
+        mono_time receivedAt{};
+        std::map<std::uint32_t, received_kind> kinds;
 
-        bool isGood(mono_time now) const;
+        bool isHealthy(mono_time now) const;
     };
 
-    const std::uint64_t self; ///< Number of this instance, and its rank.
-    const milliseconds standInDelay; ///< Differs between instances, so that few stand in at once.
-    std::map<std::uint64_t, teller> tellers;
-    bool isTelling = false;
-    std::optional<mono_time> lackingSince; ///< Since when too few others tell.
+    const std::uint64_t self; ///< Number of this instance; also its rank.
+    const milliseconds takeoverDelay; ///< Differs between instances, so that few take over at once.
+    std::map<std::uint64_t, relay> relays;
+    bool isRelay = false;
+    std::optional<mono_time> shortageSince; ///< Since when there have been too few relays.
 };
 
 } // namespace poplarspool::peer
--- a/src/peer/load_exchange.cpp
+++ b/src/peer/load_exchange.cpp
@@ -18,41 +18,41 @@
 
 struct load_exchange::state
 {
-    state(datagram_settings choices, std::function<load_news(news_audience)> collect,
-          std::function<void(std::uint64_t, const load_news &)> onNews, clock_source clock,
+    state(datagram_settings settings, std::function<load_news(news_audience)> collect,
+          std::function<void(std::uint64_t, const load_news &)> onUpdate, clock_source clock,
           metrics_registry &metrics, journal &events)
-        : collect(std::move(collect)), onNews(std::move(onNews)), clock(std::move(clock)),
-          loop("load_news", std::move(choices), frame_kind::Load, "poplarspool_load_news_total",
-               {[this] { return tell(); },
+        : collect(std::move(collect)), onUpdate(std::move(onUpdate)), clock(std::move(clock)),
+          loop("load_news", std::move(settings), frame_kind::Load, "poplarspool_load_news_total",
+               {[this] { return sendDue(); },
                 [this](std::uint64_t sender, std::string_view payload) {
-                    return hear(sender, payload);
+                    return receive(sender, payload);
                 }},
                this->clock, metrics, events)
     { }
 
-    mono_time tell();
-    void tellDue(mono_time now);
-    void tellAudience(news_audience audience, const std::vector<endpoint> &to);
-    bool hear(std::uint64_t sender, std::string_view payload);
+    mono_time sendDue();
+    void sendDueUpdates(mono_time now);
+    void sendTo(news_audience recipients, const std::vector<endpoint> &to);
+    bool receive(std::uint64_t sender, std::string_view payload);
 
     const std::function<load_news(news_audience)> collect;
-    const std::function<void(std::uint64_t, const load_news &)> onNews;
+    const std::function<void(std::uint64_t, const load_news &)> onUpdate;
     const clock_source clock;
     std::mutex guard;
-    std::vector<endpoint> near;
-    std::vector<endpoint> far;
+    std::vector<endpoint> sameZone;
+    std::vector<endpoint> otherZones;
 
-    // Of the loop's thread alone.
-    mono_time farAt{}; ///< When the far ones are due.
-    std::array<bool, newsAudiences> wereQuiet{};
+    // Used by the thread of the loop only.
+    mono_time nextOtherZonesAt{}; ///< Time of the next update to other zones.
+    std::array<bool, newsAudiences> wasEmpty{};
     datagram_loop loop;
 };
 
-load_exchange::load_exchange(datagram_settings choices,
+load_exchange::load_exchange(datagram_settings settings,
                              std::function<load_news(news_audience)> collect,
-                             std::function<void(std::uint64_t, const load_news &)> onNews,
+                             std::function<void(std::uint64_t, const load_news &)> onUpdate,
                              clock_source clock, metrics_registry &metrics, journal &events)
-    : inner(std::make_unique<state>(std::move(choices), std::move(collect), std::move(onNews),
+    : inner(std::make_unique<state>(std::move(settings), std::move(collect), std::move(onUpdate),
                                     std::move(clock), metrics, events))
 { }
 
@@ -71,57 +71,59 @@
     inner->loop.stop();
 }
 
-void load_exchange::setPeers(std::vector<endpoint> near, std::vector<endpoint> far)
+void load_exchange::setPeers(std::vector<endpoint> sameZone, std::vector<endpoint> otherZones)
 {
     const std::lock_guard lock(inner->guard);
-    inner->near = std::move(near);
-    inner->far = std::move(far);
+    inner->sameZone = std::move(sameZone);
+    inner->otherZones = std::move(otherZones);
 }
 
-mono_time load_exchange::state::tell()
+mono_time load_exchange::state::sendDue()
 {
     const mono_time now = clock.mono();
-    tellDue(now);
+    sendDueUpdates(now);
     const std::lock_guard lock(guard);
-    return now + loadNewsInterval(near.size(), near.size() + far.size(), config::loadNewsPerSecond);
+    return now
+            + loadNewsInterval(sameZone.size(), sameZone.size() + otherZones.size(),
+                               config::loadNewsPerSecond);
 }
 
-void load_exchange::state::tellDue(mono_time now)
+void load_exchange::state::sendDueUpdates(mono_time now)
 {
-    std::vector<endpoint> nearPeers;
-    std::vector<endpoint> farPeers;
+    std::vector<endpoint> sameZonePeers;
+    std::vector<endpoint> otherZonePeers;
     {
         const std::lock_guard lock(guard);
-        nearPeers = near;
-        if (now >= farAt) {
-            farPeers = far;
-            farAt = now
-                    + loadNewsInterval(far.size(), near.size() + far.size(),
+        sameZonePeers = sameZone;
+        if (now >= nextOtherZonesAt) {
+            otherZonePeers = otherZones;
+            nextOtherZonesAt = now
+                    + loadNewsInterval(otherZones.size(), sameZone.size() + otherZones.size(),
                                        config::farLoadNewsPerSecond);
         }
     }
-    tellAudience(news_audience::Near, nearPeers);
-    tellAudience(news_audience::Far, farPeers);
+    sendTo(news_audience::Near, sameZonePeers);
+    sendTo(news_audience::Far, otherZonePeers);
 }
 
-void load_exchange::state::tellAudience(news_audience audience, const std::vector<endpoint> &to)
+void load_exchange::state::sendTo(news_audience recipients, const std::vector<endpoint> &to)
 {
     if (to.empty())
         return;
-    const load_news news = collect(audience);
-    // The first empty news says that all is done; more of the same say nothing.
-    const bool isQuiet = news.work.empty() && news.cached.empty();
-    bool &wasQuiet = wereQuiet[static_cast<std::size_t>(audience)];
-    if (!std::exchange(wasQuiet, isQuiet) || !isQuiet)
-        loop.send(to, encode(news));
+    const load_news update = collect(recipients);
+    // The first empty update announces that no requests are left; repeating it has no use.
+    const bool isEmpty = update.work.empty() && update.cached.empty();
+    bool &wasLastEmpty = wasEmpty[static_cast<std::size_t>(recipients)];
+    if (!std::exchange(wasLastEmpty, isEmpty) || !isEmpty)
+        loop.send(to, encode(update));
 }
 
-bool load_exchange::state::hear(std::uint64_t sender, std::string_view payload)
+bool load_exchange::state::receive(std::uint64_t sender, std::string_view payload)
 {
-    const auto news = decodeLoadNews(payload);
-    if (!succeeded(news))
+    const auto update = decodeLoadNews(payload);
+    if (!succeeded(update))
         return false;
-    onNews(sender, valueOf(news));
+    onUpdate(sender, valueOf(update));
     return true;
 }
 
--- a/src/peer/load_news.cpp
+++ b/src/peer/load_news.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// Bytes of the smallest item of either list.
-constexpr std::size_t leastWorkBytes = 13;
-constexpr std::size_t leastChainBytes = 9;
+/// Minimum bytes of an encoded item of each list.
+constexpr std::size_t minWorkBytes = 13;
+constexpr std::size_t minPrefixBytes = 9;
 
-template <class Codec, class News>
-void describe(Codec &codec, News &news)
+template <class Codec, class Update>
+void loadUpdateFields(Codec &codec, Update &update)
 {
-    codec.list(news.work, config::maxLoadItems, leastWorkBytes, [](Codec &each, auto &item) {
+    codec.list(update.work, config::maxLoadItems, minWorkBytes, [](Codec &each, auto &item) {
         each.fixed(item.runner);
         each.small(item.open);
         each.small(item.readingMs);
@@ -23,7 +23,7 @@
         each.small(item.waiting);
         each.small(item.waitingLater);
     });
-    codec.list(news.cached, config::maxCachedNews, leastChainBytes, [](Codec &each, auto &item) {
+    codec.list(update.cached, config::maxCachedNews, minPrefixBytes, [](Codec &each, auto &item) {
         each.fixed(item.runner);
         each.fixed(item.chain);
         each.small(item.isRead);
@@ -37,21 +37,21 @@
     return static_cast<std::uint32_t>(hashOf(id.text));
 }
 
-result<std::string> encode(const load_news &news)
+result<std::string> encode(const load_news &update)
 {
-    return encoded([&news](encoder &out) { describe(out, news); });
+    return encoded([&update](encoder &out) { loadUpdateFields(out, update); });
 }
 
 result<load_news> decodeLoadNews(std::string_view payload)
 {
     try {
         decoder in(payload);
-        load_news news;
-        describe(in, news);
+        load_news update;
+        loadUpdateFields(in, update);
         in.finish();
-        return news;
+        return update;
     } catch (const std::exception &) {
-        return notRun(error_code::Broken, "malformed load news");
+        return notRun(error_code::Broken, "malformed load update");
     }
 }
 
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-// Least bytes of one item on the wire: what a claimed count is held against.
+// Minimum bytes of an encoded item; a received count is checked against them.
 constexpr std::size_t minObjectBytes = 3;
 constexpr std::size_t minPairBytes = 2;
 constexpr std::size_t minEventBytes = 9;
 
-/// The fields of a message, once for both directions.
+/// Describes the fields of a message for both encoding and decoding.
 template <class Message>
 struct layout;
 
@@ -161,7 +161,7 @@
     }
 };
 
-/// @returns The payload; an empty one, which no decoder takes, where the message breaks a bound.
+/// @returns The payload; empty, which no decoder accepts, if the message exceeds a bound.
 template <class Message>
 std::string encodeAny(const Message &message)
 {
@@ -188,7 +188,7 @@
     } catch (const bad_payload &fault) {
         return mayHaveRun(error_code::Broken, fault.what());
     } catch (const cereal::Exception &) {
-        return mayHaveRun(error_code::Broken, "payload ends early");
+        return mayHaveRun(error_code::Broken, "payload is truncated");
     }
 }
 
--- a/src/peer/numeric_address.h
+++ b/src/peer/numeric_address.h
@@ -7,7 +7,7 @@
 
 namespace poplarspool::peer {
 
-/// An IP address and port in the form of the socket calls.
+/// An IP address and port as a sockaddr.
 struct numeric_address
 {
     sockaddr_storage bytes{};
@@ -18,12 +18,12 @@
     int family() const { return bytes.ss_family; }
 };
 
-/// @returns Nothing where the host is not an IP number; names are never looked up.
+/// @returns nullopt if the host is not a numeric IP address; host names are never resolved.
 std::optional<numeric_address> numericAddressOf(const endpoint &address);
 
 endpoint endpointOf(const numeric_address &address);
 
-/// @returns The address that a socket is bound to.
+/// @returns The address to which a socket is bound; an empty endpoint on failure.
 endpoint boundAddress(int fd);
 
 } // namespace poplarspool::peer
--- a/src/peer/store_news.cpp
+++ b/src/peer/store_news.cpp
@@ -9,95 +9,95 @@
 
 namespace {
 
-/// Bytes of the smallest item of either list.
-constexpr std::size_t leastKindBytes = 7;
-constexpr std::size_t leastChangeBytes = 1;
+/// Minimum bytes of an encoded item of each list.
+constexpr std::size_t minKindBytes = 7;
+constexpr std::size_t minChangeBytes = 1;
 
-template <class Codec, class News>
-void describe(Codec &codec, News &news)
+template <class Codec, class Update>
+void storeUpdateFields(Codec &codec, Update &update)
 {
-    codec.list(news.kinds, config::maxToldKinds, leastKindBytes, [](Codec &each, auto &item) {
+    codec.list(update.kinds, config::maxToldKinds, minKindBytes, [](Codec &each, auto &item) {
         each.small(item.kind);
         each.small(item.isAnswered);
         each.small(item.since);
         each.small(item.version.epoch);
         each.small(item.version.revision);
         each.small(item.ageMs);
-        each.list(item.changes, config::maxToldChanges, leastChangeBytes,
+        each.list(item.changes, config::maxToldChanges, minChangeBytes,
                   [](Codec &inner, auto &change) { inner.text(change, config::maxChangeBytes); });
     });
 }
 
 } // namespace
 
-result<std::string> encode(const store_news &news)
+result<std::string> encode(const store_news &update)
 {
-    return encoded([&news](encoder &out) { describe(out, news); });
+    return encoded([&update](encoder &out) { storeUpdateFields(out, update); });
 }
 
 result<store_news> decodeStoreNews(std::string_view payload)
 {
     try {
         decoder in(payload);
-        store_news news;
-        describe(in, news);
+        store_news update;
+        storeUpdateFields(in, update);
         in.finish();
-        return news;
+        return update;
     } catch (const std::exception &) {
-        return notRun(error_code::Broken, "malformed news of the store");
+        return notRun(error_code::Broken, "malformed store update");
     }
 }
 
 void recent_changes::reset(store_version to)
 {
-    begin = to.revision;
+    baseRevision = to.revision;
     version = to;
-    steps.clear();
+    batches.clear();
 }
 
 void recent_changes::add(std::uint64_t since, store_version to, std::vector<std::string> changes,
                          mono_time now)
 {
-    const bool isTooLong = std::ranges::any_of(
+    const bool hasTooLongChange = std::ranges::any_of(
             changes, [](const std::string &one) { return one.size() > config::maxChangeBytes; });
-    if (isTooLong)
+    if (hasTooLongChange)
         return reset(to);
     if (to.epoch != version.epoch || since > version.revision)
         reset({to.epoch, since});
     if (!changes.empty()) {
         std::size_t bytes = 0;
         for (const std::string &one : changes)
-            bytes += one.size() + leastChangeBytes;
-        steps.push_back({since, to.revision, now, std::move(changes), bytes});
+            bytes += one.size() + minChangeBytes;
+        batches.push_back({since, to.revision, now, std::move(changes), bytes});
     }
     version = std::max(version, to);
-    while (!steps.empty()
-           && (steps.size() > config::maxToldChanges
-               || now - steps.front().at > config::toldChangeTime)) {
-        begin = std::max(begin, steps.front().to);
-        steps.pop_front();
+    while (!batches.empty()
+           && (batches.size() > config::maxToldChanges
+               || now - batches.front().addedAt > config::toldChangeTime)) {
+        baseRevision = std::max(baseRevision, batches.front().to);
+        batches.pop_front();
     }
 }
 
 kind_news recent_changes::tell(std::size_t maxBytes) const
 {
-    auto first = steps.end();
+    auto first = batches.end();
     std::size_t bytes = 0;
     std::size_t count = 0;
-    while (first != steps.begin()) {
-        const step &before = *std::prev(first);
-        bytes += before.bytes;
-        count += before.changes.size();
+    while (first != batches.begin()) {
+        const change_batch &batch = *std::prev(first);
+        bytes += batch.bytes;
+        count += batch.changes.size();
         if (bytes > maxBytes || count > config::maxToldChanges)
             break;
         --first;
     }
-    kind_news told;
-    told.version = version;
-    told.since = first == steps.begin() ? begin : std::prev(first)->to;
-    for (; first != steps.end(); ++first)
-        told.changes.insert(told.changes.end(), first->changes.begin(), first->changes.end());
-    return told;
+    kind_news update;
+    update.version = version;
+    update.since = first == batches.begin() ? baseRevision : std::prev(first)->to;
+    for (; first != batches.end(); ++first)
+        update.changes.insert(update.changes.end(), first->changes.begin(), first->changes.end());
+    return update;
 }
 
 } // namespace poplarspool::peer
--- a/src/peer/teller_board.cpp
+++ b/src/peer/teller_board.cpp
@@ -15,84 +15,84 @@
 
 teller_board::teller_board(const instance_id &self)
     : self(senderNumber(self)),
-      standInDelay(static_cast<std::int64_t>(
+      takeoverDelay(static_cast<std::int64_t>(
               unitOf(this->self) * static_cast<double>(config::standInTimeMost.count())))
 { }
 
-bool teller_board::teller::isGood(mono_time now) const
+bool teller_board::relay::isHealthy(mono_time now) const
 {
-    return now - heardAt <= config::tellerSilence
+    return now - receivedAt <= config::tellerSilence
             && std::ranges::all_of(kinds, [](const auto &kind) { return kind.second.isAnswered; });
 }
 
-void teller_board::hear(std::uint64_t sender, const store_news &news, mono_time now)
+void teller_board::hear(std::uint64_t sender, const store_news &update, mono_time now)
 {
     if (sender == self)
         return;
-    teller &from = tellers[sender];
-    from.heardAt = now;
-    from.kinds.clear();
-    for (const kind_news &one : news.kinds)
-        from.kinds[one.kind] = {one.isAnswered, one.version, now - milliseconds(one.ageMs)};
+    relay &sending = relays[sender];
+    sending.receivedAt = now;
+    sending.kinds.clear();
+    for (const kind_news &one : update.kinds)
+        sending.kinds[one.kind] = {one.isAnswered, one.version, now - milliseconds(one.ageMs)};
 }
 
-bool teller_board::decide(bool isAble, std::size_t enough, mono_time now)
+bool teller_board::decide(bool isAble, std::size_t wantedRelays, mono_time now)
 {
-    std::erase_if(tellers, [now](const auto &entry) {
-        return now - entry.second.heardAt > config::tellerMemory;
+    std::erase_if(relays, [now](const auto &entry) {
+        return now - entry.second.receivedAt > config::tellerMemory;
     });
-    std::size_t good = 0;
-    std::size_t better = 0;
-    for (const auto &[sender, teller] : tellers) {
-        if (!teller.isGood(now))
+    std::size_t healthy = 0;
+    std::size_t higherRanked = 0;
+    for (const auto &[sender, relay] : relays) {
+        if (!relay.isHealthy(now))
             continue;
-        ++good;
-        better += sender > self ? 1 : 0;
+        ++healthy;
+        higherRanked += sender > self ? 1 : 0;
     }
-    if (isTelling) {
-        isTelling = isAble && better < enough;
-        return isTelling;
+    if (isRelay) {
+        isRelay = isAble && higherRanked < wantedRelays;
+        return isRelay;
     }
-    if (!isAble || good >= enough)
-        lackingSince.reset();
-    else if (!lackingSince)
-        lackingSince = now;
-    isTelling = lackingSince && now - *lackingSince >= standInDelay;
-    if (isTelling)
-        lackingSince.reset();
-    return isTelling;
+    if (!isAble || healthy >= wantedRelays)
+        shortageSince.reset();
+    else if (!shortageSince)
+        shortageSince = now;
+    isRelay = shortageSince && now - *shortageSince >= takeoverDelay;
+    if (isRelay)
+        shortageSince.reset();
+    return isRelay;
 }
 
 std::optional<mono_time> teller_board::standsInAt() const
 {
-    if (!lackingSince)
+    if (!shortageSince)
         return std::nullopt;
-    return *lackingSince + standInDelay;
+    return *shortageSince + takeoverDelay;
 }
 
 std::optional<mono_time> teller_board::coveredUntil(const known_kind &known, milliseconds maxAge,
                                                     mono_time now) const
 {
     std::optional<mono_time> until;
-    for (const auto &entry : tellers) {
-        const teller &from = entry.second;
-        const auto found = from.kinds.find(known.kind);
-        if (found == from.kinds.end() || now - from.heardAt > config::tellerSilence)
+    for (const auto &entry : relays) {
+        const relay &sending = entry.second;
+        const auto found = sending.kinds.find(known.kind);
+        if (found == sending.kinds.end() || now - sending.receivedAt > config::tellerSilence)
             continue;
-        const heard_kind &heard = found->second;
-        if (heard.version > known.version)
+        const received_kind &received = found->second;
+        if (received.version > known.version)
             return std::nullopt;
-        // Who still follows the store as it was before it came back from an older copy confirms
-        // nothing.
-        const bool isPast = heard.version.epoch < known.version.epoch;
-        // Confirmed later, and yet at an older revision: the store has begun to count anew, or the
-        // two ask different ones. Believed, this instance would wait for news that never come.
-        const bool isContradiction = heard.version < known.version
-                && heard.confirmedAt > known.confirmedAt + config::tellerMemory;
-        if (!heard.isAnswered || isPast || isContradiction)
+        // A relay that still watches the store as it was before a store rollback confirms nothing.
+        const bool isPast = received.version.epoch < known.version.epoch;
+        // Confirmed later, but at an older revision: either the store has restarted its
+        // revisions, or the two instances use different stores. Relying on this relay, this
+        // instance would wait for updates that never come.
+        const bool isContradiction = received.version < known.version
+                && received.confirmedAt > known.confirmedAt + config::tellerMemory;
+        if (!received.isAnswered || isPast || isContradiction)
             continue;
         const mono_time end =
-                std::min(heard.confirmedAt + maxAge, from.heardAt + config::tellerSilence);
+                std::min(received.confirmedAt + maxAge, sending.receivedAt + config::tellerSilence);
         if (end > now)
             until = std::max(until.value_or(end), end);
     }
--- a/tests/peer/allocation_meter.h
+++ b/tests/peer/allocation_meter.h
@@ -4,7 +4,7 @@
 
 namespace poplarspool::peer {
 
-/// Counts what this thread allocates while it lives.
+/// Counts the bytes that the current thread has allocated since construction.
 class allocation_meter
 {
 public:
--- a/tests/peer/store_news_test.cpp
+++ b/tests/peer/store_news_test.cpp
@@ -13,27 +13,28 @@
 
 } // namespace
 
-class store_news_test : public CppUnit::TestFixture
+class store_update_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(store_news_test);
-    CPPUNIT_TEST(newsSurviveTheWire);
-    CPPUNIT_TEST(malformedNewsAreRefused);
-    CPPUNIT_TEST(newsBeyondABoundAreRefused);
-    CPPUNIT_TEST(changesAreToldAgain);
-    CPPUNIT_TEST(whatDoesNotFitIsNotHidden);
-    CPPUNIT_TEST(aHoleIsNotHidden);
-    CPPUNIT_TEST(oldChangesAreToldNoMore);
-    CPPUNIT_TEST(changesOfAnEarlierEpochAreNotTold);
+    CPPUNIT_TEST_SUITE(store_update_test);
+    CPPUNIT_TEST(updatesRoundTrip);
+    CPPUNIT_TEST(malformedUpdatesAreRejected);
+    CPPUNIT_TEST(oversizedUpdatesAreRejected);
+    CPPUNIT_TEST(updatesRepeatRecentChanges);
+    CPPUNIT_TEST(omittedChangesRaiseSince);
+    CPPUNIT_TEST(gapRaisesSince);
+    CPPUNIT_TEST(oldChangesAreNotRepeated);
+    CPPUNIT_TEST(changesOfEarlierEpochAreDropped);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void newsSurviveTheWire()
+    void updatesRoundTrip()
     {
-        const store_news news{{{0, true, 5, {2, 9}, 250, {"a", ""}}, {1, false, 9, {0, 9}, 0, {}}}};
-        CPPUNIT_ASSERT(valueOf(decodeStoreNews(valueOf(encode(news)))) == news);
+        const store_news update{
+                {{0, true, 5, {2, 9}, 250, {"a", ""}}, {1, false, 9, {0, 9}, 0, {}}}};
+        CPPUNIT_ASSERT(valueOf(decodeStoreNews(valueOf(encode(update)))) == update);
     }
 
-    void malformedNewsAreRefused()
+    void malformedUpdatesAreRejected()
     {
         const std::string whole = valueOf(encode(store_news{{{0, true, 5, {0, 9}, 250, {"abc"}}}}));
         for (std::size_t size = 0; size < whole.size(); ++size)
@@ -42,34 +43,34 @@
         CPPUNIT_ASSERT(!succeeded(decodeStoreNews("\xff\xff\xff\xff\x0f")));
     }
 
-    void newsBeyondABoundAreRefused()
+    void oversizedUpdatesAreRejected()
     {
-        store_news news;
-        news.kinds.resize(config::maxToldKinds + 1);
-        CPPUNIT_ASSERT(errorOf(encode(news)).code == error_code::TooLarge);
-        news.kinds.resize(1);
-        news.kinds.front().changes.resize(1, std::string(config::maxChangeBytes + 1, 'a'));
-        CPPUNIT_ASSERT(errorOf(encode(news)).code == error_code::TooLarge);
-        news.kinds.front().changes.front().pop_back();
-        CPPUNIT_ASSERT(succeeded(encode(news)));
+        store_news update;
+        update.kinds.resize(config::maxToldKinds + 1);
+        CPPUNIT_ASSERT(errorOf(encode(update)).code == error_code::TooLarge);
+        update.kinds.resize(1);
+        update.kinds.front().changes.resize(1, std::string(config::maxChangeBytes + 1, 'a'));
+        CPPUNIT_ASSERT(errorOf(encode(update)).code == error_code::TooLarge);
+        update.kinds.front().changes.front().pop_back();
+        CPPUNIT_ASSERT(succeeded(encode(update)));
     }
 
-    /// A datagram with a change is lost: the next one has it, too.
-    void changesAreToldAgain()
+    /// The next update repeats recent changes, in case a datagram was lost.
+    void updatesRepeatRecentChanges()
     {
         recent_changes recent;
         recent.reset({0, 5});
         recent.add(5, {0, 7}, {"a"}, start);
         recent.add(7, {0, 8}, {}, start);
         recent.add(8, {0, 9}, {"b", "c"}, start);
-        const kind_news told = recent.tell(100);
-        CPPUNIT_ASSERT(told.changes == (std::vector<std::string>{"a", "b", "c"}));
-        CPPUNIT_ASSERT(told.since == 5 && told.version.revision == 9);
+        const kind_news update = recent.tell(100);
+        CPPUNIT_ASSERT(update.changes == (std::vector<std::string>{"a", "b", "c"}));
+        CPPUNIT_ASSERT(update.since == 5 && update.version.revision == 9);
     }
 
-    /// Too many changes for a datagram: those before the last ones are left out, and a receiver
-    /// that lacks them must see that it does.
-    void whatDoesNotFitIsNotHidden()
+    /// If the changes don't fit into a datagram, the oldest are left out. `since` must show this,
+    /// so that a receiver notices what it lacks.
+    void omittedChangesRaiseSince()
     {
         recent_changes recent;
         recent.reset({0, 5});
@@ -82,43 +83,43 @@
         CPPUNIT_ASSERT(recent.tell(5000).changes.empty());
     }
 
-    /// An instance has read from the store what it had not followed: told as if nothing lay
-    /// between, a change would be lost for all who rely on it.
-    void aHoleIsNotHidden()
+    /// A relay has missed changes between two calls of add(). If its update showed no gap,
+    /// instances that rely on it would lose a change.
+    void gapRaisesSince()
     {
         recent_changes recent;
         recent.reset({0, 5});
         recent.add(5, {0, 7}, {"a"}, start);
         recent.add(9, {0, 11}, {"b"}, start);
-        const kind_news told = recent.tell(100);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, told.since);
-        CPPUNIT_ASSERT(told.changes == (std::vector<std::string>{"b"}));
+        const kind_news update = recent.tell(100);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, update.since);
+        CPPUNIT_ASSERT(update.changes == (std::vector<std::string>{"b"}));
     }
 
-    void oldChangesAreToldNoMore()
+    void oldChangesAreNotRepeated()
     {
         recent_changes recent;
         recent.reset({0, 5});
         recent.add(5, {0, 7}, {"a"}, start);
         recent.add(7, {0, 9}, {}, start + config::toldChangeTime + 1ms);
-        const kind_news told = recent.tell(100);
-        CPPUNIT_ASSERT(told.changes.empty());
-        CPPUNIT_ASSERT(told.since == 7 && told.version.revision == 9);
+        const kind_news update = recent.tell(100);
+        CPPUNIT_ASSERT(update.changes.empty());
+        CPPUNIT_ASSERT(update.since == 7 && update.version.revision == 9);
     }
 
-    /// Changes from before the store came back from an older copy don't join those after it.
-    void changesOfAnEarlierEpochAreNotTold()
+    /// Changes from before a store rollback must not be combined with later ones.
+    void changesOfEarlierEpochAreDropped()
     {
         recent_changes recent;
         recent.reset({0, 5});
         recent.add(5, {0, 9}, {"a"}, start);
         recent.add(6, {1, 8}, {"b"}, start);
-        const kind_news told = recent.tell(100);
-        CPPUNIT_ASSERT(told.changes == (std::vector<std::string>{"b"}));
-        CPPUNIT_ASSERT(told.since == 6 && told.version == (store_version{1, 8}));
+        const kind_news update = recent.tell(100);
+        CPPUNIT_ASSERT(update.changes == (std::vector<std::string>{"b"}));
+        CPPUNIT_ASSERT(update.since == 6 && update.version == (store_version{1, 8}));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(store_news_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(store_update_test);
 
 } // namespace poplarspool::peer
--- a/tests/peer/teller_board_test.cpp
+++ b/tests/peer/teller_board_test.cpp
@@ -13,15 +13,15 @@
 using namespace std::chrono_literals;
 
 constexpr std::uint32_t runners = 1;
-constexpr milliseconds trust = 1400ms;
-constexpr std::uint64_t teller = 7;
+constexpr milliseconds maxAge = 1400ms;
+constexpr std::uint64_t relayNumber = 7;
 
 mono_time at(milliseconds time)
 {
     return mono_time(1h) + time;
 }
 
-store_news newsOf(std::uint64_t revision, std::uint32_t ageMs, bool isAnswered = true)
+store_news updateOf(std::uint64_t revision, std::uint32_t ageMs, bool isAnswered = true)
 {
     kind_news one;
     one.kind = runners;
@@ -32,23 +32,23 @@
     return {{one}};
 }
 
-/// Instances that hear each other after one turn; each turn is 5 ms.
+/// Simulated instances. An update is delivered to all at once; each iteration takes 5 ms.
 struct fleet
 {
-    explicit fleet(std::size_t count, std::size_t enough) : enough(enough)
+    explicit fleet(std::size_t count, std::size_t wantedRelays) : wantedRelays(wantedRelays)
     {
         for (std::size_t i = 0; i < count; ++i) {
-            boards.emplace_back(instance_id{"edge-" + std::to_string(i)});
+            elections.emplace_back(instance_id{"edge-" + std::to_string(i)});
             isAlive.push_back(true);
-            isTelling.push_back(false);
-            toldAt.emplace_back();
+            isRelay.push_back(false);
+            sentAt.emplace_back();
         }
     }
 
-    void play(milliseconds time)
+    void run(milliseconds time)
     {
         for (const mono_time end = now + time; now < end; now += 5ms) {
-            for (std::size_t i = 0; i < boards.size(); ++i)
+            for (std::size_t i = 0; i < elections.size(); ++i)
                 step(i);
         }
     }
@@ -57,149 +57,153 @@
     {
         if (!isAlive[i])
             return;
-        const bool told = isTelling[i];
-        isTelling[i] = boards[i].decide(true, enough, now);
-        begun += isTelling[i] && !told ? 1 : 0;
-        if (!isTelling[i] || (told && now - toldAt[i] < config::storeNewsTime))
+        const bool wasRelay = isRelay[i];
+        isRelay[i] = elections[i].decide(true, wantedRelays, now);
+        relayStarts += isRelay[i] && !wasRelay ? 1 : 0;
+        if (!isRelay[i] || (wasRelay && now - sentAt[i] < config::storeNewsTime))
             return;
-        toldAt[i] = now;
-        for (std::size_t k = 0; k < boards.size(); ++k) {
+        sentAt[i] = now;
+        for (std::size_t k = 0; k < elections.size(); ++k) {
             if (k != i)
-                boards[k].hear(i + 1, newsOf(5, 0), now);
+                elections[k].hear(i + 1, updateOf(5, 0), now);
         }
     }
 
-    std::size_t telling() const
+    std::size_t relayCount() const
     {
-        return static_cast<std::size_t>(std::ranges::count(isTelling, true));
+        return static_cast<std::size_t>(std::ranges::count(isRelay, true));
     }
 
-    std::size_t enough;
+    std::size_t wantedRelays;
     mono_time now = at(0ms);
-    std::vector<teller_board> boards;
+    std::vector<teller_board> elections;
     std::vector<bool> isAlive;
-    std::vector<bool> isTelling;
-    std::vector<mono_time> toldAt;
-    std::size_t begun = 0;
+    std::vector<bool> isRelay;
+    std::vector<mono_time> sentAt;
+    std::size_t relayStarts = 0;
 };
 
 } // namespace
 
-class teller_board_test : public CppUnit::TestFixture
+class relay_election_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(teller_board_test);
-    CPPUNIT_TEST(fewTellWithoutAList);
-    CPPUNIT_TEST(anotherStandsInForOneThatDied);
-    CPPUNIT_TEST(aSilentTellerIsNotReliedOn);
-    CPPUNIT_TEST(aTellerThatTheStoreTurnsAwayIsNotReliedOn);
-    CPPUNIT_TEST(aTellerWhoseWatchIsSwallowedIsNotReliedOnForLong);
-    CPPUNIT_TEST(whoKnowsLessAsksTheStore);
-    CPPUNIT_TEST(aStoreThatCountsAnewIsAsked);
-    CPPUNIT_TEST(aSecondTellerCoversTheFirst);
-    CPPUNIT_TEST(epochsGoBeforeRevisions);
+    CPPUNIT_TEST_SUITE(relay_election_test);
+    CPPUNIT_TEST(fewInstancesBecomeRelays);
+    CPPUNIT_TEST(anotherRelayTakesOverAfterDeath);
+    CPPUNIT_TEST(silentRelayIsNotReliedOn);
+    CPPUNIT_TEST(relayWithoutStoreIsNotReliedOn);
+    CPPUNIT_TEST(relayWithUnansweredWatchIsNotReliedOnForLong);
+    CPPUNIT_TEST(outdatedInstanceIsNotCovered);
+    CPPUNIT_TEST(restartedRevisionsAreNotCovered);
+    CPPUNIT_TEST(secondRelayCoversForFirst);
+    CPPUNIT_TEST(epochsCompareBeforeRevisions);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// A fleet of 50 starts at once. If all followed the store for all others, each change would
-    /// be 50 calls and 2,450 datagrams; if nobody did, nobody would hear of it without a call.
-    void fewTellWithoutAList()
+    /// 50 instances start at once. Only a few may become relays: if all did, each
+    /// change would cost 50 calls to the store and 2,450 datagrams. If none did, every
+    /// instance would have to call the store.
+    void fewInstancesBecomeRelays()
     {
-        fleet many(50, 2);
-        many.play(3s);
-        CPPUNIT_ASSERT(many.telling() >= 2 && many.telling() <= 4);
-        CPPUNIT_ASSERT(many.begun <= 10);
+        fleet instances(50, 2);
+        instances.run(3s);
+        CPPUNIT_ASSERT(instances.relayCount() >= 2 && instances.relayCount() <= 4);
+        CPPUNIT_ASSERT(instances.relayStarts <= 10);
     }
 
-    /// The instance that follows the store dies. The others notice by its silence; one of them
-    /// stands in, and not all.
-    void anotherStandsInForOneThatDied()
+    /// When the relay dies, the others notice its silence. A
+    /// few may take over, but not all of them.
+    void anotherRelayTakesOverAfterDeath()
     {
-        fleet many(20, 1);
-        many.play(3s);
-        const std::size_t before = many.begun;
-        for (std::size_t i = 0; i < many.boards.size(); ++i) {
-            many.isAlive[i] = !many.isTelling[i];
-            many.isTelling[i] = false;
+        fleet instances(20, 1);
+        instances.run(3s);
+        const std::size_t before = instances.relayStarts;
+        for (std::size_t i = 0; i < instances.elections.size(); ++i) {
+            instances.isAlive[i] = !instances.isRelay[i];
+            instances.isRelay[i] = false;
         }
-        many.play(config::tellerSilence + config::standInTimeMost + 100ms);
-        CPPUNIT_ASSERT(many.telling() >= 1);
-        CPPUNIT_ASSERT(many.begun - before <= 4);
+        instances.run(config::tellerSilence + config::standInTimeMost + 100ms);
+        CPPUNIT_ASSERT(instances.relayCount() >= 1);
+        CPPUNIT_ASSERT(instances.relayStarts - before <= 4);
     }
 
-    /// A caller is sent to a runner that has left: the instance that followed the store for this
-    /// one froze, and this one waited for its news.
-    void aSilentTellerIsNotReliedOn()
+    /// Guards against waiting for updates of a relay that froze: callers
+    /// would be sent to a runner that has left.
+    void silentRelayIsNotReliedOn()
     {
-        teller_board board{instance_id{"edge-1"}};
-        board.hear(teller, newsOf(5, 0), at(0ms));
-        const auto until = board.coveredUntil({runners, {0, 5}, at(0ms)}, trust, at(100ms));
+        teller_board election{instance_id{"edge-1"}};
+        election.hear(relayNumber, updateOf(5, 0), at(0ms));
+        const auto until = election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(100ms));
         CPPUNIT_ASSERT(until == at(config::tellerSilence));
-        CPPUNIT_ASSERT(!board.coveredUntil({runners, {0, 5}, at(0ms)}, trust, at(701ms)));
+        CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(701ms)));
     }
 
-    void aTellerThatTheStoreTurnsAwayIsNotReliedOn()
+    void relayWithoutStoreIsNotReliedOn()
     {
-        teller_board board{instance_id{"edge-1"}};
-        board.hear(teller, newsOf(5, 0), at(0ms));
-        board.hear(teller, newsOf(5, 10, false), at(10ms));
-        CPPUNIT_ASSERT(!board.coveredUntil({runners, {0, 5}, at(0ms)}, trust, at(20ms)));
+        teller_board election{instance_id{"edge-1"}};
+        election.hear(relayNumber, updateOf(5, 0), at(0ms));
+        election.hear(relayNumber, updateOf(5, 10, false), at(10ms));
+        CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(20ms)));
     }
 
-    /// The store takes the watch of the instance that follows it, and never answers: that one goes
-    /// on telling, and believes that nothing has changed. The age of what it tells shows it.
-    void aTellerWhoseWatchIsSwallowedIsNotReliedOnForLong()
+    /// The store accepts a relay's watch but never answers it. The relay keeps
+    /// sending updates, since it believes that nothing has changed; the growing age
+    /// of its confirmation must end the reliance.
+    void relayWithUnansweredWatchIsNotReliedOnForLong()
     {
-        teller_board board{instance_id{"edge-1"}};
+        teller_board election{instance_id{"edge-1"}};
         for (milliseconds time = 0ms; time <= 1500ms; time += 250ms)
-            board.hear(teller, newsOf(5, static_cast<std::uint32_t>(time.count())), at(time));
-        CPPUNIT_ASSERT(board.coveredUntil({runners, {0, 5}, at(0ms)}, trust, at(1399ms)));
-        CPPUNIT_ASSERT(!board.coveredUntil({runners, {0, 5}, at(0ms)}, trust, at(1400ms)));
+            election.hear(relayNumber, updateOf(5, static_cast<std::uint32_t>(time.count())),
+                          at(time));
+        CPPUNIT_ASSERT(election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(1399ms)));
+        CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(1400ms)));
     }
 
-    /// The datagram with a runner's leaving is lost, and the next ones don't repeat it any more.
-    void whoKnowsLessAsksTheStore()
+    /// An update about a runner that left was lost and is no longer repeated: the instance knows
+    /// an older version than the relay and must query the store.
+    void outdatedInstanceIsNotCovered()
     {
-        teller_board board{instance_id{"edge-1"}};
-        board.hear(teller, newsOf(9, 0), at(0ms));
-        CPPUNIT_ASSERT(!board.coveredUntil({runners, {0, 5}, at(0ms)}, trust, at(10ms)));
-        CPPUNIT_ASSERT(board.coveredUntil({runners, {0, 9}, at(0ms)}, trust, at(10ms)));
-        CPPUNIT_ASSERT(board.coveredUntil({runners, {0, 12}, at(0ms)}, trust, at(10ms)));
+        teller_board election{instance_id{"edge-1"}};
+        election.hear(relayNumber, updateOf(9, 0), at(0ms));
+        CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(10ms)));
+        CPPUNIT_ASSERT(election.coveredUntil({runners, {0, 9}, at(0ms)}, maxAge, at(10ms)));
+        CPPUNIT_ASSERT(election.coveredUntil({runners, {0, 12}, at(0ms)}, maxAge, at(10ms)));
     }
 
-    /// The others tell of revisions below the one that is known here, and yet confirmed later.
-    /// Waiting for them to catch up would be waiting for ever.
-    void aStoreThatCountsAnewIsAsked()
+    /// A relay reports a revision below the known one, but confirmed later. Since it would never
+    /// catch up, the instance must query the store.
+    void restartedRevisionsAreNotCovered()
     {
-        teller_board board{instance_id{"edge-1"}};
-        board.hear(teller, newsOf(5, 0), at(5s));
-        CPPUNIT_ASSERT(!board.coveredUntil({runners, {0, 900}, at(0ms)}, trust, at(5s)));
+        teller_board election{instance_id{"edge-1"}};
+        election.hear(relayNumber, updateOf(5, 0), at(5s));
+        CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 900}, at(0ms)}, maxAge, at(5s)));
     }
 
-    void aSecondTellerCoversTheFirst()
+    void secondRelayCoversForFirst()
     {
-        teller_board board{instance_id{"edge-1"}};
-        board.hear(teller, newsOf(5, 10, false), at(0ms));
-        board.hear(teller + 1, newsOf(5, 0), at(0ms));
-        CPPUNIT_ASSERT(board.coveredUntil({runners, {0, 5}, at(0ms)}, trust, at(10ms)));
+        teller_board election{instance_id{"edge-1"}};
+        election.hear(relayNumber, updateOf(5, 10, false), at(0ms));
+        election.hear(relayNumber + 1, updateOf(5, 0), at(0ms));
+        CPPUNIT_ASSERT(election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(10ms)));
     }
 
-    /// The store has come back from an older copy, and two instances tell: one that has noticed,
-    /// and one that hasn't. Revisions compare, and say nothing. Relied on, the second one would
-    /// hold an instance to what is gone; the first one knows more, though its revision is lower.
-    void epochsGoBeforeRevisions()
+    /// After a store rollback, one relay has the new epoch and another does not. Revisions of two
+    /// epochs can't be compared: the relay with the older epoch must not be relied on, and the one
+    /// with the newer epoch is ahead although its revision is lower.
+    void epochsCompareBeforeRevisions()
     {
-        teller_board board({"self"});
-        board.hear(teller, newsOf(9, 0), at(0ms));
-        CPPUNIT_ASSERT(!board.coveredUntil({runners, {1, 5}, at(0ms)}, trust, at(10ms)));
-        CPPUNIT_ASSERT(board.coveredUntil({runners, {0, 9}, at(0ms)}, trust, at(10ms)));
-        store_news newer = newsOf(5, 0);
+        teller_board election({"self"});
+        election.hear(relayNumber, updateOf(9, 0), at(0ms));
+        CPPUNIT_ASSERT(!election.coveredUntil({runners, {1, 5}, at(0ms)}, maxAge, at(10ms)));
+        CPPUNIT_ASSERT(election.coveredUntil({runners, {0, 9}, at(0ms)}, maxAge, at(10ms)));
+        store_news newer = updateOf(5, 0);
         newer.kinds.front().version.epoch = 1;
-        board.hear(teller + 1, newer, at(0ms));
-        CPPUNIT_ASSERT(!board.coveredUntil({runners, {0, 9}, at(0ms)}, trust, at(10ms)));
-        CPPUNIT_ASSERT(board.coveredUntil({runners, {1, 5}, at(0ms)}, trust, at(10ms)));
+        election.hear(relayNumber + 1, newer, at(0ms));
+        CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 9}, at(0ms)}, maxAge, at(10ms)));
+        CPPUNIT_ASSERT(election.coveredUntil({runners, {1, 5}, at(0ms)}, maxAge, at(10ms)));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(teller_board_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(relay_election_test);
 
 } // namespace poplarspool::peer
