--- a/include/poplarspool/peer/gossip.h
+++ b/include/poplarspool/peer/gossip.h
@@ -15,11 +15,11 @@
 
 namespace poplarspool::peer {
 
-/// A small fact that every instance should hear, such as a runner's load. Of two with one key the
-/// higher version wins; a rumor not renewed for a while is forgotten.
+/// A small key-value entry that is spread to every instance, such as a runner's load. For one key
+/// the highest version wins. A rumor that is not renewed within its retention time expires.
 struct rumor
 {
-    std::string key; ///< Such as "load/recovery-3"; at most config::maxNameBytes.
+    std::string key; ///< For example "load/recovery-3"; at most config::maxNameBytes.
     std::uint64_t version = 0;
     std::string payload; ///< At most config::maxRumorBytes.
 
@@ -28,8 +28,8 @@
 
 struct gossip_settings
 {
-    policy::member self; ///< With id, zone, addresses and incarnation.
-    std::string key; ///< Secret of the MAC.
+    policy::member self; ///< Id, zone, addresses and incarnation are set.
+    std::string key; ///< Secret from which the MAC key is derived.
     milliseconds roundTime;
     milliseconds suspectTime;
     milliseconds deadTime;
@@ -37,43 +37,46 @@
     std::size_t bytesPerSecond;
 };
 
-/// Called on the gossip thread; must not block.
+/// Callbacks on the gossip thread; they must not block.
 struct gossip_handlers
 {
-    /// Members changed (not called for mere loads).
+    /// The member list changed. Not called if only loads changed.
     std::function<void(const std::vector<policy::member> &)> onMembers;
-    /// A rumor that is newer than what was known.
+    /// A rumor with a new key or a higher version was received.
     std::function<void(const rumor &)> onRumor;
 };
 
-/// Membership by gossip over UDP: incarnations, suspicion that the suspect can refute, leaving as a
-/// state of its own; and rumors. Each datagram carries a MAC, sender, incarnation and counter; a
-/// bad, truncated, foreign or replayed one is dropped unparsed and counted.
+/// SWIM-style membership and rumors over UDP. A suspected member can refute the suspicion, a
+/// restarted one has a higher incarnation, and leaving is a state of its own. Each datagram
+/// carries a MAC, sender, incarnation and counter; a forged, truncated, foreign or replayed
+/// datagram is counted and dropped before its payload is parsed.
 class gossip
 {
 public:
-    gossip(gossip_settings choices, gossip_handlers handlers, clock_source clock,
+    gossip(gossip_settings settings, gossip_handlers handlers, clock_source clock,
            metrics_registry &metrics, journal &events);
     ~gossip();
 
     /// Binds self.peerAddress and starts the gossip thread.
     result<unit> start();
-    /// Tells some peers a last time and ends the thread.
+    /// Announces to some peers that this instance has left, and stops the thread.
     void stop();
 
-    /// Peers that may be there: seeds and the instance list. They are asked until they answer.
+    /// Sets the addresses through which to join: seeds and the platform's instance list. They are
+    /// contacted until they are known as members.
     void setContacts(std::vector<endpoint> contacts);
-    /// Instances that the platform's list calls leaving: the worse of both counts.
+    /// Sets the instances that the platform's list marks as leaving. members() reports the worse
+    /// of the listed and the gossiped state.
     void setListedLeaving(std::vector<instance_id> leaving);
-    /// What the next heartbeats say of this instance.
+    /// Sets the applied version that the next heartbeats of this instance carry.
     void setApplied(std::uint64_t appliedVersion, mono_time confirmedAt);
     void setOpenStreams(std::uint32_t count);
-    /// Marks this instance as leaving, for good, and tells peers at once.
+    /// Marks this instance as leaving, irrevocably, and announces it at once.
     void setLeaving();
-    /// Starts a rumor, or renews it.
-    void spread(rumor news);
+    /// Publishes a rumor, or renews one that was published before.
+    void spread(rumor item);
 
-    /// @returns All members but the dead, sorted by id, this instance among them.
+    /// @returns All members that are not dead, this instance included, sorted by id.
     std::vector<policy::member> members() const;
     std::vector<rumor> rumors() const;
 
--- a/include/poplarspool/peer/store_relay.h
+++ b/include/poplarspool/peer/store_relay.h
@@ -17,22 +17,23 @@
 
 namespace poplarspool::peer {
 
-/// What to do now, and how long to wait before the next look.
+/// Result of one iteration of the sender: the update to send and the time until the next iteration.
 struct relay_turn
 {
-    std::optional<store_news> news; ///< To be told.
+    std::optional<store_news> news; ///< Update to send, if any.
     milliseconds wait{0};
 };
 
-/// Carries news of the platform's store between instances, over UDP. A lost datagram is repaired
-/// by the next, and a silent sender by the receivers' own calls to the store.
+/// Exchanges store updates between instances over UDP. A lost datagram is made up for by the next;
+/// if a sender goes silent, its receivers query the store themselves.
 class store_relay
 {
 public:
-    /// @param collect Gives what to tell, if anything; called on a thread of its own.
-    /// @param onNews Gets a sender's number and its news, in the sender's order, on another thread.
-    store_relay(datagram_settings choices, std::function<relay_turn()> collect,
-                std::function<void(std::uint64_t sender, const store_news &)> onNews,
+    /// @param collect Returns the update to send, if any. Called on the sender thread.
+    /// @param onUpdate Gets the sender's number and its update, in the order in which it sent
+    ///                 them. Called on the receiver thread.
+    store_relay(datagram_settings settings, std::function<relay_turn()> collect,
+                std::function<void(std::uint64_t sender, const store_news &)> onUpdate,
                 metrics_registry &metrics, journal &events);
     ~store_relay();
 
@@ -40,7 +41,7 @@
     void stop();
     void setPeers(std::vector<endpoint> peers);
     std::size_t countPeers() const;
-    /// There is something new: collects and tells at once.
+    /// Runs the next iteration at once, because there is something new to send.
     void wake();
 
 private:
--- a/src/peer/call_client.cpp
+++ b/src/peer/call_client.cpp
@@ -16,16 +16,16 @@
 
 namespace {
 
-/// Idle connections are given up well before the server closes them: a call that meets that close
-/// could not tell whether it had run.
-constexpr milliseconds reuseTime = config::peerIdleTime / 2;
+/// Idle connections are discarded well before the server closes them: if the server closed one
+/// just as a call was sent, the client could not tell whether the call had run.
+constexpr milliseconds maxIdleTime = config::peerIdleTime / 2;
 
-/// An open connection and whom it leads to.
+/// An open connection and the identity of the peer.
 struct connection
 {
     descriptor socket;
     std::uint64_t peer = 0;
-    incarnation peerLife = 0;
+    incarnation peerIncarnation = 0;
     std::uint64_t counter = 0; ///< Of the last frame sent.
     socket_clock::time_point usedAt;
 };
@@ -35,12 +35,12 @@
     return error{error_code::TimedOut, "peer call timed out", ran};
 }
 
-error broken(socket_fault fault, verdict ran)
+error connectionError(socket_fault fault, verdict ran)
 {
     if (fault == socket_fault::TimedOut)
         return timedOut(ran);
     if (fault == socket_fault::Interrupted)
-        return error{error_code::Cancelled, "peer calls are stopped", ran};
+        return error{error_code::Cancelled, "peer call client was stopped during the call", ran};
     return error{error_code::Unavailable, "peer closed the connection", ran};
 }
 
@@ -56,22 +56,22 @@
           bytesReceived(
                   metrics.counterOf("poplarspool_peer_call_bytes_total{direction=\"received\"}")),
           bytesSent(metrics.counterOf("poplarspool_peer_call_bytes_total{direction=\"sent\"}")),
-          strays(metrics.counterOf("poplarspool_peer_stray_answers_total")),
-          // Not from 1: a restarted process must not reuse the ids of its former life.
+          unmatchedReplies(metrics.counterOf("poplarspool_peer_stray_answers_total")),
+          // Random, not 1: a restarted process must not reuse ids of its former incarnation.
           nextCallId(randomNumber())
     { }
 
     std::optional<connection> takeIdle(const endpoint &to);
-    void keep(const endpoint &to, connection open);
-    void dropUnused(socket_clock::time_point oldest);
+    void release(const endpoint &to, connection open);
+    void closeUnused(socket_clock::time_point oldest);
     result<connection> open(const endpoint &to, socket_deadline deadline);
-    result<std::string> converse(connection &open, const std::string &payload,
+    result<std::string> exchange(connection &open, const std::string &payload,
                                  socket_deadline deadline);
     result<std::string> awaitReply(connection &open, std::uint64_t callId,
                                    socket_deadline deadline);
     bool isReplyTo(const frame_header &header, const connection &open, std::uint64_t callId) const;
-    std::string nextFrame(connection &open, frame_kind kind, std::uint64_t callId,
-                          std::string_view payload);
+    std::string buildFrame(connection &open, frame_kind kind, std::uint64_t callId,
+                           std::string_view payload);
 
     const call_identity self;
     const std::uint64_t selfNumber;
@@ -81,12 +81,12 @@
     counter &calls;
     counter &bytesReceived;
     counter &bytesSent;
-    counter &strays;
+    counter &unmatchedReplies;
     std::atomic<std::uint64_t> nextCallId;
     raised_flag stopping;
     std::mutex idleMutex;
     std::map<endpoint, std::vector<connection>> idle;
-    socket_clock::time_point sweptAt = socket_clock::now();
+    socket_clock::time_point lastSweepAt = socket_clock::now();
 };
 
 call_client::call_client(call_identity self, metrics_registry &metrics, journal &events)
@@ -109,23 +109,23 @@
                                       const std::string &payload, milliseconds timeLimit)
 {
     if (inner->stopping.isRaised())
-        return notRun(error_code::Cancelled, "peer calls are stopped");
+        return notRun(error_code::Cancelled, "peer call client is stopped");
     if (payload.empty() || payload.size() > maxCallPayloadBytes)
-        return notRun(error_code::TooLarge, "question beyond the limit of a peer call");
+        return notRun(error_code::TooLarge, "peer call request is empty or too large");
     const socket_deadline deadline = socket_clock::now() + timeLimit;
     inner->calls.add();
     std::optional<connection> open = inner->takeIdle(to);
     if (!open) {
-        result<connection> fresh = inner->open(to, deadline);
-        if (!succeeded(fresh))
-            return errorOf(fresh);
-        open = std::move(valueOf(fresh));
+        result<connection> opened = inner->open(to, deadline);
+        if (!succeeded(opened))
+            return errorOf(opened);
+        open = std::move(valueOf(opened));
     }
-    result<std::string> reply = inner->converse(*open, encodeCall(kind, payload), deadline);
-    // converse() closes a connection whose call is still open: its late answer would otherwise
-    // arrive in front of the next call's.
+    result<std::string> reply = inner->exchange(*open, encodeCall(kind, payload), deadline);
+    // exchange() closes the connection if the call is still unanswered. Otherwise the late reply
+    // would arrive before the reply to the next call.
     if (open->socket.isOpen())
-        inner->keep(to, std::move(*open));
+        inner->release(to, std::move(*open));
     return reply;
 }
 
@@ -136,7 +136,7 @@
     if (found == idle.end())
         return std::nullopt;
     std::vector<connection> &kept = found->second;
-    const auto oldest = socket_clock::now() - reuseTime;
+    const auto oldest = socket_clock::now() - maxIdleTime;
     while (!kept.empty()) {
         connection open = std::move(kept.back());
         kept.pop_back();
@@ -147,24 +147,24 @@
     return std::nullopt;
 }
 
-void call_client::state::keep(const endpoint &to, connection open)
+void call_client::state::release(const endpoint &to, connection open)
 {
     open.usedAt = socket_clock::now();
     const std::lock_guard lock(idleMutex);
     if (stopping.isRaised())
         return;
-    dropUnused(open.usedAt - reuseTime);
+    closeUnused(open.usedAt - maxIdleTime);
     std::vector<connection> &kept = idle[to];
     if (kept.size() < config::maxIdlePeerConnections)
         kept.push_back(std::move(open));
 }
 
-/// Peers come and go: without this, connections to those that are never called again would stay.
-void call_client::state::dropUnused(socket_clock::time_point oldest)
+/// Without this, idle connections to peers that are never called again would stay open.
+void call_client::state::closeUnused(socket_clock::time_point oldest)
 {
-    if (sweptAt >= oldest)
+    if (lastSweepAt >= oldest)
         return;
-    sweptAt = socket_clock::now();
+    lastSweepAt = socket_clock::now();
     for (auto &[to, kept] : idle)
         std::erase_if(kept, [&](const connection &open) { return open.usedAt < oldest; });
     std::erase_if(idle, [](const auto &entry) { return entry.second.empty(); });
@@ -181,36 +181,36 @@
     const stream_read hello =
             readFrame(open.socket.get(), key, 0, deadline, stopping.descriptorNumber());
     if (const auto *fault = std::get_if<socket_fault>(&hello))
-        return broken(*fault, verdict::NotRun);
+        return connectionError(*fault, verdict::NotRun);
     if (const auto *fault = std::get_if<frame_fault>(&hello)) {
         dropped.count(*fault);
-        return notRun(error_code::Broken, "peer is not one of ours");
+        return notRun(error_code::Broken, "peer sent an invalid frame instead of its hello");
     }
     const frame_header &header = std::get<stream_frame>(hello).header;
     if (header.kind != frame_kind::Hello)
-        return notRun(error_code::Broken, "peer did not say hello");
+        return notRun(error_code::Broken, "peer's first frame was not a hello");
     open.peer = header.sender;
-    open.peerLife = header.senderLife;
+    open.peerIncarnation = header.senderIncarnation;
     open.counter = header.counter;
-    const std::string answer = nextFrame(open, frame_kind::Hello, 0, {});
-    const sent done = sendAll(open.socket.get(), answer, deadline, stopping.descriptorNumber());
+    const std::string ownHello = buildFrame(open, frame_kind::Hello, 0, {});
+    const sent done = sendAll(open.socket.get(), ownHello, deadline, stopping.descriptorNumber());
     if (done.fault != socket_fault::None)
-        return broken(done.fault, verdict::NotRun);
+        return connectionError(done.fault, verdict::NotRun);
     return open;
 }
 
-result<std::string> call_client::state::converse(connection &open, const std::string &payload,
+result<std::string> call_client::state::exchange(connection &open, const std::string &payload,
                                                  socket_deadline deadline)
 {
     const std::uint64_t callId = nextCallId.fetch_add(1, std::memory_order_relaxed);
-    const std::string frame = nextFrame(open, frame_kind::Call, callId, payload);
+    const std::string frame = buildFrame(open, frame_kind::Call, callId, payload);
     const sent done = sendAll(open.socket.get(), frame, deadline, stopping.descriptorNumber());
     bytesSent.add(done.bytes);
     if (done.fault != socket_fault::None) {
         open.socket.reset();
-        // A frame that did not leave whole has no valid MAC at the other side and is never run.
+        // A frame that was sent only in part has no valid MAC at the peer and is never run.
         const bool isWhole = done.bytes == frame.size();
-        return broken(done.fault, isWhole ? verdict::MayHaveRun : verdict::NotRun);
+        return connectionError(done.fault, isWhole ? verdict::MayHaveRun : verdict::NotRun);
     }
     return awaitReply(open, callId, deadline);
 }
@@ -223,12 +223,12 @@
                                             deadline, stopping.descriptorNumber());
         if (const auto *fault = std::get_if<socket_fault>(&reply)) {
             open.socket.reset();
-            return broken(*fault, verdict::MayHaveRun);
+            return connectionError(*fault, verdict::MayHaveRun);
         }
         if (const auto *fault = std::get_if<frame_fault>(&reply)) {
             dropped.count(*fault);
             open.socket.reset();
-            return mayHaveRun(error_code::Broken, "peer answered with a bad frame");
+            return mayHaveRun(error_code::Broken, "peer replied with an invalid frame");
         }
         const stream_frame &frame = std::get<stream_frame>(reply);
         bytesReceived.add(frameHeaderBytes + frame.payload.size());
@@ -236,9 +236,9 @@
             events.observe(frame.header.sentAt);
             return decodeReply(frame.payload);
         }
-        // Late, crossed or doubled: whoever asked for it has gone. Taking it here would hand one
-        // caller another's answer.
-        strays.add();
+        // A late, duplicate or misdirected reply. Accepting it would
+        // give one caller the answer of another.
+        unmatchedReplies.add();
     }
 }
 
@@ -246,17 +246,18 @@
                                    std::uint64_t callId) const
 {
     return header.kind == frame_kind::Reply && header.callId == callId && header.sender == open.peer
-            && header.senderLife == open.peerLife && header.receiverLife == self.life;
+            && header.senderIncarnation == open.peerIncarnation
+            && header.receiverIncarnation == self.life;
 }
 
-std::string call_client::state::nextFrame(connection &open, frame_kind kind, std::uint64_t callId,
-                                          std::string_view payload)
+std::string call_client::state::buildFrame(connection &open, frame_kind kind, std::uint64_t callId,
+                                           std::string_view payload)
 {
     frame_header header;
     header.kind = kind;
     header.sender = selfNumber;
-    header.senderLife = self.life;
-    header.receiverLife = open.peerLife;
+    header.senderIncarnation = self.life;
+    header.receiverIncarnation = open.peerIncarnation;
     header.counter = ++open.counter;
     header.callId = callId;
     header.sentAt = events.stamp();
--- a/src/peer/call_server.cpp
+++ b/src/peer/call_server.cpp
@@ -49,11 +49,11 @@
 
 struct call_server::state
 {
-    state(endpoint bind, call_identity identity, std::map<call_kind, call_handler> answers,
+    state(endpoint bind, call_identity identity, std::map<call_kind, call_handler> callHandlers,
           metrics_registry &metrics, journal &log)
         : bindAddress(std::move(bind)), self(std::move(identity)),
           selfNumber(senderNumber(self.instance)), key(deriveFrameKey(self.key)),
-          handlers(std::move(answers)), events(log),
+          handlers(std::move(callHandlers)), events(log),
           dropped(metrics, "poplarspool_peer_dropped_total"),
           calls(metrics.counterOf("poplarspool_peer_calls_total{direction=\"served\"}")),
           bytesReceived(
@@ -65,12 +65,12 @@
 
     void acceptLoop();
     void serve(int fd);
-    std::uint64_t sayHello(int fd);
-    bool heardHello(int fd, std::uint64_t nonce);
+    std::uint64_t sendHello(int fd);
+    bool receiveHello(int fd, std::uint64_t nonce);
     bool serveOne(int fd, std::uint64_t expectedCounter);
     stream_read read(int fd, std::size_t maxPayload);
-    bool isForUs(const frame_header &header, frame_kind kind, std::uint64_t expectedCounter);
-    bool reply(int fd, const frame_header &question, const result<std::string> &outcome);
+    bool isAcceptable(const frame_header &header, frame_kind kind, std::uint64_t expectedCounter);
+    bool reply(int fd, const frame_header &request, const result<std::string> &outcome);
     result<std::string> handle(std::string_view bytes);
     frame_header headerFor(frame_kind kind, incarnation receiver);
 
@@ -131,7 +131,8 @@
             return;
         const int fd = accept4(listener.get(), nullptr, nullptr, SOCK_CLOEXEC);
         if (fd < 0) {
-            // Out of descriptors the listener stays readable; without a pause this loop would spin.
+            // If the process is out of descriptors the listener stays readable, and
+            // without a pause this loop would spin.
             if (fault == socket_fault::None && errno != EAGAIN)
                 waitForSocket(-1, 0, after(config::gossipTime), stopping.descriptorNumber());
             continue;
@@ -145,15 +146,15 @@
 void call_server::state::serve(int fd)
 {
     sendWithoutDelay(fd);
-    const std::uint64_t nonce = sayHello(fd);
-    if (!heardHello(fd, nonce))
+    const std::uint64_t nonce = sendHello(fd);
+    if (!receiveHello(fd, nonce))
         return;
     std::uint64_t expectedCounter = nonce + 2;
     while (serveOne(fd, expectedCounter))
         ++expectedCounter;
 }
 
-std::uint64_t call_server::state::sayHello(int fd)
+std::uint64_t call_server::state::sendHello(int fd)
 {
     frame_header hello = headerFor(frame_kind::Hello, 0);
     hello.counter = randomNumber();
@@ -162,11 +163,11 @@
     return hello.counter;
 }
 
-bool call_server::state::heardHello(int fd, std::uint64_t nonce)
+bool call_server::state::receiveHello(int fd, std::uint64_t nonce)
 {
     const stream_read hello = read(fd, 0);
     const auto *frame = std::get_if<stream_frame>(&hello);
-    return frame != nullptr && isForUs(frame->header, frame_kind::Hello, nonce + 1);
+    return frame != nullptr && isAcceptable(frame->header, frame_kind::Hello, nonce + 1);
 }
 
 bool call_server::state::serveOne(int fd, std::uint64_t expectedCounter)
@@ -174,9 +175,9 @@
     if (waitForSocket(fd, POLLIN, after(config::peerIdleTime), stopping.descriptorNumber())
         != socket_fault::None)
         return false;
-    const stream_read question = read(fd, config::maxPeerCallBytes);
-    const auto *frame = std::get_if<stream_frame>(&question);
-    if (frame == nullptr || !isForUs(frame->header, frame_kind::Call, expectedCounter))
+    const stream_read received = read(fd, config::maxPeerCallBytes);
+    const auto *frame = std::get_if<stream_frame>(&received);
+    if (frame == nullptr || !isAcceptable(frame->header, frame_kind::Call, expectedCounter))
         return false;
     events.observe(frame->header.sentAt);
     calls.add();
@@ -194,12 +195,12 @@
     return outcome;
 }
 
-/// The counter of the connection makes a recorded frame useless; the life keeps out calls that were
-/// meant for an earlier process at this address.
-bool call_server::state::isForUs(const frame_header &header, frame_kind kind,
-                                 std::uint64_t expectedCounter)
+/// The connection's counter prevents replays of recorded frames. The receiver's incarnation
+/// rejects calls that were meant for an earlier process at this address.
+bool call_server::state::isAcceptable(const frame_header &header, frame_kind kind,
+                                      std::uint64_t expectedCounter)
 {
-    if (header.kind != kind || header.receiverLife != self.life) {
+    if (header.kind != kind || header.receiverIncarnation != self.life) {
         dropped.foreign.add();
         return false;
     }
@@ -210,12 +211,12 @@
     return true;
 }
 
-bool call_server::state::reply(int fd, const frame_header &question,
+bool call_server::state::reply(int fd, const frame_header &request,
                                const result<std::string> &outcome)
 {
-    frame_header header = headerFor(frame_kind::Reply, question.senderLife);
-    header.counter = question.counter;
-    header.callId = question.callId;
+    frame_header header = headerFor(frame_kind::Reply, request.senderIncarnation);
+    header.counter = request.counter;
+    header.callId = request.callId;
     const std::string frame = sealFrame(key, header, encodeReply(outcome));
     bytesSent.add(frame.size());
     const sent done = sendAll(fd, frame, after(config::peerCallTime), stopping.descriptorNumber());
@@ -231,11 +232,11 @@
     }
     const auto handler = handlers.find(valueOf(request).kind);
     if (handler == handlers.end())
-        return notRun(error_code::BadRequest, "unknown kind of call");
+        return notRun(error_code::BadRequest, "unknown call kind");
     try {
         result<std::string> outcome = handler->second(valueOf(request).payload);
         if (succeeded(outcome) && valueOf(outcome).size() > maxCallPayloadBytes)
-            return mayHaveRun(error_code::TooLarge, "reply beyond the limit of a peer call");
+            return mayHaveRun(error_code::TooLarge, "peer call reply is too large");
         return outcome;
     } catch (const std::exception &fault) {
         return mayHaveRun(error_code::Internal, fault.what());
@@ -247,8 +248,8 @@
     frame_header header;
     header.kind = kind;
     header.sender = selfNumber;
-    header.senderLife = self.life;
-    header.receiverLife = receiver;
+    header.senderIncarnation = self.life;
+    header.receiverIncarnation = receiver;
     header.sentAt = events.stamp();
     return header;
 }
--- a/src/peer/call_wire.cpp
+++ b/src/peer/call_wire.cpp
@@ -138,7 +138,7 @@
 {
     std::uint64_t number = 0;
     if (RAND_bytes(reinterpret_cast<unsigned char *>(&number), sizeof(number)) != 1)
-        throw std::runtime_error("no random numbers from the system");
+        throw std::runtime_error("RAND_bytes failed");
     return number;
 }
 
--- a/src/peer/call_wire.h
+++ b/src/peer/call_wire.h
@@ -10,15 +10,15 @@
 #include <string_view>
 #include <variant>
 
-/// What a connection between two instances carries.
+/// Wire protocol of a TCP connection between two instances.
 ///
-/// The server speaks first: a Hello whose counter is a random number. Every frame of the client
-/// carries that number plus one, plus two and so on, its own Hello first. So a recorded connection
-/// can't be played again, and a peer without the key is turned away before it can make the server
-/// take a payload.
+/// The server sends the first frame, a Hello whose counter is a random number. The frames
+/// of the client, beginning with its own Hello, carry that number plus one, plus two and so
+/// on. So a recorded connection can't be replayed, and a peer without the key is rejected
+/// before the server accepts a payload from it.
 namespace poplarspool::peer {
 
-/// Bytes of one question or answer; the rest of a frame's payload is for what stands around it.
+/// Maximum bytes of one request or reply; the rest of the frame's payload is left for its envelope.
 inline constexpr std::size_t maxCallPayloadBytes = config::maxPeerCallBytes - 64;
 
 struct stream_frame
@@ -29,8 +29,8 @@
 
 using stream_read = std::variant<stream_frame, socket_fault, frame_fault>;
 
-/// Reads one whole frame.
-/// @param maxPayload Longer frames are Foreign, and nothing is allocated for them.
+/// Reads one complete frame.
+/// @param maxPayload In bytes. Longer frames are Foreign; nothing is allocated for them.
 stream_read readFrame(int fd, const frame_key &key, std::size_t maxPayload,
                       socket_deadline deadline, int interruptFd);
 
@@ -44,10 +44,10 @@
 result<call_request> decodeCall(std::string_view bytes);
 
 std::string encodeReply(const result<std::string> &outcome);
-/// @returns The handler's outcome; Broken where the reply itself can't be read.
+/// @returns The outcome of the handler; Broken if the reply itself can't be decoded.
 result<std::string> decodeReply(std::string_view bytes);
 
-/// @returns A number that no one can foresee.
+/// @returns A cryptographically secure random number.
 std::uint64_t randomNumber();
 
 } // namespace poplarspool::peer
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -15,14 +15,14 @@
 
 namespace poplarspool::peer {
 
-/// A payload that breaks the format or a bound. Never leaves the library that encodes or decodes:
-/// both turn it into a result.
+/// Thrown for a payload that violates the format or a bound. Callers of encoder and decoder turn
+/// it into a result; it never leaves the library.
 struct bad_payload : std::runtime_error
 {
     using std::runtime_error::runtime_error;
 };
 
-/// Appends what is written to a string.
+/// Stream buffer that appends to a string.
 class string_sink : public std::streambuf
 {
 public:
@@ -33,7 +33,7 @@
     int_type overflow(int_type byte) override;
 };
 
-/// Reads from memory that it does not own.
+/// Stream buffer that reads from memory it does not own.
 class memory_source : public std::streambuf
 {
 public:
@@ -41,11 +41,11 @@
     std::size_t left() const { return static_cast<std::size_t>(egptr() - gptr()); }
 };
 
-/// Writes fields in cereal's portable binary form, little endian. Numbers that are usually small
-/// go as variable-length integers, seven bits a byte.
+/// Writes fields in cereal's portable binary format, little endian. Numbers that are usually small
+/// are written as variable-length integers, seven bits per byte.
 ///
-/// Encoder and decoder have the same members, so that one description of a message's fields serves
-/// both directions.
+/// Encoder and decoder have the same member functions, so that one template describes the
+/// fields of a message for both directions.
 class encoder
 {
 public:
@@ -69,7 +69,7 @@
 
     void text(std::string_view value, std::size_t maxBytes);
 
-    /// Calls `each(encoder, item)` for every item.
+    /// Writes the number of items, then calls `each(encoder, item)` for every item.
     template <class Items, class Each>
     void list(const Items &items, std::size_t maxCount, std::size_t /*minBytesEach*/, Each each)
     {
@@ -90,9 +90,9 @@
     cereal::PortableBinaryOutputArchive archive;
 };
 
-/// What operators and other writers choose may be longer than what is told of it.
-/// @param write Gets an encoder.
-/// @returns What was written; TooLarge where a bound is broken.
+/// Encodes values whose length others choose, such as operators, and which may exceed their bounds.
+/// @param write Called with an encoder.
+/// @returns The encoded bytes; TooLarge if a bound is exceeded.
 template <class Write>
 result<std::string> encoded(const Write &write)
 {
@@ -105,9 +105,9 @@
     }
 }
 
-/// Reads what an encoder wrote. Every count is checked against its named bound and against the
-/// bytes that are left before anything is allocated: cereal itself trusts lengths, and a message
-/// of a few bytes that claims 2^30 elements would allocate gigabytes before it fails.
+/// Reads what an encoder wrote. Every count is checked against its bound and against the remaining
+/// bytes before anything is allocated. cereal itself trusts lengths: a message of a few bytes that
+/// claims 2^30 elements would allocate gigabytes before it fails.
 class decoder
 {
 public:
@@ -123,8 +123,8 @@
 
     std::uint64_t varint();
 
-    /// @attention Throws where the value does not fit, so that a wide number can't be mistaken for
-    ///            another.
+    /// @attention Throws bad_payload if the value does not fit into
+    ///            `Number`, rather than truncate it.
     template <class Number>
     void small(Number &value)
     {
@@ -148,7 +148,7 @@
 
     std::size_t left() const { return source.left(); }
 
-    /// Throws where bytes are left over.
+    /// Throws bad_payload if bytes remain.
     void finish() const;
 
 private:
--- a/src/peer/datagram_loop.cpp
+++ b/src/peer/datagram_loop.cpp
@@ -7,11 +7,11 @@
 
 namespace poplarspool::peer {
 
-datagram_loop::datagram_loop(std::string name, datagram_settings choices, frame_kind kind,
+datagram_loop::datagram_loop(std::string name, datagram_settings settings, frame_kind kind,
                              const std::string &metric, datagram_handlers handlers,
                              clock_source clock, metrics_registry &metrics, journal &events)
     : name(std::move(name)), handlers(std::move(handlers)), clock(std::move(clock)),
-      faults(stepFaultsOf(events, metrics)), port(std::move(choices), kind, metrics, metric)
+      faults(stepFaultsOf(events, metrics)), socket(std::move(settings), kind, metrics, metric)
 { }
 
 datagram_loop::~datagram_loop()
@@ -21,7 +21,7 @@
 
 result<unit> datagram_loop::start()
 {
-    const auto opened = port.open();
+    const auto opened = socket.open();
     if (!succeeded(opened))
         return errorOf(opened);
     thread = startNamed(name, [this] { run(); });
@@ -37,32 +37,33 @@
 
 void datagram_loop::send(const std::vector<endpoint> &to, const result<std::string> &payload)
 {
-    port.send(to, payload);
+    socket.send(to, payload);
 }
 
-/// What is told is collected anew each time: that of a step that failed is lost like any datagram.
+/// Each update is collected anew. The update of a failed iteration is lost, as any datagram may be.
 void datagram_loop::run()
 {
-    nextAt = clock.mono();
+    nextSendAt = clock.mono();
     while (!stopping.isRaised()) {
-        if (!contained(faults, [this] { takeStep(); }))
+        if (!contained(faults, [this] { runOnce(); }))
             waitForSocket(-1, 0, socket_clock::now() + config::failedStepPause,
                           stopping.descriptorNumber());
     }
 }
 
-void datagram_loop::takeStep()
+void datagram_loop::runOnce()
 {
-    if (clock.mono() >= nextAt)
-        nextAt = handlers.tell();
-    const auto left = std::chrono::ceil<milliseconds>(nextAt - clock.mono());
-    waitForSocket(port.descriptorNumber(), POLLIN,
+    if (clock.mono() >= nextSendAt)
+        nextSendAt = handlers.sendDue();
+    const auto left = std::chrono::ceil<milliseconds>(nextSendAt - clock.mono());
+    waitForSocket(socket.descriptorNumber(), POLLIN,
                   socket_clock::now() + std::max(left, milliseconds(0)),
                   stopping.descriptorNumber());
-    port.receive([this](std::uint64_t sender, std::string_view payload) {
-        bool isRead = false;
-        // There is no pause: news of other senders would wait.
-        return contained(faults, [&] { isRead = handlers.hear(sender, payload); }) && isRead;
+    socket.receive([this](std::uint64_t sender, std::string_view payload) {
+        bool isDecoded = false;
+        // No pause after a failure, because it would delay updates from other senders.
+        return contained(faults, [&] { isDecoded = handlers.receive(sender, payload); })
+                && isDecoded;
     });
 }
 
--- a/src/peer/datagram_loop.h
+++ b/src/peer/datagram_loop.h
@@ -12,44 +12,45 @@
 
 namespace poplarspool::peer {
 
-/// All called on the loop's thread.
+/// Callbacks on the thread of the loop.
 struct datagram_handlers
 {
-    /// Sends what is due.
-    /// @returns When it is to be called again.
-    std::function<mono_time()> tell;
-    /// @returns False where the payload can't be read.
-    std::function<bool(std::uint64_t sender, std::string_view payload)> hear;
+    /// Sends the updates that are due.
+    /// @returns Time of the next call.
+    std::function<mono_time()> sendDue;
+    /// Handles a received payload.
+    /// @returns False if the payload can't be decoded.
+    std::function<bool(std::uint64_t sender, std::string_view payload)> receive;
 };
 
-/// A thread that tells other instances something now and then, and hears the same from them.
+/// A thread that periodically sends updates to other instances and receives theirs.
 class datagram_loop
 {
 public:
-    /// @param name Of the thread.
-    /// @param metric As of datagram_port.
-    datagram_loop(std::string name, datagram_settings choices, frame_kind kind,
+    /// @param name Name of the thread.
+    /// @param metric See datagram_socket.
+    datagram_loop(std::string name, datagram_settings settings, frame_kind kind,
                   const std::string &metric, datagram_handlers handlers, clock_source clock,
                   metrics_registry &metrics, journal &events);
     ~datagram_loop();
 
     result<unit> start();
     void stop();
-    /// @attention Only from tell(), or after stop().
+    /// @attention Call only from sendDue() or after stop().
     void send(const std::vector<endpoint> &to, const result<std::string> &payload);
 
 private:
     void run();
-    void takeStep();
+    void runOnce();
 
     const std::string name;
     const datagram_handlers handlers;
     const clock_source clock;
     const step_faults faults;
-    datagram_port port;
+    datagram_socket socket;
     raised_flag stopping;
     std::thread thread;
-    mono_time nextAt{}; ///< When to tell again. Of the thread alone.
+    mono_time nextSendAt{}; ///< Time of the next sendDue(). Used by the thread only.
 };
 
 } // namespace poplarspool::peer
--- a/src/peer/datagram_port.cpp
+++ b/src/peer/datagram_port.cpp
@@ -9,19 +9,19 @@
 
 namespace poplarspool::peer {
 
-datagram_port::datagram_port(datagram_settings choices, frame_kind kind, metrics_registry &metrics,
-                             const std::string &metric)
-    : choices(std::move(choices)), kind(kind), key(deriveFrameKey(this->choices.key)),
+datagram_socket::datagram_socket(datagram_settings settings, frame_kind kind,
+                                 metrics_registry &metrics, const std::string &metric)
+    : settings(std::move(settings)), kind(kind), key(deriveFrameKey(this->settings.key)),
       sent(metrics.counterOf(metric + "{direction=\"sent\"}")),
       dropped(metrics.counterOf(metric + "{direction=\"dropped\"}")),
-      untold(metrics.counterOf(metric + "{direction=\"untold\"}"))
+      notSent(metrics.counterOf(metric + "{direction=\"untold\"}"))
 { }
 
-result<unit> datagram_port::open()
+result<unit> datagram_socket::open()
 {
-    const auto address = numericAddressOf(choices.address);
+    const auto address = numericAddressOf(settings.address);
     const error failure =
-            notRun(error_code::Unavailable, "can't bind UDP " + textOf(choices.address));
+            notRun(error_code::Unavailable, "can't bind UDP " + textOf(settings.address));
     if (!address)
         return failure;
     socket = descriptor(::socket(address->family(), SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
@@ -30,29 +30,29 @@
     return unit{};
 }
 
-void datagram_port::send(const std::vector<endpoint> &to, const result<std::string> &payload)
+void datagram_socket::send(const std::vector<endpoint> &to, const result<std::string> &payload)
 {
     if (!succeeded(payload))
-        return untold.add();
+        return notSent.add();
     frame_header header;
     header.kind = kind;
-    header.sender = senderNumber(choices.self);
-    header.senderLife = choices.life;
+    header.sender = senderNumber(settings.self);
+    header.senderIncarnation = settings.life;
     header.counter = ++counterSent;
     const std::string frame = sealFrame(key, header, valueOf(payload));
     for (const endpoint &peer : to) {
         const auto address = numericAddressOf(peer);
         if (!address)
             continue;
-        // A datagram that the kernel refuses is lost like any other.
+        // A datagram that the kernel rejects counts as lost in transit.
         sendto(socket.get(), frame.data(), frame.size(), MSG_DONTWAIT, address->get(),
                address->size);
         sent.add();
     }
 }
 
-void datagram_port::receive(
-        const std::function<bool(std::uint64_t sender, std::string_view payload)> &take)
+void datagram_socket::receive(
+        const std::function<bool(std::uint64_t sender, std::string_view payload)> &accept)
 {
     std::array<char, config::maxDatagramBytes + 1> buffer; // NOLINT: filled by recv()
     while (true) {
@@ -61,24 +61,24 @@
             continue;
         if (size < 0)
             return;
-        if (!takeFrame({buffer.data(), static_cast<std::size_t>(size)}, take))
+        if (!acceptFrame({buffer.data(), static_cast<std::size_t>(size)}, accept))
             dropped.add();
     }
 }
 
-/// Late and repeated datagrams are dropped: an older state would undo a newer one.
-bool datagram_port::takeFrame(std::string_view bytes,
-                              const std::function<bool(std::uint64_t, std::string_view)> &take)
+/// Drops reordered and duplicate datagrams, because older state would overwrite newer.
+bool datagram_socket::acceptFrame(
+        std::string_view bytes, const std::function<bool(std::uint64_t, std::string_view)> &accept)
 {
     const auto opened = openFrame(key, bytes);
     const auto *frame = std::get_if<opened_frame>(&opened);
     if (frame == nullptr || frame->header.kind != kind)
         return false;
-    const sender_mark mark{frame->header.senderLife, frame->header.counter};
-    sender_mark &last = marks[frame->header.sender];
-    if (mark <= last || !take(frame->header.sender, frame->payload))
+    const sender_position position{frame->header.senderIncarnation, frame->header.counter};
+    sender_position &last = lastAccepted[frame->header.sender];
+    if (position <= last || !accept(frame->header.sender, frame->payload))
         return false;
-    last = mark;
+    last = position;
     return true;
 }
 
--- a/src/peer/datagram_port.h
+++ b/src/peer/datagram_port.h
@@ -16,48 +16,50 @@
 
 namespace poplarspool::peer {
 
-/// A UDP socket for one kind of frames. Frames are sealed; bad, foreign, late and repeated ones are
-/// counted and dropped.
+/// A UDP socket for frames of one kind. Sent frames get a MAC; invalid, foreign, reordered and
+/// duplicate frames are counted and dropped.
 ///
-/// @attention Calls of send() must not overlap, nor calls of receive(); one of each may.
-class datagram_port
+/// @attention One thread may send while another receives, but neither function
+///            may be called by two threads at once.
+class datagram_socket
 {
 public:
-    /// @param metric Name of the counter of datagrams, by direction.
-    datagram_port(datagram_settings choices, frame_kind kind, metrics_registry &metrics,
-                  const std::string &metric);
+    /// @param metric Name of the datagram counter, which has a label for the direction.
+    datagram_socket(datagram_settings settings, frame_kind kind, metrics_registry &metrics,
+                    const std::string &metric);
 
     result<unit> open();
     int descriptorNumber() const { return socket.get(); }
 
-    /// @param payload Counted as untold where it could not be encoded.
+    /// @param payload If it holds an error, nothing is sent and the `untold` counter is increased.
     void send(const std::vector<endpoint> &to, const result<std::string> &payload);
-    /// Hands on what has arrived, in each sender's order.
-    /// @param take Gets the sender's number and the payload.
-    /// @returns False where it can't be read; it counts as dropped.
-    void receive(const std::function<bool(std::uint64_t sender, std::string_view payload)> &take);
+    /// Passes all datagrams that have arrived to a handler, in the
+    /// order in which each sender sent them.
+    /// @param accept Gets the sender's number and the payload. Returns false if it can't decode
+    ///               the payload, which then counts as dropped.
+    void receive(const std::function<bool(std::uint64_t sender, std::string_view payload)> &accept);
 
 private:
-    /// The last frame of a sender that was taken.
-    struct sender_mark
+    /// Identifies the last accepted frame of a sender.
+    struct sender_position
     {
         incarnation life = 0;
         std::uint64_t counter = 0;
 
-        auto operator<=>(const sender_mark &) const = default; // NOLINT(modernize-use-nullptr)
+        auto operator<=>(const sender_position &) const = default; // NOLINT(modernize-use-nullptr)
     };
 
-    bool takeFrame(std::string_view bytes,
-                   const std::function<bool(std::uint64_t, std::string_view)> &take);
+    bool acceptFrame(std::string_view bytes,
+                     const std::function<bool(std::uint64_t, std::string_view)> &accept);
 
-    const datagram_settings choices;
+    const datagram_settings settings;
     const frame_kind kind;
     const frame_key key;
     counter &sent;
     counter &dropped;
-    counter &untold;
+    counter &notSent;
     descriptor socket;
-    std::map<std::uint64_t, sender_mark> marks;
+    std::map<std::uint64_t, sender_position> lastAccepted;
     std::uint64_t counterSent = 0;
 };
 
--- a/src/peer/drop_counters.h
+++ b/src/peer/drop_counters.h
@@ -8,13 +8,13 @@
 
 namespace poplarspool::peer {
 
-/// Counts what was dropped, by reason.
+/// Counts dropped frames by reason.
 struct drop_counters
 {
     drop_counters(metrics_registry &metrics, std::string_view name)
-        : badMac(of(metrics, name, "bad_mac")), replay(of(metrics, name, "replay")),
-          truncated(of(metrics, name, "truncated")), foreign(of(metrics, name, "foreign")),
-          decode(of(metrics, name, "decode"))
+        : badMac(counterFor(metrics, name, "bad_mac")), replay(counterFor(metrics, name, "replay")),
+          truncated(counterFor(metrics, name, "truncated")),
+          foreign(counterFor(metrics, name, "foreign")), decode(counterFor(metrics, name, "decode"))
     { }
 
     void count(frame_fault fault)
@@ -36,7 +36,8 @@
     counter &decode;
 
 private:
-    static counter &of(metrics_registry &metrics, std::string_view name, std::string_view reason)
+    static counter &counterFor(metrics_registry &metrics, std::string_view name,
+                               std::string_view reason)
     {
         return metrics.counterOf(std::string(name) + "{reason=\"" + std::string(reason) + "\"}");
     }
--- a/src/peer/frame.cpp
+++ b/src/peer/frame.cpp
@@ -30,7 +30,7 @@
     return digest;
 }
 
-/// MAC over the header without its MAC, then the payload.
+/// @returns MAC over the header, without its MAC field, and the payload.
 frame_key macOf(const frame_key &key, std::string_view header, std::string_view payload)
 {
     std::string covered;
@@ -45,8 +45,8 @@
     codec.fixed(header.kind);
     codec.fixed(header.length);
     codec.fixed(header.sender);
-    codec.fixed(header.senderLife);
-    codec.fixed(header.receiverLife);
+    codec.fixed(header.senderIncarnation);
+    codec.fixed(header.receiverIncarnation);
     codec.fixed(header.counter);
     codec.fixed(header.callId);
     codec.fixed(header.sentAt.wallMs);
--- a/src/peer/gossip.cpp
+++ b/src/peer/gossip.cpp
@@ -24,8 +24,8 @@
 
 namespace {
 
-/// Longest pause of the gossip thread that counts as running: a third of the time to suspicion.
-constexpr int stopShare = 3;
+/// A gossip thread that was late by more than a third of the probe timeout counts as paused.
+constexpr int pauseDivisor = 3;
 
 result<descriptor> bindUdp(const endpoint &address)
 {
@@ -43,11 +43,11 @@
 
 struct gossip::state
 {
-    state(gossip_settings given, gossip_handlers callbacks, clock_source time,
+    state(gossip_settings initialSettings, gossip_handlers handlerSet, clock_source time,
           metrics_registry &metrics, journal &log)
-        : choices(std::move(given)), handlers(std::move(callbacks)), clock(std::move(time)),
-          events(log), faults(stepFaultsOf(log, metrics)), key(deriveFrameKey(choices.key)),
-          stopTime(choices.suspectTime / stopShare),
+        : settings(std::move(initialSettings)), handlers(std::move(handlerSet)),
+          clock(std::move(time)), events(log), faults(stepFaultsOf(log, metrics)),
+          key(deriveFrameKey(settings.key)), maxDelay(settings.suspectTime / pauseDivisor),
           dropped(metrics, "poplarspool_gossip_dropped_total"),
           bytesSent(metrics.counterOf("poplarspool_gossip_bytes_total{direction=\"sent\"}")),
           bytesReceived(
@@ -56,30 +56,30 @@
                   metrics.counterOf("poplarspool_gossip_datagrams_total{direction=\"sent\"}")),
           datagramsReceived(
                   metrics.counterOf("poplarspool_gossip_datagrams_total{direction=\"received\"}")),
-          protocol(choices, randomNumber(), clock.mono())
+          protocol(settings, randomNumber(), clock.mono())
     { }
 
     void run();
-    void takeStep();
-    void tellLastTime();
+    void runOnce();
+    void sendFarewell();
     void wake();
     void waitUntil(mono_time time);
-    void noteStop(mono_time now);
+    void detectPause(mono_time now);
     void receiveAll();
     void receive(std::string_view bytes, const numeric_address &from);
-    bool isForUs(const frame_header &header, incarnation ownLife);
+    bool isAcceptable(const frame_header &header, incarnation ownIncarnation);
     void runRound(mono_time now);
-    void sendAllOf(const std::vector<outgoing> &datagrams);
-    void tellHandlers();
+    void sendAllOf(const std::vector<outgoing_datagram> &datagrams);
+    void notifyHandlers();
     void logChanges(const std::vector<member_change> &changes);
 
-    const gossip_settings choices;
+    const gossip_settings settings;
     const gossip_handlers handlers;
     const clock_source clock;
     journal &events;
     const step_faults faults;
     const frame_key key;
-    const milliseconds stopTime;
+    const milliseconds maxDelay;
     drop_counters dropped;
     counter &bytesSent;
     counter &bytesReceived;
@@ -95,18 +95,18 @@
     std::atomic<bool> isRoundDue{false};
     std::thread thread;
 
-    // Of the gossip thread alone.
+    // Used by the gossip thread only.
     replay_guard replays;
     std::uint64_t counterSent = 0;
     mono_time nextRound{};
-    mono_time awakeAt{};
-    std::vector<policy::member> untoldMembers; ///< Not yet taken by the handler.
-    mono_time arrivedAt{}; ///< Of what is received now; not later than it truly arrived.
+    mono_time lastRunAt{};
+    std::vector<policy::member> pendingMembers; ///< Not yet accepted by the handler.
+    mono_time arrivedAt{}; ///< Of the datagrams received now; never later than their real arrival.
 };
 
-gossip::gossip(gossip_settings choices, gossip_handlers handlers, clock_source clock,
+gossip::gossip(gossip_settings settings, gossip_handlers handlers, clock_source clock,
                metrics_registry &metrics, journal &events)
-    : inner(std::make_unique<state>(std::move(choices), std::move(handlers), std::move(clock),
+    : inner(std::make_unique<state>(std::move(settings), std::move(handlers), std::move(clock),
                                     metrics, events))
 { }
 
@@ -117,11 +117,11 @@
 
 result<unit> gossip::start()
 {
-    result<descriptor> socket = bindUdp(inner->choices.self.peerAddress);
+    result<descriptor> socket = bindUdp(inner->settings.self.peerAddress);
     if (!succeeded(socket))
         return errorOf(socket);
     inner->socket = std::move(valueOf(socket));
-    endpoint address = inner->choices.self.peerAddress;
+    endpoint address = inner->settings.self.peerAddress;
     address.port = boundAddress(inner->socket.get()).port;
     inner->protocol.setPeerAddress(address);
     inner->thread = startNamed("gossip", [this] { inner->run(); });
@@ -173,10 +173,10 @@
     inner->wake();
 }
 
-void gossip::spread(rumor news)
+void gossip::spread(rumor item)
 {
     const std::lock_guard lock(inner->mutex);
-    inner->protocol.spread(std::move(news), inner->clock.mono());
+    inner->protocol.spread(std::move(item), inner->clock.mono());
 }
 
 std::vector<policy::member> gossip::members() const
@@ -191,41 +191,41 @@
     return inner->protocol.allRumors();
 }
 
-/// What a failed step leaves undone comes with a later one: each round tells all anew, and members
-/// stay due until their handler has taken them.
+/// Work left undone by a failed iteration is done by a later one: each round sends updates anew,
+/// and a member list stays pending until its handler has accepted it.
 void gossip::state::run()
 {
     nextRound = clock.mono();
-    awakeAt = nextRound;
+    lastRunAt = nextRound;
     while (!isStopping) {
-        if (!contained(faults, [this] { takeStep(); }) && !isStopping)
+        if (!contained(faults, [this] { runOnce(); }) && !isStopping)
             waitForSocket(wakeEvent.get(), POLLIN, socket_clock::now() + config::failedStepPause,
                           -1);
     }
-    contained(faults, [this] { tellLastTime(); });
+    contained(faults, [this] { sendFarewell(); });
 }
 
-void gossip::state::takeStep()
+void gossip::state::runOnce()
 {
     waitUntil(nextRound);
     const mono_time now = clock.mono();
-    noteStop(now);
+    detectPause(now);
     receiveAll();
     if (now >= nextRound || isRoundDue.exchange(false)) {
         runRound(now);
-        nextRound = now + choices.roundTime;
+        nextRound = now + settings.roundTime;
     }
-    tellHandlers();
+    notifyHandlers();
 }
 
-void gossip::state::tellLastTime()
+void gossip::state::sendFarewell()
 {
-    std::vector<outgoing> last;
+    std::vector<outgoing_datagram> farewell;
     {
         const std::lock_guard lock(mutex);
-        last = protocol.onEnd(clock.mono());
+        farewell = protocol.onShutdown(clock.mono());
     }
-    sendAllOf(last);
+    sendAllOf(farewell);
 }
 
 void gossip::state::wake()
@@ -236,29 +236,29 @@
 void gossip::state::waitUntil(mono_time time)
 {
     const auto left = std::chrono::ceil<milliseconds>(time - clock.mono());
-    const auto bounded = std::clamp<std::int64_t>(left.count(), 0, choices.roundTime.count());
-    std::array<pollfd, 2> looks{pollfd{socket.get(), POLLIN, 0},
-                                pollfd{wakeEvent.get(), POLLIN, 0}};
-    poll(looks.data(), looks.size(), static_cast<int>(bounded));
+    const auto bounded = std::clamp<std::int64_t>(left.count(), 0, settings.roundTime.count());
+    std::array<pollfd, 2> polled{pollfd{socket.get(), POLLIN, 0},
+                                 pollfd{wakeEvent.get(), POLLIN, 0}};
+    poll(polled.data(), polled.size(), static_cast<int>(bounded));
     eventfd_t count = 0;
     eventfd_read(wakeEvent.get(), &count);
 }
 
-/// A process that was stopped finds old datagrams in its socket. Counted from now, their ages would
-/// make confirmations of long ago look fresh, and open probes would make it suspect everyone. So
-/// what waits there counts as arrived when this thread was last seen running, and probes and
-/// suspicions start anew.
-void gossip::state::noteStop(mono_time now)
+/// After a pause of the process, old datagrams wait in its socket. If their ages were counted
+/// back from now, old confirmations would look fresh, and probes left open would make this
+/// instance suspect every member. So waiting datagrams count as arrived when this thread last
+/// ran, and probes and suspicion timers are reset.
+void gossip::state::detectPause(mono_time now)
 {
-    const mono_time lastAwake = std::exchange(awakeAt, now);
-    const bool wasStopped = now - lastAwake > choices.roundTime + stopTime;
-    arrivedAt = wasStopped ? lastAwake : now;
-    if (!wasStopped)
+    const mono_time previousRunAt = std::exchange(lastRunAt, now);
+    const bool wasPaused = now - previousRunAt > settings.roundTime + maxDelay;
+    arrivedAt = wasPaused ? previousRunAt : now;
+    if (!wasPaused)
         return;
-    const auto pause = std::chrono::duration_cast<milliseconds>(now - lastAwake);
+    const auto pause = std::chrono::duration_cast<milliseconds>(now - previousRunAt);
     events.emit("gossip_stopped", {{"pause_ms", std::to_string(pause.count())}});
     const std::lock_guard lock(mutex);
-    protocol.onStopped(now);
+    protocol.onPause(now);
 }
 
 void gossip::state::receiveAll()
@@ -274,7 +274,8 @@
             return;
         bytesReceived.add(static_cast<std::uint64_t>(size) + config::datagramOverheadBytes);
         datagramsReceived.add();
-        // Lost like any datagram where it throws; without a pause, since others wait behind it.
+        // If this throws, the datagram counts as lost. No pause,
+        // because others are queued behind it.
         contained(faults, [&] { receive({buffer.data(), static_cast<std::size_t>(size)}, from); });
     }
 }
@@ -286,32 +287,34 @@
         return dropped.count(*fault);
     const opened_frame &frame = std::get<opened_frame>(opened);
     const mono_time now = clock.mono();
-    std::vector<outgoing> answers;
+    std::vector<outgoing_datagram> responses;
     {
         const std::lock_guard lock(mutex);
-        if (!isForUs(frame.header, protocol.members().self().record.life))
+        if (!isAcceptable(frame.header, protocol.members().self().record.life))
             return;
-        const incoming datagram{endpointOf(from),    frame.header.sender, frame.header.senderLife,
-                                frame.header.callId, frame.payload,       arrivedAt};
-        const replay_verdict replay = replays.check(frame.header.sender, frame.header.senderLife,
-                                                    frame.header.counter, now);
+        const incoming_datagram datagram{
+                endpointOf(from),    frame.header.sender, frame.header.senderIncarnation,
+                frame.header.callId, frame.payload,       arrivedAt};
+        const replay_verdict replay = replays.check(
+                frame.header.sender, frame.header.senderIncarnation, frame.header.counter, now);
         if (replay != replay_verdict::Fresh)
             dropped.replay.add();
-        if (replay == replay_verdict::OldLife)
-            protocol.onOldLife(datagram, now, answers);
-        if (replay == replay_verdict::Fresh && !protocol.onDatagram(datagram, now, answers))
+        if (replay == replay_verdict::OldIncarnation)
+            protocol.onOldIncarnation(datagram, now, responses);
+        if (replay == replay_verdict::Fresh && !protocol.onDatagram(datagram, now, responses))
             dropped.decode.add();
     }
     events.observe(frame.header.sentAt);
-    sendAllOf(answers);
+    sendAllOf(responses);
 }
 
-bool gossip::state::isForUs(const frame_header &header, incarnation ownLife)
+bool gossip::state::isAcceptable(const frame_header &header, incarnation ownIncarnation)
 {
-    // Lives between the first and the present one were this process's own.
-    const bool isOurLife =
-            header.receiverLife >= choices.self.life && header.receiverLife <= ownLife;
-    if (header.kind != frame_kind::Gossip || (header.receiverLife != 0 && !isOurLife)) {
+    // All incarnations from the first to the current one belong to this process.
+    const bool isOwnIncarnation = header.receiverIncarnation >= settings.self.life
+            && header.receiverIncarnation <= ownIncarnation;
+    if (header.kind != frame_kind::Gossip
+        || (header.receiverIncarnation != 0 && !isOwnIncarnation)) {
         dropped.foreign.add();
         return false;
     }
@@ -320,7 +323,7 @@
 
 void gossip::state::runRound(mono_time now)
 {
-    std::vector<outgoing> datagrams;
+    std::vector<outgoing_datagram> datagrams;
     {
         const std::lock_guard lock(mutex);
         datagrams = protocol.onRound(now);
@@ -328,52 +331,52 @@
     sendAllOf(datagrams);
 }
 
-void gossip::state::sendAllOf(const std::vector<outgoing> &datagrams)
+void gossip::state::sendAllOf(const std::vector<outgoing_datagram> &datagrams)
 {
     if (datagrams.empty())
         return;
     frame_header header;
     header.kind = frame_kind::Gossip;
-    header.sender = senderNumber(choices.self.id);
+    header.sender = senderNumber(settings.self.id);
     {
         const std::lock_guard lock(mutex);
-        header.senderLife = protocol.members().self().record.life;
+        header.senderIncarnation = protocol.members().self().record.life;
     }
     header.sentAt = events.stamp();
-    for (const outgoing &datagram : datagrams) {
+    for (const outgoing_datagram &datagram : datagrams) {
         const auto to = numericAddressOf(datagram.to);
         if (!to)
             continue;
-        header.receiverLife = datagram.receiverLife;
+        header.receiverIncarnation = datagram.receiverIncarnation;
         header.callId = datagram.callId;
         header.counter = ++counterSent;
         const std::string frame = sealFrame(key, header, datagram.payload);
-        // A datagram that the kernel refuses is lost like any other.
+        // A datagram that the kernel rejects counts as lost in transit.
         sendto(socket.get(), frame.data(), frame.size(), MSG_DONTWAIT, to->get(), to->size);
         bytesSent.add(frame.size() + config::datagramOverheadBytes);
         datagramsSent.add();
     }
 }
 
-void gossip::state::tellHandlers()
+void gossip::state::notifyHandlers()
 {
     std::vector<member_change> changes;
-    std::vector<rumor> news;
+    std::vector<rumor> newRumors;
     {
         const std::lock_guard lock(mutex);
         changes = protocol.takeChanges();
-        news = protocol.takeNewRumors();
+        newRumors = protocol.takeNewRumors();
         if (protocol.takeIsChanged())
-            untoldMembers = protocol.listedMembers();
+            pendingMembers = protocol.listedMembers();
     }
     logChanges(changes);
-    for (const rumor &item : news) {
+    for (const rumor &item : newRumors) {
         if (handlers.onRumor)
             contained(faults, [&] { handlers.onRumor(item); });
     }
-    if (!untoldMembers.empty() && handlers.onMembers)
-        handlers.onMembers(untoldMembers);
-    untoldMembers.clear();
+    if (!pendingMembers.empty() && handlers.onMembers)
+        handlers.onMembers(pendingMembers);
+    pendingMembers.clear();
 }
 
 void gossip::state::logChanges(const std::vector<member_change> &changes)
--- a/src/peer/gossip_message.cpp
+++ b/src/peer/gossip_message.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t minRecordBytes = 17;
-constexpr std::size_t minPulseBytes = 12;
+constexpr std::size_t minHeartbeatBytes = 12;
 constexpr std::size_t minRumorBytes = 5;
 constexpr std::size_t maxItems = 256;
 constexpr std::size_t maxHostBytes = 64;
@@ -21,7 +21,8 @@
 constexpr std::uint8_t leavingFlag = 1;
 constexpr std::uint8_t deadFlag = 2;
 
-/// Rounded up, so that a confirmation never looks younger than it is. 0 stands for never.
+/// @returns Age in milliseconds plus one; 0 means never. Rounded up, so that a confirmation
+///          never looks more recent than it is.
 std::uint64_t ageOf(mono_time time, mono_time now)
 {
     if (time == mono_time{})
@@ -39,7 +40,7 @@
     return now - milliseconds(age - 1);
 }
 
-/// What ages and versions of one message are counted from.
+/// Reference time and version to which the ages and versions of one message are relative.
 struct message_base
 {
     mono_time now;
@@ -56,8 +57,8 @@
     time = timeOf(in.varint(), base.now);
 }
 
-/// Nearly all members have the newest version: the distance to it is one byte, wrapping where a
-/// version is above the base.
+/// Encodes the distance to the base version. Nearly all members have the newest version, so that
+/// the distance takes one byte. It wraps around if the version is above the base.
 void versionField(encoder &out, std::uint64_t version, const message_base &base)
 {
     out.varint(base.version - version);
@@ -79,7 +80,7 @@
     std::uint8_t flags = 0;
     in.fixed(flags);
     if ((flags & ~(leavingFlag | deadFlag)) != 0)
-        throw bad_payload("unknown flags");
+        throw bad_payload("unknown member flags");
     record.isLeaving = (flags & leavingFlag) != 0;
     record.isDead = (flags & deadFlag) != 0;
 }
@@ -91,13 +92,13 @@
     codec.fixed(address.port);
 }
 
-template <class Codec, class Pulse>
-void pulseFields(Codec &codec, Pulse &pulse, const message_base &base)
+template <class Codec, class Heartbeat>
+void heartbeatFields(Codec &codec, Heartbeat &heartbeat, const message_base &base)
 {
-    codec.small(pulse.heartbeat);
-    versionField(codec, pulse.appliedVersion, base);
-    codec.small(pulse.openStreams);
-    timeField(codec, pulse.confirmedAt, base);
+    codec.small(heartbeat.sequence);
+    versionField(codec, heartbeat.appliedVersion, base);
+    codec.small(heartbeat.openStreams);
+    timeField(codec, heartbeat.confirmedAt, base);
 }
 
 template <class Codec, class Record>
@@ -112,15 +113,15 @@
     codec.small(record.suspicion);
     flagsField(codec, record);
     timeField(codec, record.diedAt, base);
-    pulseFields(codec, record.pulse, base);
+    heartbeatFields(codec, record.heartbeat, base);
 }
 
 template <class Codec, class Rumor>
 void rumorFields(Codec &codec, Rumor &rumor, const message_base &base)
 {
-    codec.text(rumor.news.key, config::maxNameBytes);
-    codec.small(rumor.news.version);
-    codec.text(rumor.news.payload, config::maxRumorBytes);
+    codec.text(rumor.value.key, config::maxNameBytes);
+    codec.small(rumor.value.version);
+    codec.text(rumor.value.payload, config::maxRumorBytes);
     codec.small(rumor.renewal);
     timeField(codec, rumor.spreadAt, base);
 }
@@ -130,20 +131,20 @@
 {
     codec.fixed(message.purpose);
     if (message.purpose > gossip_purpose::Page)
-        throw bad_payload("unknown purpose");
+        throw bad_payload("unknown gossip purpose");
     codec.fixed(message.subject);
     codec.small(message.page);
     codec.small(base.version);
     codec.list(message.records, maxItems, minRecordBytes, [&base](auto &inner, auto &record) {
         recordFields(inner, record, base);
         if (!record.id.isValid() || record.life == 0)
-            throw bad_payload("record of nobody");
+            throw bad_payload("member record without id or incarnation");
         if (record.isDead && record.diedAt == mono_time{})
-            throw bad_payload("dead since never");
+            throw bad_payload("dead member without time of death");
     });
-    codec.list(message.pulses, maxItems, minPulseBytes, [&base](auto &inner, auto &known) {
+    codec.list(message.heartbeats, maxItems, minHeartbeatBytes, [&base](auto &inner, auto &known) {
         inner.fixed(known.handle);
-        pulseFields(inner, known.pulse, base);
+        heartbeatFields(inner, known.heartbeat, base);
     });
     codec.list(message.rumors, maxItems, minRumorBytes,
                [&base](auto &inner, auto &rumor) { rumorFields(inner, rumor, base); });
@@ -153,9 +154,9 @@
 {
     std::uint64_t newest = 0;
     for (const member_record &record : message.records)
-        newest = std::max(newest, record.pulse.appliedVersion);
-    for (const known_pulse &known : message.pulses)
-        newest = std::max(newest, known.pulse.appliedVersion);
+        newest = std::max(newest, record.heartbeat.appliedVersion);
+    for (const heartbeat_update &known : message.heartbeats)
+        newest = std::max(newest, known.heartbeat.appliedVersion);
     return newest;
 }
 
@@ -165,12 +166,12 @@
 }
 
 constexpr std::size_t maxAgeBytes = 4;
-/// Version distances are one byte but for members that lag behind.
+/// Upper bound; a version distance takes one byte except for members that lag behind.
 constexpr std::size_t versionBytes = 4;
 
-std::size_t wireBytesOf(const member_pulse &pulse)
+std::size_t wireBytesOf(const member_heartbeat &heartbeat)
 {
-    return varintBytes(pulse.heartbeat) + versionBytes + varintBytes(pulse.openStreams)
+    return varintBytes(heartbeat.sequence) + versionBytes + varintBytes(heartbeat.openStreams)
             + maxAgeBytes;
 }
 
@@ -211,18 +212,18 @@
     return wireBytesOfText(record.id.text) + wireBytesOfText(record.zone.text)
             + wireBytesOf(record.callerAddress) + wireBytesOf(record.peerAddress)
             + varintBytes(record.life) + varintBytes(record.refutation)
-            + varintBytes(record.suspicion) + 1 + maxAgeBytes + wireBytesOf(record.pulse);
+            + varintBytes(record.suspicion) + 1 + maxAgeBytes + wireBytesOf(record.heartbeat);
 }
 
-std::size_t wireBytesOf(const known_pulse &known)
+std::size_t wireBytesOf(const heartbeat_update &known)
 {
-    return sizeof(known.handle) + wireBytesOf(known.pulse);
+    return sizeof(known.handle) + wireBytesOf(known.heartbeat);
 }
 
-std::size_t wireBytesOf(const travelling_rumor &rumor)
+std::size_t wireBytesOf(const rumor_update &rumor)
 {
-    return wireBytesOfText(rumor.news.key) + varintBytes(rumor.news.version)
-            + wireBytesOfText(rumor.news.payload) + varintBytes(rumor.renewal) + maxAgeBytes;
+    return wireBytesOfText(rumor.value.key) + varintBytes(rumor.value.version)
+            + wireBytesOfText(rumor.value.payload) + varintBytes(rumor.renewal) + maxAgeBytes;
 }
 
 } // namespace poplarspool::peer
--- a/src/peer/gossip_message.h
+++ b/src/peer/gossip_message.h
@@ -12,58 +12,60 @@
 namespace poplarspool::peer {
 
 enum class gossip_purpose : std::uint8_t {
-    Tell = 0, ///< News, no answer wanted.
-    Ping = 1, ///< Wants an Ack with the same call id.
+    Update = 0, ///< Updates only; expects no answer.
+    Ping = 1, ///< Expects an Ack with the same call id.
     Ack = 2,
-    PingRequest = 3, ///< Wants the subject pinged, and its Ack passed back.
-    Join = 4, ///< Wants a page of the receiver's table.
+    PingRequest = 3, ///< Asks the receiver to ping the subject and forward its Ack.
+    Join = 4, ///< Requests a page of the receiver's member table.
     Page = 5,
 };
 
-/// The heartbeat of a member that the receiver knows by its handle.
-struct known_pulse
+/// Heartbeat of a member without its record; a receiver that does
+/// not know the handle requests the record.
+struct heartbeat_update
 {
     std::uint64_t handle = 0;
-    member_pulse pulse;
+    member_heartbeat heartbeat;
 
-    bool operator==(const known_pulse &) const = default;
+    bool operator==(const heartbeat_update &) const = default;
 };
 
-/// A rumor on its way.
-struct travelling_rumor
+/// A rumor as sent between instances.
+struct rumor_update
 {
-    rumor news;
-    std::uint32_t renewal = 0; ///< Grows when one version is spread again.
-    mono_time spreadAt{}; ///< On this instance's clock.
+    rumor value;
+    std::uint32_t renewal = 0; ///< Increases when the same version is published again.
+    mono_time spreadAt{}; ///< Time of publishing, on this instance's clock.
 
-    bool operator==(const travelling_rumor &) const = default;
+    bool operator==(const rumor_update &) const = default;
 };
 
-/// Payload of a datagram.
+/// Payload of a gossip datagram.
 struct gossip_message
 {
-    gossip_purpose purpose = gossip_purpose::Tell;
-    std::uint64_t subject = 0; ///< Handle of who is to be pinged, or has answered.
-    std::uint32_t page = 0; ///< Join: first record wanted. Page: the next one; 0 after the last.
+    gossip_purpose purpose = gossip_purpose::Update;
+    std::uint64_t subject = 0; ///< Handle of the member to be pinged, or that has answered.
+    std::uint32_t page = 0; ///< Join: index of the first record wanted. Page: first index of the
+                            ///< next page; 0 after the last.
     std::vector<member_record> records;
-    std::vector<known_pulse> pulses;
-    std::vector<travelling_rumor> rumors;
+    std::vector<heartbeat_update> heartbeats;
+    std::vector<rumor_update> rumors;
 
     bool operator==(const gossip_message &) const = default;
 };
 
-/// Times travel as ages, because clocks of two instances have nothing in common.
-/// @param now Time at which the message leaves.
+/// Times are encoded as ages, because monotonic clocks of two instances are unrelated.
+/// @param now Time of sending.
 std::string encodeGossip(const gossip_message &message, mono_time now);
 
-/// @param arrivedAt Ages are counted back from here: not later than the message's arrival.
+/// @param arrivedAt Reference time for ages; must not be later than the message's arrival.
 result<gossip_message> decodeGossip(std::string_view payload, mono_time arrivedAt);
 
-// Upper bounds of what one item takes on the wire, to fill a datagram without trying.
+// Upper bounds of an item's encoded size, to fill a datagram without encoding it repeatedly.
 std::size_t wireBytesOf(const member_record &record);
-std::size_t wireBytesOf(const known_pulse &pulse);
-std::size_t wireBytesOf(const travelling_rumor &rumor);
-/// Of a message without any item.
+std::size_t wireBytesOf(const heartbeat_update &heartbeat);
+std::size_t wireBytesOf(const rumor_update &rumor);
+/// Bytes of a message without items.
 inline constexpr std::size_t emptyMessageBytes = 24;
 
 } // namespace poplarspool::peer
--- a/src/peer/gossip_protocol.cpp
+++ b/src/peer/gossip_protocol.cpp
@@ -11,30 +11,30 @@
 
 namespace {
 
-/// Bytes that every datagram takes beside its payload.
-constexpr std::size_t envelopeBytes = frameHeaderBytes + config::datagramOverheadBytes;
-/// Rounds between two contacts that are asked, where other members are known already.
-constexpr std::uint64_t contactRounds = 5;
-/// Peers that hear the last words of an instance, at most.
-constexpr std::size_t farewells = 16;
-/// Bytes of one pulse, on the average.
-constexpr double typicalPulseBytes = 15;
-
-/// @returns Bytes of payload that a datagram may have for that much of the budget.
-std::size_t roomIn(std::size_t bytes)
-{
-    if (bytes < envelopeBytes + emptyMessageBytes)
+/// Bytes that every datagram takes in addition to its payload.
+constexpr std::size_t overheadBytes = frameHeaderBytes + config::datagramOverheadBytes;
+/// Rounds between two Join requests to contacts, once other members are known.
+constexpr std::uint64_t roundsPerContact = 5;
+/// Maximum number of peers to which an instance announces that it has left.
+constexpr std::size_t maxLeaveRecipients = 16;
+/// Average bytes of one heartbeat.
+constexpr double typicalHeartbeatBytes = 15;
+
+/// @returns Payload bytes that fit into a datagram of the given total size.
+std::size_t payloadRoom(std::size_t bytes)
+{
+    if (bytes < overheadBytes + emptyMessageBytes)
         return 0;
-    return std::min(bytes - envelopeBytes, maxGossipPayload());
+    return std::min(bytes - overheadBytes, maxGossipPayload());
 }
 
 } // namespace
 
-gossip_protocol::gossip_protocol(const gossip_settings &choices, std::uint64_t seed, mono_time now)
-    : fanout(std::max<std::size_t>(choices.fanout, 1)),
-      table(recordOf(choices.self), table_times{choices.deadTime, config::deadKeepTime}),
-      rumors(config::rumorKeepTime), probes(choices.suspectTime, seed),
-      budget(choices.bytesPerSecond, now), random(seed), pageAt(now)
+gossip_protocol::gossip_protocol(const gossip_settings &settings, std::uint64_t seed, mono_time now)
+    : fanout(std::max<std::size_t>(settings.fanout, 1)),
+      table(recordOf(settings.self), table_times{settings.deadTime, config::deadKeepTime}),
+      rumors(config::rumorKeepTime), probes(settings.suspectTime, seed),
+      budget(settings.bytesPerSecond, now), random(seed), lastPageAt(now)
 { }
 
 void gossip_protocol::setListedLeaving(std::vector<instance_id> ids)
@@ -49,54 +49,54 @@
 
 void gossip_protocol::setApplied(std::uint64_t appliedVersion, mono_time confirmedAt)
 {
-    // A new version is told with the next round; a mere confirmation waits for its heartbeat.
+    // A new version is sent in the next round; a mere confirmation waits for the next heartbeat.
     if (table.setApplied(appliedVersion, confirmedAt))
-        isBeatDue = true;
+        isHeartbeatDue = true;
 }
 
-std::vector<outgoing> gossip_protocol::onRound(mono_time now)
+std::vector<outgoing_datagram> gossip_protocol::onRound(mono_time now)
 {
     ++round;
     budget.refill(now);
     table.expire(now);
     rumors.expire(now);
     sendHeartbeat(now);
-    accuse(now);
+    suspectUnresponsive(now);
     probe(now);
     probeIndirectly(now);
-    remindSuspects(now);
-    askContacts(now);
-    readOn(now);
-    repair(now);
-    tellNews(now);
+    notifySuspects(now);
+    joinContact(now);
+    requestNextPage(now);
+    sendTablePage(now);
+    sendUpdates(now);
     return std::exchange(outbox, {});
 }
 
 void gossip_protocol::sendHeartbeat(mono_time now)
 {
-    if (!isBeatDue && now - beatAt < heartbeatInterval())
+    if (!isHeartbeatDue && now - lastHeartbeatAt < heartbeatInterval())
         return;
-    isBeatDue = false;
-    beatAt = now;
-    table.beat();
+    isHeartbeatDue = false;
+    lastHeartbeatAt = now;
+    table.publishHeartbeat();
 }
 
-/// Every heartbeat of every member is told by every member a few times: beyond some number of
-/// members they fit the budget only if they come less often.
+/// Every member forwards each heartbeat of every other member a few times. The heartbeats of a
+/// large fleet fit the byte budget only at a longer interval.
 milliseconds gossip_protocol::heartbeatInterval() const
 {
-    const auto members = static_cast<double>(table.livingOthers() + 1);
-    const double bytes = members * tellLimit() * typicalPulseBytes;
-    const double share = budget.perSecond() * config::heartbeatBudgetShare;
+    const auto members = static_cast<double>(table.livingOtherCount() + 1);
+    const double bytes = members * retransmitLimit() * typicalHeartbeatBytes;
+    const double share = budget.ratePerSecond() * config::heartbeatBudgetShare;
     const milliseconds needed(static_cast<std::int64_t>(1000.0 * bytes / share));
     return std::max<milliseconds>(config::heartbeatTime, needed);
 }
 
-/// Epidemic spreading reaches all members with high probability once each has told the news a
-/// logarithmic number of times.
-std::uint32_t gossip_protocol::tellLimit() const
+/// An epidemic broadcast reaches all members with high probability once each member has sent the
+/// update a number of times that is logarithmic in the fleet size.
+std::uint32_t gossip_protocol::retransmitLimit() const
 {
-    return 2 + static_cast<std::uint32_t>(std::bit_width(table.livingOthers() + 1));
+    return 2 + static_cast<std::uint32_t>(std::bit_width(table.livingOtherCount() + 1));
 }
 
 void gossip_protocol::probe(mono_time now)
@@ -114,10 +114,11 @@
             probes.open({member->record.id, member->record.life, member->handle, now, false});
     gossip_message ping;
     ping.purpose = gossip_purpose::Ping;
-    // A suspect that is asked must also hear what it is suspected of, or it could not refute.
+    // A suspected member must also learn of the suspicion, or it could not refute it.
     if (isSuspect(member->record))
         ping.records.push_back(member->record);
-    addNews(ping, roomIn(budget.available() / fanout), table, rumors, tellLimit(), random);
+    addUpdates(ping, payloadRoom(budget.available() / fanout), table, rumors, retransmitLimit(),
+               random);
     send(*member, ping, callId, now);
 }
 
@@ -132,25 +133,26 @@
     }
 }
 
-void gossip_protocol::accuse(mono_time now)
+void gossip_protocol::suspectUnresponsive(mono_time now)
 {
     for (const open_probe &probe : probes.takeFailed(now)) {
         if (table.suspect(probe.target, probe.life, now))
-            accused[probe.target] = probe.life;
+            ownSuspicions[probe.target] = probe.life;
     }
 }
 
-void gossip_protocol::remindSuspects(mono_time now)
+void gossip_protocol::notifySuspects(mono_time now)
 {
-    std::erase_if(accused, [&](const auto &entry) {
+    std::erase_if(ownSuspicions, [&](const auto &entry) {
         const known_member *member = table.find(entry.first);
         const bool isOpen = member != nullptr && member->record.life == entry.second
                 && isSuspect(member->record) && !member->record.isDead;
         return !isOpen;
     });
-    // A few a round: cut off from all, this instance would otherwise write to everybody at once.
+    // Limited per round, because an isolated instance suspects all members and would
+    // otherwise write to all of them at once.
     std::vector<instance_id> ids;
-    for (const auto &[id, life] : accused)
+    for (const auto &[id, suspectedIncarnation] : ownSuspicions)
         ids.push_back(id);
     std::shuffle(ids.begin(), ids.end(), random);
     ids.resize(std::min(ids.size(), fanout));
@@ -162,46 +164,47 @@
     }
 }
 
-void gossip_protocol::tellNews(mono_time now)
+void gossip_protocol::sendUpdates(mono_time now)
 {
     const std::size_t others = fanout - 1;
     const std::vector<const known_member *> targets = pickMembers(others, {});
-    for (std::size_t index = 0; index < targets.size() && hasNews(table, rumors, tellLimit());
-         ++index) {
+    for (std::size_t index = 0;
+         index < targets.size() && hasUpdates(table, rumors, retransmitLimit()); ++index) {
         const std::size_t share = budget.available() / (targets.size() - index);
-        if (roomIn(share) == 0)
+        if (payloadRoom(share) == 0)
             return;
-        gossip_message news;
-        addNews(news, roomIn(share), table, rumors, tellLimit(), random);
-        send(*targets[index], news, 0, now);
+        gossip_message update;
+        addUpdates(update, payloadRoom(share), table, rumors, retransmitLimit(), random);
+        send(*targets[index], update, 0, now);
     }
 }
 
-/// Sends a page of the whole table now and then: deltas are told a limited number of times, and a
-/// member that missed them all would otherwise never learn.
-void gossip_protocol::repair(mono_time now)
+/// Anti-entropy: periodically sends a page of the full table. Deltas are sent a limited number of
+/// times, and a member that missed all of them would otherwise never get the data.
+void gossip_protocol::sendTablePage(mono_time now)
 {
-    if (now - pageAt < config::gossipPageTime || budget.available() < config::maxDatagramBytes)
+    if (now - lastPageAt < config::gossipPageTime || budget.available() < config::maxDatagramBytes)
         return;
-    pageAt = now;
+    lastPageAt = now;
     const std::vector<const known_member *> targets = pickMembers(1, {});
     if (targets.empty())
         return;
-    gossip_message page = pageFrom(table, nextPage);
-    nextPage = std::exchange(page.page, 0);
-    page.purpose = gossip_purpose::Tell;
+    gossip_message page = pageFrom(table, nextTablePage);
+    nextTablePage = std::exchange(page.page, 0);
+    page.purpose = gossip_purpose::Update;
     send(*targets.front(), page, 0, now);
 }
 
-void gossip_protocol::askContacts(mono_time now)
+void gossip_protocol::joinContact(mono_time now)
 {
-    const bool isAlone = table.livingOthers() == 0;
-    if (!isAlone && round % contactRounds != 0)
+    const bool isAlone = table.livingOtherCount() == 0;
+    if (!isAlone && round % roundsPerContact != 0)
         return;
     std::set<endpoint> living{table.self().record.peerAddress};
     std::vector<endpoint> missing = contacts;
     for (const auto &[id, member] : table.others()) {
-        // The dead are asked as well: after a partition each side holds the other for dead.
+        // Dead members are contacted as well: after a
+        // partition, each side considers the other dead.
         if (member.record.isDead)
             missing.push_back(member.record.peerAddress);
         else
@@ -216,12 +219,12 @@
     send(missing[nextContact++ % missing.size()], 0, request, 0, now);
 }
 
-bool gossip_protocol::onDatagram(const incoming &datagram, mono_time now,
-                                 std::vector<outgoing> &answers)
+bool gossip_protocol::onDatagram(const incoming_datagram &datagram, mono_time now,
+                                 std::vector<outgoing_datagram> &answers)
 {
     const known_member *sender = table.findSender(datagram.sender);
-    if (sender != nullptr && datagram.senderLife < sender->record.life) {
-        onOldLife(datagram, now, answers);
+    if (sender != nullptr && datagram.senderIncarnation < sender->record.life) {
+        onOldIncarnation(datagram, now, answers);
         return true;
     }
     const result<gossip_message> decoded = decodeGossip(datagram.payload, datagram.arrivedAt);
@@ -229,29 +232,30 @@
         return false;
     budget.refill(now);
     const gossip_message &message = valueOf(decoded);
-    const bool isNews = join(message, datagram, now);
-    meetSender(datagram, now);
+    const bool hasNewMembers = merge(message, datagram, now);
+    checkSender(datagram, now);
     answer(message, datagram, now);
     if (message.purpose == gossip_purpose::Page)
-        onPage(message, datagram, isNews, now);
+        onPage(message, datagram, hasNewMembers, now);
     flush(answers);
     return true;
 }
 
-/// A joining instance reads on while the pages tell it something; what is left comes by repair.
-void gossip_protocol::onPage(const gossip_message &message, const incoming &datagram, bool isNews,
-                             mono_time now)
+/// A joining instance requests pages as long as they contain new
+/// members; anti-entropy delivers the rest.
+void gossip_protocol::onPage(const gossip_message &message, const incoming_datagram &datagram,
+                             bool hasNewMembers, mono_time now)
 {
-    wantedPage = isNews ? message.page : 0;
-    isPageAsked = wantedPage != 0;
-    if (isPageAsked)
-        askSender(datagram, 0, now, wantedPage);
+    wantedPage = hasNewMembers ? message.page : 0;
+    isPageRequested = wantedPage != 0;
+    if (isPageRequested)
+        requestFromSender(datagram, 0, now, wantedPage);
 }
 
-/// Whoever was asked for the next page may be out of budget, or gone: another one has it as well.
-void gossip_protocol::readOn(mono_time now)
+/// The member asked for the next page may be out of budget or gone; any other member can send it.
+void gossip_protocol::requestNextPage(mono_time now)
 {
-    if (wantedPage == 0 || std::exchange(isPageAsked, false))
+    if (wantedPage == 0 || std::exchange(isPageRequested, false))
         return;
     gossip_message request;
     request.purpose = gossip_purpose::Join;
@@ -261,57 +265,59 @@
         send(*member, request, 0, now);
 }
 
-void gossip_protocol::onOldLife(const incoming &datagram, mono_time now,
-                                std::vector<outgoing> &answers)
+void gossip_protocol::onOldIncarnation(const incoming_datagram &datagram, mono_time now,
+                                       std::vector<outgoing_datagram> &answers)
 {
     const known_member *sender = table.findSender(datagram.sender);
     if (sender == nullptr)
         return;
     budget.refill(now);
-    tellSenderOfItself(*sender, datagram, now);
+    notifySender(*sender, datagram, now);
     flush(answers);
 }
 
-void gossip_protocol::flush(std::vector<outgoing> &answers)
+void gossip_protocol::flush(std::vector<outgoing_datagram> &answers)
 {
     std::move(outbox.begin(), outbox.end(), std::back_inserter(answers));
     outbox.clear();
 }
 
-bool gossip_protocol::join(const gossip_message &message, const incoming &datagram, mono_time now)
+bool gossip_protocol::merge(const gossip_message &message, const incoming_datagram &datagram,
+                            mono_time now)
 {
     const std::size_t before = table.others().size();
     for (const member_record &record : message.records)
-        table.join(record, now);
-    const bool isNews = table.others().size() > before;
+        table.merge(record, now);
+    const bool hasNewMembers = table.others().size() > before;
     std::uint64_t unknown = 0;
-    for (const known_pulse &pulse : message.pulses) {
-        if (!table.join(pulse))
-            unknown = pulse.handle;
+    for (const heartbeat_update &heartbeat : message.heartbeats) {
+        if (!table.merge(heartbeat))
+            unknown = heartbeat.handle;
     }
     if (unknown != 0)
-        askSender(datagram, unknown, now, noPage);
-    for (const travelling_rumor &news : message.rumors) {
-        if (rumors.join(news, now))
-            newRumors.push_back(news.news);
+        requestFromSender(datagram, unknown, now, noPage);
+    for (const rumor_update &update : message.rumors) {
+        if (rumors.merge(update, now))
+            newRumors.push_back(update.value);
     }
-    return isNews;
+    return hasNewMembers;
 }
 
-void gossip_protocol::meetSender(const incoming &datagram, mono_time now)
+void gossip_protocol::checkSender(const incoming_datagram &datagram, mono_time now)
 {
     const known_member *sender = table.findSender(datagram.sender);
-    const bool isKnown = sender != nullptr && sender->record.life == datagram.senderLife;
+    const bool isKnown = sender != nullptr && sender->record.life == datagram.senderIncarnation;
     if (isKnown) {
-        probes.onHeard(sender->handle);
+        probes.onReceived(sender->handle);
         if (sender->record.isDead)
-            tellSenderOfItself(*sender, datagram, now);
+            notifySender(*sender, datagram, now);
     } else if (datagram.sender != table.self().sender) {
-        askSender(datagram, 0, now, noPage);
+        requestFromSender(datagram, 0, now, noPage);
     }
 }
 
-void gossip_protocol::answer(const gossip_message &message, const incoming &datagram, mono_time now)
+void gossip_protocol::answer(const gossip_message &message, const incoming_datagram &datagram,
+                             mono_time now)
 {
     switch (message.purpose) {
     case gossip_purpose::Ping:
@@ -327,20 +333,21 @@
         onJoin(message, datagram, now);
         break;
     case gossip_purpose::Page:
-    case gossip_purpose::Tell:
+    case gossip_purpose::Update:
         break;
     }
 }
 
-void gossip_protocol::onPing(const incoming &datagram, mono_time now)
+void gossip_protocol::onPing(const incoming_datagram &datagram, mono_time now)
 {
     gossip_message ack;
     ack.purpose = gossip_purpose::Ack;
     ack.subject = table.self().handle;
-    send(datagram.from, datagram.senderLife, ack, datagram.callId, now);
+    send(datagram.from, datagram.senderIncarnation, ack, datagram.callId, now);
 }
 
-void gossip_protocol::onAck(const gossip_message &message, const incoming &datagram, mono_time now)
+void gossip_protocol::onAck(const gossip_message &message, const incoming_datagram &datagram,
+                            mono_time now)
 {
     const auto origin = probes.onAck(datagram.callId, message.subject);
     if (!origin)
@@ -348,17 +355,17 @@
     gossip_message ack;
     ack.purpose = gossip_purpose::Ack;
     ack.subject = message.subject;
-    send(origin->origin, origin->originLife, ack, origin->originCall, now);
+    send(origin->origin, origin->originIncarnation, ack, origin->originCallId, now);
 }
 
-void gossip_protocol::onPingRequest(const gossip_message &message, const incoming &datagram,
-                                    mono_time now)
+void gossip_protocol::onPingRequest(const gossip_message &message,
+                                    const incoming_datagram &datagram, mono_time now)
 {
     const known_member *target = table.findHandle(message.subject);
     if (target == nullptr)
         return;
-    const std::uint64_t callId = probes.relay(
-            {target->handle, datagram.from, datagram.senderLife, datagram.callId, now});
+    const std::uint64_t callId = probes.forward(
+            {target->handle, datagram.from, datagram.senderIncarnation, datagram.callId, now});
     gossip_message ping;
     ping.purpose = gossip_purpose::Ping;
     if (isSuspect(target->record))
@@ -366,9 +373,10 @@
     send(*target, ping, callId, now);
 }
 
-void gossip_protocol::onJoin(const gossip_message &message, const incoming &datagram, mono_time now)
+void gossip_protocol::onJoin(const gossip_message &message, const incoming_datagram &datagram,
+                             mono_time now)
 {
-    // Pages can wait: whoever joins asks again, and elsewhere.
+    // Pages can wait: a joining instance repeats its request, also to other members.
     if (budget.available() < config::maxDatagramBytes)
         return;
     gossip_message page;
@@ -377,23 +385,23 @@
         page.records.push_back(wanted->record);
     else
         page = pageFrom(table, message.page);
-    // Only pages of a table that is being read lead on to the next.
-    page.purpose = message.page == noPage ? gossip_purpose::Tell : gossip_purpose::Page;
-    send(datagram.from, datagram.senderLife, page, 0, now);
+    // Only a reply to a request for a page may lead to a request for the next page.
+    page.purpose = message.page == noPage ? gossip_purpose::Update : gossip_purpose::Page;
+    send(datagram.from, datagram.senderIncarnation, page, 0, now);
 }
 
-/// Whoever speaks from a life that is over or dead must hear of it: only then can it go on under a
-/// new one.
-void gossip_protocol::tellSenderOfItself(const known_member &sender, const incoming &datagram,
-                                         mono_time now)
+/// A sender whose incarnation is outdated or considered dead must be notified; only then
+/// can it continue with a new incarnation.
+void gossip_protocol::notifySender(const known_member &sender, const incoming_datagram &datagram,
+                                   mono_time now)
 {
     gossip_message notice;
     notice.records.push_back(sender.record);
-    send(datagram.from, datagram.senderLife, notice, 0, now);
+    send(datagram.from, datagram.senderIncarnation, notice, 0, now);
 }
 
-void gossip_protocol::askSender(const incoming &datagram, std::uint64_t subject, mono_time now,
-                                std::uint32_t page)
+void gossip_protocol::requestFromSender(const incoming_datagram &datagram, std::uint64_t subject,
+                                        mono_time now, std::uint32_t page)
 {
     if (budget.available() == 0)
         return;
@@ -402,21 +410,21 @@
     request.subject = subject;
     request.page = page;
     request.records.push_back(table.self().record);
-    send(datagram.from, datagram.senderLife, request, 0, now);
+    send(datagram.from, datagram.senderIncarnation, request, 0, now);
 }
 
-void gossip_protocol::onStopped(mono_time now)
+void gossip_protocol::onPause(mono_time now)
 {
     probes.reset();
-    table.restartSuspicions(now);
+    table.restartSuspicionTimers(now);
 }
 
-std::vector<outgoing> gossip_protocol::onEnd(mono_time now)
+std::vector<outgoing_datagram> gossip_protocol::onShutdown(mono_time now)
 {
-    table.setGone(now);
+    table.setLeft(now);
     gossip_message last;
     last.records.push_back(table.self().record);
-    for (const known_member *member : pickMembers(farewells, {}))
+    for (const known_member *member : pickMembers(maxLeaveRecipients, {}))
         send(*member, last, 0, now);
     return std::exchange(outbox, {});
 }
@@ -453,10 +461,11 @@
 }
 
 std::vector<const known_member *> gossip_protocol::pickMembers(std::size_t count,
-                                                               const instance_id &but)
+                                                               const instance_id &excluded)
 {
     std::vector<const known_member *> living = livingMembers();
-    std::erase_if(living, [&](const known_member *member) { return member->record.id == but; });
+    std::erase_if(living,
+                  [&](const known_member *member) { return member->record.id == excluded; });
     std::shuffle(living.begin(), living.end(), random);
     living.resize(std::min(living.size(), count));
     return living;
@@ -468,12 +477,12 @@
     send(to.record.peerAddress, to.record.life, message, callId, now);
 }
 
-void gossip_protocol::send(const endpoint &to, incarnation life, const gossip_message &message,
-                           std::uint64_t callId, mono_time now)
+void gossip_protocol::send(const endpoint &to, incarnation receiverIncarnation,
+                           const gossip_message &message, std::uint64_t callId, mono_time now)
 {
     std::string payload = encodeGossip(message, now);
-    budget.spend(payload.size() + envelopeBytes);
-    outbox.push_back({to, life, callId, std::move(payload)});
+    budget.consume(payload.size() + overheadBytes);
+    outbox.push_back({to, receiverIncarnation, callId, std::move(payload)});
 }
 
 } // namespace poplarspool::peer
--- a/src/peer/gossip_protocol.h
+++ b/src/peer/gossip_protocol.h
@@ -16,35 +16,35 @@
 
 namespace poplarspool::peer {
 
-/// A datagram to be sent, before it gets its header.
-struct outgoing
+/// A datagram to be sent, before its header is added.
+struct outgoing_datagram
 {
     endpoint to;
-    incarnation receiverLife = 0; ///< 0: not known.
+    incarnation receiverIncarnation = 0; ///< 0 if unknown.
     std::uint64_t callId = 0;
     std::string payload;
 };
 
-/// An authentic datagram that has arrived.
-struct incoming
+/// A received datagram whose MAC was verified.
+struct incoming_datagram
 {
     endpoint from;
     std::uint64_t sender = 0;
-    incarnation senderLife = 0;
+    incarnation senderIncarnation = 0;
     std::uint64_t callId = 0;
     std::string_view payload;
-    mono_time arrivedAt{}; ///< Not later than it truly arrived.
+    mono_time arrivedAt{}; ///< Never later than the real arrival.
 };
 
-/// Join: the page after the last, which holds no record but the receiver's own.
+/// Page number in a Join that requests no page: the reply holds only the receiver's own record.
 inline constexpr std::uint32_t noPage = UINT32_MAX;
 
-/// What one instance says and hears: the whole protocol as a single-threaded state machine, without
-/// sockets, threads or clock. docs/design/membership.md tells why it is built this way.
+/// The gossip protocol of one instance as a single-threaded state machine, without sockets,
+/// threads or clock. docs/design/membership.md explains the design.
 class gossip_protocol
 {
 public:
-    gossip_protocol(const gossip_settings &choices, std::uint64_t seed, mono_time now);
+    gossip_protocol(const gossip_settings &settings, std::uint64_t seed, mono_time now);
 
     void setPeerAddress(const endpoint &address) { table.setPeerAddress(address); }
     void setContacts(std::vector<endpoint> endpoints) { contacts = std::move(endpoints); }
@@ -52,22 +52,28 @@
     void setApplied(std::uint64_t appliedVersion, mono_time confirmedAt);
     void setOpenStreams(std::uint32_t count) { table.setOpenStreams(count); }
     void setLeaving() { table.setLeaving(); }
-    bool spread(rumor news, mono_time now) { return rumors.spread(std::move(news), now); }
-
-    /// One round: detects, tells news, repairs.
-    std::vector<outgoing> onRound(mono_time now);
-    /// @param answers What to send because of the datagram is appended here.
-    /// @returns False where it can't be decoded.
-    bool onDatagram(const incoming &datagram, mono_time now, std::vector<outgoing> &answers);
-    /// A datagram from a life that is over: nothing in it is taken, but its sender is told.
-    void onOldLife(const incoming &datagram, mono_time now, std::vector<outgoing> &answers);
-    /// The process was not running for a while: nobody is to blame for that time.
-    void onStopped(mono_time now);
-    /// Last words.
-    std::vector<outgoing> onEnd(mono_time now);
+    bool spread(rumor item, mono_time now) { return rumors.spread(std::move(item), now); }
+
+    /// Runs one round: failure detection, updates, anti-entropy.
+    /// @returns The datagrams to send.
+    std::vector<outgoing_datagram> onRound(mono_time now);
+    /// @param answers The datagrams to send in response are appended here.
+    /// @returns False if the datagram can't be decoded.
+    bool onDatagram(const incoming_datagram &datagram, mono_time now,
+                    std::vector<outgoing_datagram> &answers);
+    /// Handles a datagram from an outdated incarnation:
+    /// ignores its content and notifies the sender.
+    void onOldIncarnation(const incoming_datagram &datagram, mono_time now,
+                          std::vector<outgoing_datagram> &answers);
+    /// Resets probes and suspicion timers after a pause of this process,
+    /// during which it could not receive anything.
+    void onPause(mono_time now);
+    /// @returns Datagrams that announce that this instance has left.
+    std::vector<outgoing_datagram> onShutdown(mono_time now);
 
     const gossip_table &members() const { return table; }
-    /// With what the platform's list says: the worse of both.
+    /// @returns Members, each with the worse of its gossiped state
+    ///          and its state in the platform's list.
     std::vector<policy::member> listedMembers() const;
     std::vector<rumor> allRumors() const { return rumors.all(); }
 
@@ -78,36 +84,37 @@
 private:
     void sendHeartbeat(mono_time now);
     milliseconds heartbeatInterval() const;
-    std::uint32_t tellLimit() const;
+    std::uint32_t retransmitLimit() const;
     void probe(mono_time now);
     void probeIndirectly(mono_time now);
-    void accuse(mono_time now);
-    void remindSuspects(mono_time now);
-    void tellNews(mono_time now);
-    void repair(mono_time now);
-    void askContacts(mono_time now);
-    void readOn(mono_time now);
-
-    /// @returns Whether it told of members that were not known.
-    bool join(const gossip_message &message, const incoming &datagram, mono_time now);
-    void answer(const gossip_message &message, const incoming &datagram, mono_time now);
-    void meetSender(const incoming &datagram, mono_time now);
-    void onPing(const incoming &datagram, mono_time now);
-    void onPage(const gossip_message &message, const incoming &datagram, bool isNews,
-                mono_time now);
-    void onJoin(const gossip_message &message, const incoming &datagram, mono_time now);
-    void onPingRequest(const gossip_message &message, const incoming &datagram, mono_time now);
-    void onAck(const gossip_message &message, const incoming &datagram, mono_time now);
-    void tellSenderOfItself(const known_member &sender, const incoming &datagram, mono_time now);
-    void askSender(const incoming &datagram, std::uint64_t subject, mono_time now,
-                   std::uint32_t page);
-    void flush(std::vector<outgoing> &answers);
+    void suspectUnresponsive(mono_time now);
+    void notifySuspects(mono_time now);
+    void sendUpdates(mono_time now);
+    void sendTablePage(mono_time now);
+    void joinContact(mono_time now);
+    void requestNextPage(mono_time now);
+
+    /// @returns Whether the message contained members that were not known.
+    bool merge(const gossip_message &message, const incoming_datagram &datagram, mono_time now);
+    void answer(const gossip_message &message, const incoming_datagram &datagram, mono_time now);
+    void checkSender(const incoming_datagram &datagram, mono_time now);
+    void onPing(const incoming_datagram &datagram, mono_time now);
+    void onPage(const gossip_message &message, const incoming_datagram &datagram,
+                bool hasNewMembers, mono_time now);
+    void onJoin(const gossip_message &message, const incoming_datagram &datagram, mono_time now);
+    void onPingRequest(const gossip_message &message, const incoming_datagram &datagram,
+                       mono_time now);
+    void onAck(const gossip_message &message, const incoming_datagram &datagram, mono_time now);
+    void notifySender(const known_member &sender, const incoming_datagram &datagram, mono_time now);
+    void requestFromSender(const incoming_datagram &datagram, std::uint64_t subject, mono_time now,
+                           std::uint32_t page);
+    void flush(std::vector<outgoing_datagram> &answers);
 
     std::vector<const known_member *> livingMembers() const;
-    std::vector<const known_member *> pickMembers(std::size_t count, const instance_id &but);
+    std::vector<const known_member *> pickMembers(std::size_t count, const instance_id &excluded);
     void send(const known_member &to, const gossip_message &message, std::uint64_t callId,
               mono_time now);
-    void send(const endpoint &to, incarnation life, const gossip_message &message,
+    void send(const endpoint &to, incarnation receiverIncarnation, const gossip_message &message,
               std::uint64_t callId, mono_time now);
 
     const std::size_t fanout;
@@ -118,18 +125,18 @@
     std::mt19937_64 random;
     std::vector<endpoint> contacts;
     std::set<instance_id> listedLeaving;
-    std::map<instance_id, incarnation> accused; ///< Suspected by this instance itself.
+    std::map<instance_id, incarnation>
+            ownSuspicions; ///< Members that this instance itself suspected.
     std::vector<rumor> newRumors;
-    std::vector<outgoing> outbox;
+    std::vector<outgoing_datagram> outbox;
     std::uint64_t round = 0;
     std::size_t nextContact = 0;
-    std::uint32_t nextPage = 0; ///< Of the repair.
-    std::uint32_t wantedPage =
-            0; ///< Of the table that this instance reads while it joins; 0: none.
-    bool isPageAsked = false; ///< In this round or the one before.
-    mono_time beatAt{};
-    mono_time pageAt{};
-    bool isBeatDue = true;
+    std::uint32_t nextTablePage = 0; ///< First index of the next anti-entropy page.
+    std::uint32_t wantedPage = 0; ///< Page that this instance needs next while it joins; 0 if none.
+    bool isPageRequested = false; ///< Whether it was requested in this round or the one before.
+    mono_time lastHeartbeatAt{};
+    mono_time lastPageAt{};
+    bool isHeartbeatDue = true;
     bool isListChanged = false;
 };
 
--- a/src/peer/gossip_table.cpp
+++ b/src/peer/gossip_table.cpp
@@ -12,7 +12,7 @@
     own.record = std::move(self);
     own.handle = handleOf(own.record);
     own.sender = senderNumber(own.record.id);
-    nextPulse = own.record.pulse;
+    nextHeartbeat = own.record.heartbeat;
 }
 
 void gossip_table::setPeerAddress(const endpoint &address)
@@ -23,185 +23,187 @@
 
 bool gossip_table::setApplied(std::uint64_t appliedVersion, mono_time confirmedAt)
 {
-    const bool isNew = nextPulse.appliedVersion != appliedVersion;
-    nextPulse.appliedVersion = appliedVersion;
-    nextPulse.confirmedAt = confirmedAt;
+    const bool isNew = nextHeartbeat.appliedVersion != appliedVersion;
+    nextHeartbeat.appliedVersion = appliedVersion;
+    nextHeartbeat.confirmedAt = confirmedAt;
     isChanged = isChanged || isNew;
     return isNew;
 }
 
 void gossip_table::setOpenStreams(std::uint32_t count)
 {
-    nextPulse.openStreams = count;
+    nextHeartbeat.openStreams = count;
 }
 
 void gossip_table::setLeaving()
 {
     const policy::member_state before = stateOf(own.record);
     own.record.isLeaving = true;
-    onState(own, before);
+    onStateChange(own, before);
 }
 
-void gossip_table::setGone(mono_time now)
+void gossip_table::setLeft(mono_time now)
 {
     const policy::member_state before = stateOf(own.record);
     own.record.isLeaving = true;
     own.record.isDead = true;
     own.record.diedAt = now;
-    onState(own, before);
+    onStateChange(own, before);
 }
 
-void gossip_table::beat()
+void gossip_table::publishHeartbeat()
 {
-    // One heartbeat always says the same: peers may keep either of two copies.
-    nextPulse.heartbeat = own.record.pulse.heartbeat + 1;
-    own.record.pulse = nextPulse;
-    own.told.pulse = 0;
+    // Changes take effect only with a new sequence number, since peers may keep
+    // either of two copies of one heartbeat.
+    nextHeartbeat.sequence = own.record.heartbeat.sequence + 1;
+    own.record.heartbeat = nextHeartbeat;
+    own.transmits.heartbeat = 0;
 }
 
-void gossip_table::join(const member_record &news, mono_time now)
+void gossip_table::merge(const member_record &update, mono_time now)
 {
-    if (news.id == own.record.id)
-        return joinOwn(news);
-    const auto found = known.find(news.id);
+    if (update.id == own.record.id)
+        return mergeOwn(update);
+    const auto found = known.find(update.id);
     if (found == known.end())
-        return add(news, now);
+        return add(update, now);
     known_member &member = found->second;
-    const member_record merged = joined(member.record, news);
-    if (merged == member.record)
+    const member_record updated = merged(member.record, update);
+    if (updated == member.record)
         return;
     const member_record before = member.record;
-    member.record = merged;
-    if (before.life != merged.life)
+    member.record = updated;
+    if (before.life != updated.life)
         index(member);
-    if (isSuspect(merged) && (!isSuspect(before) || before.life != merged.life))
+    if (isSuspect(updated) && (!isSuspect(before) || before.life != updated.life))
         member.suspectedAt = now;
-    if (merged.pulse.heartbeat != before.pulse.heartbeat)
-        member.told.pulse = 0;
-    isChanged = isChanged || merged.pulse.appliedVersion != before.pulse.appliedVersion;
-    // Told again only for what pulses don't carry: an older copy of a pulse is no news.
-    member_record withPulse = before;
-    withPulse.pulse = merged.pulse;
-    if (withPulse != merged) {
-        member.told.record = 0;
-        onState(member, before.life == merged.life ? stateOf(before) : policy::member_state::Dead);
+    if (updated.heartbeat.sequence != before.heartbeat.sequence)
+        member.transmits.heartbeat = 0;
+    isChanged = isChanged || updated.heartbeat.appliedVersion != before.heartbeat.appliedVersion;
+    // The record is sent again only if something besides the heartbeat changed.
+    member_record withHeartbeat = before;
+    withHeartbeat.heartbeat = updated.heartbeat;
+    if (withHeartbeat != updated) {
+        member.transmits.record = 0;
+        onStateChange(member,
+                      before.life == updated.life ? stateOf(before) : policy::member_state::Dead);
     }
 }
 
-bool gossip_table::join(const known_pulse &news)
+bool gossip_table::merge(const heartbeat_update &update)
 {
-    if (news.handle == own.handle)
+    if (update.handle == own.handle)
         return true;
-    const auto found = byHandle.find(news.handle);
+    const auto found = byHandle.find(update.handle);
     if (found == byHandle.end())
         return false;
     known_member &member = *found->second;
-    const member_pulse before = member.record.pulse;
-    member.record.pulse = joined(before, news.pulse);
-    if (member.record.pulse.heartbeat != before.heartbeat)
-        member.told.pulse = 0;
-    isChanged = isChanged || member.record.pulse.appliedVersion != before.appliedVersion;
+    const member_heartbeat before = member.record.heartbeat;
+    member.record.heartbeat = merged(before, update.heartbeat);
+    if (member.record.heartbeat.sequence != before.sequence)
+        member.transmits.heartbeat = 0;
+    isChanged = isChanged || member.record.heartbeat.appliedVersion != before.appliedVersion;
     return true;
 }
 
-void gossip_table::joinOwn(const member_record &news)
+void gossip_table::mergeOwn(const member_record &update)
 {
     if (own.record.isDead)
         return;
-    if (news.life < own.record.life) {
-        // Somebody still holds a former life: tell again.
-        own.told.record = 0;
+    if (update.life < own.record.life) {
+        // Some member still has a former incarnation: send the own record again.
+        own.transmits.record = 0;
         return;
     }
-    if (news.life > own.record.life) {
-        const bool isFormerSelf = news.isDead || news.peerAddress == own.record.peerAddress;
+    if (update.life > own.record.life) {
+        const bool isFormerSelf = update.isDead || update.peerAddress == own.record.peerAddress;
         if (isFormerSelf) {
-            startNewLife(news.life);
+            startNewIncarnation(update.life);
         } else if (!replaced) {
             replaced = true;
             isChanged = true;
-            changes.push_back({own.record.id, news.life, policy::member_state::Leaving});
+            changes.push_back({own.record.id, update.life, policy::member_state::Leaving});
         }
         return;
     }
-    own.record.isLeaving = own.record.isLeaving || news.isLeaving;
-    if (news.isDead)
-        return startNewLife(news.life);
-    if (news.suspicion > own.record.refutation) {
-        own.record.refutation = news.suspicion;
-        own.told.record = 0;
+    own.record.isLeaving = own.record.isLeaving || update.isLeaving;
+    if (update.isDead)
+        return startNewIncarnation(update.life);
+    if (update.suspicion > own.record.refutation) {
+        own.record.refutation = update.suspicion;
+        own.transmits.record = 0;
         changes.push_back({own.record.id, own.record.life, stateOf(own.record)});
     }
 }
 
-/// This process was taken for dead while it was frozen or cut off. That life stays dead everywhere,
-/// so that nothing it said before comes back; the process goes on under a new one. Leaving stays:
-/// it was this process's own decision.
-void gossip_table::startNewLife(incarnation above)
+/// Called when this process was considered dead while it was paused or partitioned. The old
+/// incarnation stays dead everywhere, so that its late messages have no effect; the process
+/// continues with a new one. The leaving flag is kept, because it was this process's own decision.
+void gossip_table::startNewIncarnation(incarnation above)
 {
     own.record.life = above + 1;
     own.record.refutation = 0;
     own.record.suspicion = 0;
-    own.record.pulse.heartbeat = 1;
+    own.record.heartbeat.sequence = 1;
     own.handle = handleOf(own.record);
-    own.told = {};
+    own.transmits = {};
     replaced = false;
     isChanged = true;
     changes.push_back({own.record.id, own.record.life, stateOf(own.record)});
 }
 
-void gossip_table::add(const member_record &news, mono_time now)
+void gossip_table::add(const member_record &update, mono_time now)
 {
-    if (news.isDead && now - news.diedAt > times.deadKeepTime)
+    if (update.isDead && now - update.diedAt > times.deadKeepTime)
         return;
     if (!makeRoom())
         return;
-    known_member &member = known[news.id];
-    member.record = news;
-    member.sender = senderNumber(news.id);
-    if (isSuspect(news))
+    known_member &member = known[update.id];
+    member.record = update;
+    member.sender = senderNumber(update.id);
+    if (isSuspect(update))
         member.suspectedAt = now;
     index(member);
     bySender[member.sender] = &member;
-    onState(member, policy::member_state::Dead);
+    onStateChange(member, policy::member_state::Dead);
 }
 
-bool gossip_table::suspect(const instance_id &id, incarnation life, mono_time now)
+bool gossip_table::suspect(const instance_id &id, incarnation suspectedIncarnation, mono_time now)
 {
     const auto found = known.find(id);
     if (found == known.end())
         return false;
     known_member &member = found->second;
-    if (member.record.life != life || member.record.isDead)
+    if (member.record.life != suspectedIncarnation || member.record.isDead)
         return false;
     if (isSuspect(member.record))
         return true;
     const policy::member_state before = stateOf(member.record);
     member.record.suspicion = member.record.refutation + 1;
     member.suspectedAt = now;
-    onState(member, before);
+    onStateChange(member, before);
     return true;
 }
 
 void gossip_table::expire(mono_time now)
 {
-    std::vector<instance_id> forgotten;
+    std::vector<instance_id> expired;
     for (auto &[id, member] : known) {
         member_record &record = member.record;
         const policy::member_state before = stateOf(record);
         if (!record.isDead && isSuspect(record) && now - member.suspectedAt >= times.deadTime) {
             record.isDead = true;
             record.diedAt = now;
-            onState(member, before);
+            onStateChange(member, before);
         }
         if (record.isDead && now - record.diedAt > times.deadKeepTime)
-            forgotten.push_back(id);
+            expired.push_back(id);
     }
-    for (const instance_id &id : forgotten)
-        forget(id);
+    for (const instance_id &id : expired)
+        remove(id);
 }
 
-void gossip_table::restartSuspicions(mono_time now)
+void gossip_table::restartSuspicionTimers(mono_time now)
 {
     for (auto &[id, member] : known) {
         if (isSuspect(member.record))
@@ -227,7 +229,7 @@
     return found == byHandle.end() ? nullptr : found->second;
 }
 
-std::size_t gossip_table::livingOthers() const
+std::size_t gossip_table::livingOtherCount() const
 {
     if (!living) {
         living = std::count_if(known.begin(), known.end(),
@@ -245,7 +247,7 @@
             result.push_back(memberOf(member.record));
     }
     member_record present = own.record;
-    present.pulse = nextPulse;
+    present.heartbeat = nextHeartbeat;
     policy::member self = memberOf(present);
     if (replaced)
         self.state = std::max(self.state, policy::member_state::Leaving);
@@ -258,38 +260,38 @@
     return result;
 }
 
-std::vector<known_member *> gossip_table::untoldRecords(std::uint32_t limit)
+std::vector<known_member *> gossip_table::recordsToSend(std::uint32_t limit)
 {
     std::vector<known_member *> result;
-    if (own.told.record < limit)
+    if (own.transmits.record < limit)
         result.push_back(&own);
     for (auto &[id, member] : known) {
-        if (member.told.record < limit)
+        if (member.transmits.record < limit)
             result.push_back(&member);
     }
     return result;
 }
 
-std::vector<known_member *> gossip_table::untoldPulses(std::uint32_t limit)
+std::vector<known_member *> gossip_table::heartbeatsToSend(std::uint32_t limit)
 {
     std::vector<known_member *> result;
-    if (own.told.pulse < limit)
+    if (own.transmits.heartbeat < limit)
         result.push_back(&own);
     for (auto &[id, member] : known) {
-        if (member.told.pulse < limit && !member.record.isDead)
+        if (member.transmits.heartbeat < limit && !member.record.isDead)
             result.push_back(&member);
     }
     return result;
 }
 
-bool gossip_table::hasUntold(std::uint32_t limit) const
+bool gossip_table::hasItemsToSend(std::uint32_t limit) const
 {
-    const auto isUntold = [&](const known_member &member) {
-        const bool isPulseUntold = member.told.pulse < limit && !member.record.isDead;
-        return member.told.record < limit || isPulseUntold;
+    const auto isPending = [&](const known_member &member) {
+        const bool isHeartbeatPending = member.transmits.heartbeat < limit && !member.record.isDead;
+        return member.transmits.record < limit || isHeartbeatPending;
     };
-    return isUntold(own) || std::any_of(known.begin(), known.end(), [&](const auto &entry) {
-               return isUntold(entry.second);
+    return isPending(own) || std::any_of(known.begin(), known.end(), [&](const auto &entry) {
+               return isPending(entry.second);
            });
 }
 
@@ -303,9 +305,9 @@
     return std::exchange(isChanged, false);
 }
 
-void gossip_table::onState(known_member &member, policy::member_state before)
+void gossip_table::onStateChange(known_member &member, policy::member_state before)
 {
-    member.told.record = 0;
+    member.transmits.record = 0;
     isChanged = true;
     living.reset();
     const policy::member_state now = stateOf(member.record);
@@ -320,7 +322,7 @@
     byHandle[member.handle] = &member;
 }
 
-void gossip_table::forget(const instance_id &id)
+void gossip_table::remove(const instance_id &id)
 {
     const auto found = known.find(id);
     byHandle.erase(found->second.handle);
@@ -328,7 +330,8 @@
     known.erase(found);
 }
 
-/// A full table gives up the member that died first; where nobody is dead, newcomers are not taken.
+/// If the table is full, evicts the member that died first.
+/// @returns False if the table is full and no member is dead.
 bool gossip_table::makeRoom()
 {
     if (known.size() + 1 < config::maxMembers)
@@ -341,7 +344,7 @@
     }
     if (oldest == nullptr)
         return false;
-    forget(instance_id(oldest->record.id));
+    remove(instance_id(oldest->record.id));
     return true;
 }
 
--- a/src/peer/member_record.cpp
+++ b/src/peer/member_record.cpp
@@ -9,15 +9,17 @@
 
 namespace {
 
-/// The higher heartbeat wins. Copies of one heartbeat differ only in how long they travelled, which
-/// ages on the wire do not count: the earlier confirmation is the truer one.
-auto rankOf(const member_pulse &pulse)
+/// The higher sequence number wins. Copies of one heartbeat differ only in
+/// their transit time, which the ages on the wire do not include; so the copy
+/// with the earlier confirmation is more accurate.
+auto rankOf(const member_heartbeat &heartbeat)
 {
-    return std::tuple(pulse.heartbeat, pulse.appliedVersion, pulse.openStreams,
-                      -pulse.confirmedAt.time_since_epoch().count());
+    return std::tuple(heartbeat.sequence, heartbeat.appliedVersion, heartbeat.openStreams,
+                      -heartbeat.confirmedAt.time_since_epoch().count());
 }
 
-/// Fixed for one life; two processes that share id and life must still end up the same everywhere.
+/// These fields are constant within an incarnation. The order makes all instances choose the same
+/// record if two processes share an id and an incarnation.
 auto placeOf(const member_record &record)
 {
     return std::tie(record.zone, record.callerAddress, record.peerAddress);
@@ -32,12 +34,12 @@
 
 } // namespace
 
-member_pulse joined(const member_pulse &a, const member_pulse &b)
+member_heartbeat merged(const member_heartbeat &a, const member_heartbeat &b)
 {
     return rankOf(a) < rankOf(b) ? b : a;
 }
 
-member_record joined(const member_record &a, const member_record &b)
+member_record merged(const member_record &a, const member_record &b)
 {
     if (a.life != b.life)
         return a.life > b.life ? a : b;
@@ -47,7 +49,7 @@
     result.isLeaving = a.isLeaving || b.isLeaving;
     result.isDead = a.isDead || b.isDead;
     result.diedAt = earlierDeath(a, b);
-    result.pulse = joined(a.pulse, b.pulse);
+    result.heartbeat = merged(a.heartbeat, b.heartbeat);
     return result;
 }
 
@@ -74,9 +76,9 @@
     member.peerAddress = record.peerAddress;
     member.life = record.life;
     member.state = stateOf(record);
-    member.appliedVersion = record.pulse.appliedVersion;
-    member.openStreams = record.pulse.openStreams;
-    member.confirmedAt = record.pulse.confirmedAt;
+    member.appliedVersion = record.heartbeat.appliedVersion;
+    member.openStreams = record.heartbeat.openStreams;
+    member.confirmedAt = record.heartbeat.confirmedAt;
     return member;
 }
 
@@ -89,9 +91,9 @@
     record.peerAddress = self.peerAddress;
     record.life = self.life;
     record.isLeaving = self.state == policy::member_state::Leaving;
-    record.pulse.appliedVersion = self.appliedVersion;
-    record.pulse.openStreams = self.openStreams;
-    record.pulse.confirmedAt = self.confirmedAt;
+    record.heartbeat.appliedVersion = self.appliedVersion;
+    record.heartbeat.openStreams = self.openStreams;
+    record.heartbeat.confirmedAt = self.confirmedAt;
     return record;
 }
 
--- a/src/peer/member_record.h
+++ b/src/peer/member_record.h
@@ -9,19 +9,20 @@
 
 namespace poplarspool::peer {
 
-/// What a member says of itself again and again. Of two the one with the higher heartbeat holds.
-struct member_pulse
+/// Data that a member sends periodically. Of two copies the one with the higher sequence wins.
+struct member_heartbeat
 {
-    std::uint64_t heartbeat = 0; ///< Counted by the member itself, within one life.
+    std::uint64_t sequence = 0; ///< Assigned by the member; increases within an incarnation.
     std::uint64_t appliedVersion = 0;
     std::uint32_t openStreams = 0;
-    mono_time confirmedAt{}; ///< On this instance's clock; the epoch: never.
+    mono_time confirmedAt{}; ///< On this instance's clock; the clock's epoch means never.
 
-    bool operator==(const member_pulse &) const = default;
+    bool operator==(const member_heartbeat &) const = default;
 };
 
-/// What is known of one member: a value that only grows, so that news may arrive in any order, late
-/// or twice. The higher life replaces everything; within one life every part is joined by itself.
+/// Known state of one member. The state is a join-semilattice (a state-based CRDT), so that
+/// updates may arrive late, twice and in any order. A higher incarnation replaces the whole
+/// record; within an incarnation each field is merged separately.
 struct member_record
 {
     instance_id id;
@@ -29,29 +30,30 @@
     endpoint callerAddress;
     endpoint peerAddress;
     incarnation life = 0;
-    std::uint32_t refutation = 0; ///< Suspicions below this number are answered; the member's own.
-    std::uint32_t suspicion = 0; ///< Above the refutation: the member is suspected.
-    bool isLeaving = false; ///< Never taken back within one life.
-    bool isDead = false; ///< Never taken back within one life.
-    mono_time diedAt{}; ///< On this instance's clock, where it is dead.
-    member_pulse pulse;
+    std::uint32_t refutation = 0; ///< Set by the member: refutes suspicions up to this number.
+    std::uint32_t suspicion = 0; ///< The member is suspected if this exceeds `refutation`.
+    bool isLeaving = false; ///< Never reset within an incarnation.
+    bool isDead = false; ///< Never reset within an incarnation.
+    mono_time diedAt{}; ///< On this instance's clock; set if the member is dead.
+    member_heartbeat heartbeat;
 
     bool operator==(const member_record &) const = default;
 };
 
-/// @returns The join of both: commutative, associative and idempotent.
-/// @attention Only for records of one member.
-member_record joined(const member_record &a, const member_record &b);
-member_pulse joined(const member_pulse &a, const member_pulse &b);
+/// @returns The least upper bound of both; the operation is
+///          commutative, associative and idempotent.
+/// @attention Both records must be of the same member.
+member_record merged(const member_record &a, const member_record &b);
+member_heartbeat merged(const member_heartbeat &a, const member_heartbeat &b);
 
 bool isSuspect(const member_record &record);
 policy::member_state stateOf(const member_record &record);
 policy::member memberOf(const member_record &record);
 member_record recordOf(const policy::member &self);
 
-/// @returns Number that stands for one life of one member in pulses and probes. 64 bits: taking one
-///          member's applied version for another's would make a configuration look in force where
-///          it is not.
+/// @returns Hash that identifies one incarnation of one member in heartbeats and probes. It has 64
+///          bits to prevent collisions: if one member's applied version were taken for another's,
+///          a configuration would seem to be in force where it is not.
 std::uint64_t handleOf(const member_record &record);
 
 } // namespace poplarspool::peer
--- a/src/peer/news_picker.h
+++ b/src/peer/news_picker.h
@@ -8,22 +8,23 @@
 #include <cstdint>
 #include <random>
 
-/// Fills datagrams: which of the news that a table holds travel next.
+/// Selects the updates that go into the next gossip datagram.
 namespace poplarspool::peer {
 
-/// Bytes of payload that a datagram can hold.
+/// @returns Maximum payload bytes of a datagram.
 std::size_t maxGossipPayload();
 
-/// Adds what was told less than `limit` times, least told first, and counts it as told.
-/// @param room Bytes that the payload may have in all.
-void addNews(gossip_message &message, std::size_t room, gossip_table &table, rumor_table &rumors,
-             std::uint32_t limit, std::mt19937_64 &random);
+/// Adds records, heartbeats and rumors that were sent less than `limit` times, those sent the
+/// fewest times first, and increases their transmit counters.
+/// @param room Maximum bytes of the whole payload.
+void addUpdates(gossip_message &message, std::size_t room, gossip_table &table, rumor_table &rumors,
+                std::uint32_t limit, std::mt19937_64 &random);
 
-bool hasNews(const gossip_table &table, rumor_table &rumors, std::uint32_t limit);
+bool hasUpdates(const gossip_table &table, rumor_table &rumors, std::uint32_t limit);
 
-/// @param first Place in the order of ids.
-/// @returns This instance's record and as many of the others' from `first` on as one datagram
-///          holds; `page` says where the next one starts, 0 after the last.
+/// @param first Index of the first record, in the order of ids.
+/// @returns This instance's record and as many others from `first` on as fit into one datagram.
+///          `page` is the index at which the next page starts; 0 after the last.
 gossip_message pageFrom(const gossip_table &table, std::size_t first);
 
 } // namespace poplarspool::peer
--- a/src/peer/prober.cpp
+++ b/src/peer/prober.cpp
@@ -8,36 +8,38 @@
 
 namespace {
 
-/// Part of the time to suspicion in which the member itself may answer; the rest is for the others.
-constexpr int directShare = 3;
+/// Divisor of the probe timeout: after this part of it without
+/// an answer, other members probe as well.
+constexpr int indirectProbeDivisor = 3;
 
 } // namespace
 
 prober::prober(milliseconds suspectTime, std::uint64_t seed)
-    : suspectTime(suspectTime), random(seed), lastCall(random())
+    : suspectTime(suspectTime), random(seed), lastCallId(random())
 { }
 
 std::uint64_t prober::open(open_probe probe)
 {
-    probes[++lastCall] = std::move(probe);
-    return lastCall;
+    probes[++lastCallId] = std::move(probe);
+    return lastCallId;
 }
 
-std::uint64_t prober::relay(relayed_probe probe)
+std::uint64_t prober::forward(forwarded_probe probe)
 {
-    // Bounded by dropping the oldest: whoever asked will suspect a little earlier, and be refuted.
-    if (relays.size() >= config::maxMembers)
-        relays.erase(relays.begin());
-    relays[++lastCall] = std::move(probe);
-    return lastCall;
+    // Bounded by dropping the oldest. The instance that requested that probe may suspect the
+    // member without cause; the member then refutes the suspicion.
+    if (forwarded.size() >= config::maxMembers)
+        forwarded.erase(forwarded.begin());
+    forwarded[++lastCallId] = std::move(probe);
+    return lastCallId;
 }
 
-std::optional<relayed_probe> prober::onAck(std::uint64_t callId, std::uint64_t handle)
+std::optional<forwarded_probe> prober::onAck(std::uint64_t callId, std::uint64_t handle)
 {
-    const auto relayed = relays.find(callId);
-    if (relayed != relays.end() && relayed->second.handle == handle) {
-        relayed_probe origin = std::move(relayed->second);
-        relays.erase(relayed);
+    const auto found = forwarded.find(callId);
+    if (found != forwarded.end() && found->second.handle == handle) {
+        forwarded_probe origin = std::move(found->second);
+        forwarded.erase(found);
         return origin;
     }
     const auto probe = probes.find(callId);
@@ -46,7 +48,7 @@
     return std::nullopt;
 }
 
-void prober::onHeard(std::uint64_t handle)
+void prober::onReceived(std::uint64_t handle)
 {
     std::erase_if(probes, [&](const auto &entry) { return entry.second.handle == handle; });
 }
@@ -55,7 +57,7 @@
 {
     std::vector<std::pair<std::uint64_t, open_probe>> result;
     for (auto &[callId, probe] : probes) {
-        if (probe.isIndirect || now - probe.sentAt < suspectTime / directShare)
+        if (probe.isIndirect || now - probe.sentAt < suspectTime / indirectProbeDivisor)
             continue;
         probe.isIndirect = true;
         result.emplace_back(callId, probe);
@@ -72,7 +74,7 @@
             result.push_back(entry.second);
         return isFailed;
     });
-    std::erase_if(relays,
+    std::erase_if(forwarded,
                   [&](const auto &entry) { return now - entry.second.sentAt >= suspectTime; });
     return result;
 }
@@ -80,7 +82,7 @@
 void prober::reset()
 {
     probes.clear();
-    relays.clear();
+    forwarded.clear();
 }
 
 } // namespace poplarspool::peer
--- a/src/peer/prober.h
+++ b/src/peer/prober.h
@@ -12,37 +12,39 @@
 
 namespace poplarspool::peer {
 
-/// A member that was pinged and has not answered yet.
+/// An unanswered ping of this instance.
 struct open_probe
 {
     instance_id target;
     incarnation life = 0;
     std::uint64_t handle = 0;
     mono_time sentAt{};
-    bool isIndirect = false; ///< Others were asked to try.
+    bool isIndirect = false; ///< Other members were asked to ping the target as well.
 };
 
-/// A ping that another instance asked for.
-struct relayed_probe
+/// A ping sent on behalf of another instance.
+struct forwarded_probe
 {
-    std::uint64_t handle = 0; ///< Of the target.
+    std::uint64_t handle = 0; ///< Handle of the target.
     endpoint origin;
-    incarnation originLife = 0;
-    std::uint64_t originCall = 0;
+    incarnation originIncarnation = 0;
+    std::uint64_t originCallId = 0;
     mono_time sentAt{};
 };
 
-/// Detects silence by direct probes, one member a round, in an order that reaches each member once
-/// before any twice. Its cost does not depend on the number of members; a member that falls silent
-/// is found by whoever probes it next, about one round later.
+/// Failure detector (SWIM): probes one member per round, in a random order that visits every
+/// member once before it repeats any. The cost does not depend on the number of members. A member
+/// that stops answering is probed by some other member about one round later.
 ///
-/// One lost path is not silence: before a member is suspected, others probe it as well.
+/// Since a single network path may fail, other members probe a member before it is suspected.
 class prober
 {
 public:
     prober(milliseconds suspectTime, std::uint64_t seed);
 
-    /// @param candidates Living members; asked for only when a new order is due.
+    /// @param candidates Returns the members that are not dead.
+    ///                   Called only when a new order starts.
+    /// @returns The member to probe next.
     template <class Candidates>
     std::optional<instance_id> next(Candidates candidates)
     {
@@ -57,30 +59,33 @@
         return target;
     }
 
+    /// Records a ping of this instance.
     /// @returns Call id of the ping.
     std::uint64_t open(open_probe probe);
-    /// @returns Call id of the ping to pass on.
-    std::uint64_t relay(relayed_probe probe);
+    /// Records a ping to be sent on behalf of another instance.
+    /// @returns Call id of that ping.
+    std::uint64_t forward(forwarded_probe probe);
 
-    /// @returns Whom to pass the answer to, where the ping was another's.
-    std::optional<relayed_probe> onAck(std::uint64_t callId, std::uint64_t handle);
-    /// Anything authentic from a member is an answer to all probes of it.
-    void onHeard(std::uint64_t handle);
+    /// @returns The instance to which to forward the Ack, if the ping was sent on behalf of one.
+    std::optional<forwarded_probe> onAck(std::uint64_t callId, std::uint64_t handle);
+    /// Any datagram with a valid MAC from a member answers all probes of it.
+    void onReceived(std::uint64_t handle);
 
-    /// @returns Probes that others should try now.
+    /// @returns Probes that other members should repeat now.
     std::vector<std::pair<std::uint64_t, open_probe>> takeUnanswered(mono_time now);
-    /// @returns Probes that nobody had an answer to.
+    /// @returns Probes that timed out, direct and indirect.
     std::vector<open_probe> takeFailed(mono_time now);
-    /// Forgets what is open: this instance was stopped, and the silence may be its own.
+    /// Discards open probes after a pause of this process, in
+    /// which it could not receive the answers.
     void reset();
 
 private:
     const milliseconds suspectTime;
     std::mt19937_64 random;
-    std::uint64_t lastCall;
+    std::uint64_t lastCallId;
     std::vector<instance_id> order;
     std::map<std::uint64_t, open_probe> probes;
-    std::map<std::uint64_t, relayed_probe> relays;
+    std::map<std::uint64_t, forwarded_probe> forwarded;
 };
 
 } // namespace poplarspool::peer
--- a/src/peer/replay_window.cpp
+++ b/src/peer/replay_window.cpp
@@ -31,16 +31,16 @@
     return true;
 }
 
-replay_verdict replay_guard::check(std::uint64_t sender, incarnation life, std::uint64_t counter,
-                                   mono_time now)
+replay_verdict replay_guard::check(std::uint64_t sender, incarnation senderIncarnation,
+                                   std::uint64_t counter, mono_time now)
 {
     if (!senders.contains(sender))
         makeRoom();
     sender_state &known = senders[sender];
-    if (life < known.life)
-        return replay_verdict::OldLife;
-    if (life > known.life) {
-        known.life = life;
+    if (senderIncarnation < known.life)
+        return replay_verdict::OldIncarnation;
+    if (senderIncarnation > known.life) {
+        known.life = senderIncarnation;
         known.window = replay_window{};
     }
     known.lastSeen = now;
--- a/src/peer/replay_window.h
+++ b/src/peer/replay_window.h
@@ -10,12 +10,13 @@
 
 namespace poplarspool::peer {
 
-/// Which counters of one sender's life have been seen: the last few that may still arrive out of
-/// order, bit by bit; all older ones count as seen.
+/// Sliding window over the counters of one incarnation of a sender. A bit per recent counter
+/// allows datagrams to arrive out of order; all counters before the window count as seen.
 class replay_window
 {
 public:
-    /// @returns Whether the counter is new; it is seen from now on.
+    /// Marks the counter as seen.
+    /// @returns Whether it was new.
     bool accept(std::uint64_t counter);
 
 private:
@@ -23,14 +24,14 @@
     std::uint64_t highest = 0;
 };
 
-enum class replay_verdict { Fresh, Seen, OldLife };
+enum class replay_verdict { Fresh, Seen, OldIncarnation };
 
-/// The windows of all senders. Only the newest life of a sender has one: a frame of an earlier life
-/// is as old as a replayed one, and would bring back what that life said.
+/// Replay windows of all senders. Only the newest incarnation of a sender has a window: frames of
+/// earlier ones are rejected like replays, since they would restore outdated state.
 class replay_guard
 {
 public:
-    replay_verdict check(std::uint64_t sender, incarnation life, std::uint64_t counter,
+    replay_verdict check(std::uint64_t sender, incarnation senderIncarnation, std::uint64_t counter,
                          mono_time now);
     std::size_t size() const { return senders.size(); }
 
--- a/src/peer/rumor_table.cpp
+++ b/src/peer/rumor_table.cpp
@@ -8,46 +8,47 @@
 
 namespace {
 
-/// Payloads take part so that two writers of one version still end up the same everywhere.
-bool isNewer(const travelling_rumor &a, const travelling_rumor &b)
+/// Compares payloads last, so that all instances choose the same one
+/// if two writers publish the same version.
+bool isNewer(const rumor_update &a, const rumor_update &b)
 {
-    return std::tie(a.news.version, a.renewal, a.news.payload)
-            > std::tie(b.news.version, b.renewal, b.news.payload);
+    return std::tie(a.value.version, a.renewal, a.value.payload)
+            > std::tie(b.value.version, b.renewal, b.value.payload);
 }
 
-bool isBounded(const rumor &news)
+bool isBounded(const rumor &update)
 {
-    return !news.key.empty() && news.key.size() <= config::maxNameBytes
-            && news.payload.size() <= config::maxRumorBytes;
+    return !update.key.empty() && update.key.size() <= config::maxNameBytes
+            && update.payload.size() <= config::maxRumorBytes;
 }
 
 } // namespace
 
-bool rumor_table::spread(rumor news, mono_time now)
+bool rumor_table::spread(rumor update, mono_time now)
 {
-    if (!isBounded(news) || !hasRoom(news.key))
+    if (!isBounded(update) || !hasRoom(update.key))
         return false;
-    known_rumor &entry = known[news.key];
-    if (news.version < entry.rumor.news.version)
+    known_rumor &entry = known[update.key];
+    if (update.version < entry.rumor.value.version)
         return false;
-    const bool isRenewal = news.version == entry.rumor.news.version;
+    const bool isRenewal = update.version == entry.rumor.value.version;
     const std::uint32_t renewal = isRenewal ? entry.rumor.renewal + 1 : 0;
-    entry = known_rumor{travelling_rumor{std::move(news), renewal, now}};
+    entry = known_rumor{rumor_update{std::move(update), renewal, now}};
     return true;
 }
 
-bool rumor_table::join(const travelling_rumor &news, mono_time now)
+bool rumor_table::merge(const rumor_update &update, mono_time now)
 {
-    if (!isBounded(news.news) || now - news.spreadAt > keepTime || !hasRoom(news.news.key))
+    if (!isBounded(update.value) || now - update.spreadAt > keepTime || !hasRoom(update.value.key))
         return false;
-    const auto [place, isNew] = known.try_emplace(news.news.key, known_rumor{news});
+    const auto [place, isNew] = known.try_emplace(update.value.key, known_rumor{update});
     if (isNew)
         return true;
-    travelling_rumor &present = place->second.rumor;
-    if (!isNewer(news, present))
+    rumor_update &present = place->second.rumor;
+    if (!isNewer(update, present))
         return false;
-    const bool isNewVersion = news.news.version > present.news.version;
-    place->second = known_rumor{news};
+    const bool isNewVersion = update.value.version > present.value.version;
+    place->second = known_rumor{update};
     return isNewVersion;
 }
 
@@ -57,11 +58,11 @@
                   [&](const auto &entry) { return now - entry.second.rumor.spreadAt > keepTime; });
 }
 
-std::vector<known_rumor *> rumor_table::untold(std::uint32_t limit)
+std::vector<known_rumor *> rumor_table::toSend(std::uint32_t limit)
 {
     std::vector<known_rumor *> result;
     for (auto &[key, entry] : known) {
-        if (entry.told < limit)
+        if (entry.transmits < limit)
             result.push_back(&entry);
     }
     return result;
@@ -72,7 +73,7 @@
     std::vector<rumor> result;
     result.reserve(known.size());
     for (const auto &[key, entry] : known)
-        result.push_back(entry.rumor.news);
+        result.push_back(entry.rumor.value);
     return result;
 }
 
--- a/src/peer/rumor_table.h
+++ b/src/peer/rumor_table.h
@@ -11,24 +11,26 @@
 
 struct known_rumor
 {
-    travelling_rumor rumor;
-    std::uint32_t told = 0; ///< Since it became known.
+    rumor_update rumor;
+    std::uint32_t transmits = 0; ///< Times it was sent since it was received or published.
 };
 
-/// The newest rumor of every key; a single-threaded state machine over values and given time.
+/// Holds the newest rumor of every key. A single-threaded state
+/// machine that takes the time as an argument.
 class rumor_table
 {
 public:
     explicit rumor_table(milliseconds keepTime) : keepTime(keepTime) { }
 
-    /// Starts or renews a rumor of this instance.
-    /// @returns False where a newer version is known, a bound is broken or the table is full.
-    bool spread(rumor news, mono_time now);
-    /// @returns Whether it is a version that was not known.
-    bool join(const travelling_rumor &news, mono_time now);
+    /// Publishes or renews a rumor of this instance.
+    /// @returns False if a newer version is known, a bound is exceeded or the table is full.
+    bool spread(rumor update, mono_time now);
+    /// Merges a received rumor.
+    /// @returns Whether its version was not known before.
+    bool merge(const rumor_update &update, mono_time now);
     void expire(mono_time now);
 
-    std::vector<known_rumor *> untold(std::uint32_t limit);
+    std::vector<known_rumor *> toSend(std::uint32_t limit);
     std::vector<rumor> all() const;
 
 private:
--- a/src/peer/store_relay.cpp
+++ b/src/peer/store_relay.cpp
@@ -13,36 +13,36 @@
 
 struct store_relay::state
 {
-    state(datagram_settings choices, std::function<relay_turn()> collect,
-          std::function<void(std::uint64_t, const store_news &)> onNews, metrics_registry &metrics,
-          journal &events)
-        : collect(std::move(collect)), onNews(std::move(onNews)),
+    state(datagram_settings settings, std::function<relay_turn()> collect,
+          std::function<void(std::uint64_t, const store_news &)> onUpdate,
+          metrics_registry &metrics, journal &events)
+        : collect(std::move(collect)), onUpdate(std::move(onUpdate)),
           faults(stepFaultsOf(events, metrics)),
-          port(std::move(choices), frame_kind::Store, metrics, "poplarspool_store_news_total")
+          socket(std::move(settings), frame_kind::Store, metrics, "poplarspool_store_news_total")
     { }
 
-    void tellOn();
-    void tell();
-    void hearOn();
-    bool hear(std::uint64_t sender, std::string_view payload);
+    void sendLoop();
+    void sendOnce();
+    void receiveLoop();
+    bool receive(std::uint64_t sender, std::string_view payload);
 
     const std::function<relay_turn()> collect;
-    const std::function<void(std::uint64_t, const store_news &)> onNews;
+    const std::function<void(std::uint64_t, const store_news &)> onUpdate;
     const step_faults faults;
-    datagram_port port; ///< Sends on one thread, receives on the other.
+    datagram_socket socket; ///< Sends on sendThread, receives on receiveThread.
     raised_flag stopping;
-    std::thread telling;
-    std::thread hearing;
+    std::thread sendThread;
+    std::thread receiveThread;
     mutable std::mutex guard;
     std::condition_variable changed;
-    bool isWoken = false;
+    bool isWakeRequested = false;
     std::vector<endpoint> peers;
 };
 
-store_relay::store_relay(datagram_settings choices, std::function<relay_turn()> collect,
-                         std::function<void(std::uint64_t, const store_news &)> onNews,
+store_relay::store_relay(datagram_settings settings, std::function<relay_turn()> collect,
+                         std::function<void(std::uint64_t, const store_news &)> onUpdate,
                          metrics_registry &metrics, journal &events)
-    : inner(std::make_unique<state>(std::move(choices), std::move(collect), std::move(onNews),
+    : inner(std::make_unique<state>(std::move(settings), std::move(collect), std::move(onUpdate),
                                     metrics, events))
 { }
 
@@ -53,11 +53,11 @@
 
 result<unit> store_relay::start()
 {
-    const auto opened = inner->port.open();
+    const auto opened = inner->socket.open();
     if (!succeeded(opened))
         return errorOf(opened);
-    inner->hearing = startNamed("store_news_hearing", [this] { inner->hearOn(); });
-    inner->telling = startNamed("store_news_telling", [this] { inner->tellOn(); });
+    inner->receiveThread = startNamed("store_news_hearing", [this] { inner->receiveLoop(); });
+    inner->sendThread = startNamed("store_news_telling", [this] { inner->sendLoop(); });
     return unit{};
 }
 
@@ -65,7 +65,7 @@
 {
     inner->stopping.raise();
     wake();
-    for (std::thread *one : {&inner->telling, &inner->hearing}) {
+    for (std::thread *one : {&inner->sendThread, &inner->receiveThread}) {
         if (one->joinable())
             one->join();
     }
@@ -86,58 +86,58 @@
 void store_relay::wake()
 {
     const std::lock_guard lock(inner->guard);
-    inner->isWoken = true;
+    inner->isWakeRequested = true;
     inner->changed.notify_all();
 }
 
-/// Each turn is collected anew, so that one that failed is made up for by the next.
-void store_relay::state::tellOn()
+/// Each iteration collects its update anew, so that the next one makes up for one that failed.
+void store_relay::state::sendLoop()
 {
     while (!stopping.isRaised()) {
-        if (!contained(faults, [this] { tell(); }))
+        if (!contained(faults, [this] { sendOnce(); }))
             waitForSocket(-1, 0, socket_clock::now() + config::failedStepPause,
                           stopping.descriptorNumber());
     }
 }
 
-void store_relay::state::tell()
+void store_relay::state::sendOnce()
 {
-    const relay_turn turn = collect();
+    const relay_turn iteration = collect();
     std::unique_lock lock(guard);
-    if (turn.news) {
+    if (iteration.news) {
         const std::vector<endpoint> to = peers;
         lock.unlock();
-        port.send(to, encode(*turn.news));
+        socket.send(to, encode(*iteration.news));
         lock.lock();
     }
-    changed.wait_for(lock, turn.wait, [this] { return isWoken; });
-    isWoken = false;
+    changed.wait_for(lock, iteration.wait, [this] { return isWakeRequested; });
+    isWakeRequested = false;
 }
 
-void store_relay::state::hearOn()
+void store_relay::state::receiveLoop()
 {
     while (!stopping.isRaised()) {
-        waitForSocket(port.descriptorNumber(), POLLIN,
+        waitForSocket(socket.descriptorNumber(), POLLIN,
                       socket_clock::now() + config::storeNewsIdleTime, stopping.descriptorNumber());
-        const bool isDone = contained(faults, [this] {
-            port.receive([this](std::uint64_t sender, std::string_view payload) {
-                return hear(sender, payload);
+        const bool isHandled = contained(faults, [this] {
+            socket.receive([this](std::uint64_t sender, std::string_view payload) {
+                return receive(sender, payload);
             });
         });
-        if (!isDone)
+        if (!isHandled)
             waitForSocket(-1, 0, socket_clock::now() + config::failedStepPause,
                           stopping.descriptorNumber());
     }
 }
 
-/// News that can't be taken are lost like any datagram: the sender's next ones repeat them. There
-/// is no pause, or those of other senders would wait.
-bool store_relay::state::hear(std::uint64_t sender, std::string_view payload)
+/// An update that the callback fails to handle counts as lost; the sender's next updates repeat
+/// it. No pause follows, because it would delay updates from other senders.
+bool store_relay::state::receive(std::uint64_t sender, std::string_view payload)
 {
-    const auto news = decodeStoreNews(payload);
-    if (!succeeded(news))
+    const auto update = decodeStoreNews(payload);
+    if (!succeeded(update))
         return false;
-    return contained(faults, [&] { onNews(sender, valueOf(news)); });
+    return contained(faults, [&] { onUpdate(sender, valueOf(update)); });
 }
 
 } // namespace poplarspool::peer
--- a/tests/peer/calls_test.cpp
+++ b/tests/peer/calls_test.cpp
@@ -17,14 +17,14 @@
 
 namespace {
 
-constexpr milliseconds safety = std::chrono::seconds(30);
+constexpr milliseconds testTimeout = std::chrono::seconds(30);
 const std::string secret = "secret of all";
 const call_identity serverIdentity{{"server"}, 7, secret};
 const call_identity clientIdentity{{"client"}, 3, secret};
 
-socket_deadline soon()
+socket_deadline testDeadline()
 {
-    return socket_clock::now() + safety;
+    return socket_clock::now() + testTimeout;
 }
 
 struct fixture
@@ -35,7 +35,7 @@
     std::uint64_t count(const std::string &name) { return metrics.counterOf(name).get(); }
 };
 
-/// A peer whose every byte the test decides.
+/// A TCP server that runs a script of the test on the first connection.
 class scripted_peer
 {
 public:
@@ -67,41 +67,43 @@
 
 const frame_key key = deriveFrameKey(secret);
 
-void say(int fd, const frame_header &header, std::string_view payload)
+void sendFrame(int fd, const frame_header &header, std::string_view payload)
 {
-    sendAll(fd, sealFrame(key, header, payload), soon(), -1);
+    sendAll(fd, sealFrame(key, header, payload), testDeadline(), -1);
 }
 
-frame_header hear(int fd)
+frame_header receiveHeader(int fd)
 {
-    return std::get<stream_frame>(readFrame(fd, key, config::maxPeerCallBytes, soon(), -1)).header;
+    return std::get<stream_frame>(readFrame(fd, key, config::maxPeerCallBytes, testDeadline(), -1))
+            .header;
 }
 
-/// @returns Header of the client's call, after both hellos.
+/// Exchanges the hellos.
+/// @returns Header of the client's call.
 frame_header acceptCall(int fd)
 {
     frame_header hello;
     hello.kind = frame_kind::Hello;
     hello.sender = senderNumber(serverIdentity.instance);
-    hello.senderLife = serverIdentity.life;
+    hello.senderIncarnation = serverIdentity.life;
     hello.counter = 1000;
-    say(fd, hello, {});
-    hear(fd);
-    return hear(fd);
+    sendFrame(fd, hello, {});
+    receiveHeader(fd);
+    return receiveHeader(fd);
 }
 
-frame_header replyTo(const frame_header &question)
+frame_header replyTo(const frame_header &request)
 {
     frame_header reply;
     reply.kind = frame_kind::Reply;
     reply.sender = senderNumber(serverIdentity.instance);
-    reply.senderLife = serverIdentity.life;
-    reply.receiverLife = question.senderLife;
-    reply.callId = question.callId;
+    reply.senderIncarnation = serverIdentity.life;
+    reply.receiverIncarnation = request.senderIncarnation;
+    reply.callId = request.callId;
     return reply;
 }
 
-std::string answered(const std::string &text)
+std::string encodedBody(const std::string &text)
 {
     return encodeReply(encode(body_reply{text}));
 }
@@ -111,10 +113,10 @@
     return {{call_kind::Body,
              [&runs](std::string_view payload) -> result<std::string> {
                  ++runs;
-                 const auto question = decode<body_ask>(payload);
-                 if (!succeeded(question))
-                     return errorOf(question);
-                 return encode(body_reply{"body of " + valueOf(question).sha256});
+                 const auto request = decode<body_ask>(payload);
+                 if (!succeeded(request))
+                     return errorOf(request);
+                 return encode(body_reply{"body of " + valueOf(request).sha256});
              }},
             {call_kind::Claim, [](std::string_view) -> result<std::string> {
                  return notRun(error_code::Conflict, "other body", milliseconds(40));
@@ -126,25 +128,25 @@
 class calls_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(calls_test);
-    CPPUNIT_TEST(typedCallsFromManyThreads);
+    CPPUNIT_TEST(concurrentCallsGetTheirOwnReplies);
     CPPUNIT_TEST(errorsKeepCodeAndVerdict);
-    CPPUNIT_TEST(nobodyThereIsNotRun);
-    CPPUNIT_TEST(peerThatStopsAfterTheCallMayHaveRunIt);
-    CPPUNIT_TEST(crossedAnswersAreDropped);
-    CPPUNIT_TEST(lateAnswerDoesNotReachTheNextCall);
-    CPPUNIT_TEST(recordedConnectionIsNotRunAgain);
-    CPPUNIT_TEST(strangerIsTurnedAway);
-    CPPUNIT_TEST(stopInterruptsAnOpenCall);
+    CPPUNIT_TEST(refusedConnectionIsNotRun);
+    CPPUNIT_TEST(callMayHaveRunIfPeerClosesBeforeReply);
+    CPPUNIT_TEST(repliesToOtherCallsAreDropped);
+    CPPUNIT_TEST(lateReplyIsNotGivenToNextCall);
+    CPPUNIT_TEST(replayedConnectionIsRejected);
+    CPPUNIT_TEST(peerWithoutKeyIsRejected);
+    CPPUNIT_TEST(stopCancelsOpenCall);
     CPPUNIT_TEST_SUITE_END();
 
-    void typedCallsFromManyThreads()
+    void concurrentCallsGetTheirOwnReplies()
     {
-        fixture all;
+        fixture context;
         std::atomic<int> runs{0};
-        call_server server({"127.0.0.1", 0}, serverIdentity, echoHandlers(runs), all.metrics,
-                           all.events);
+        call_server server({"127.0.0.1", 0}, serverIdentity, echoHandlers(runs), context.metrics,
+                           context.events);
         const endpoint address = valueOf(server.start());
-        call_client client(clientIdentity, all.metrics, all.events);
+        call_client client(clientIdentity, context.metrics, context.events);
         std::vector<std::thread> threads;
         threads.reserve(8);
         std::atomic<int> right{0};
@@ -153,7 +155,7 @@
                 for (int round = 0; round < 50; ++round) {
                     const std::string name = std::to_string(index * 1000 + round);
                     const auto reply = ask<body_reply>(client, address, call_kind::Body,
-                                                       body_ask{name}, safety);
+                                                       body_ask{name}, testTimeout);
                     if (succeeded(reply) && valueOf(reply).content == "body of " + name)
                         ++right;
                 }
@@ -163,84 +165,86 @@
             thread.join();
         CPPUNIT_ASSERT_EQUAL(400, right.load());
         CPPUNIT_ASSERT_EQUAL(400, runs.load());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), all.count("poplarspool_peer_stray_answers_total"));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(0),
+                             context.count("poplarspool_peer_stray_answers_total"));
     }
 
     void errorsKeepCodeAndVerdict()
     {
-        fixture all;
+        fixture context;
         std::atomic<int> runs{0};
-        call_server server({"127.0.0.1", 0}, serverIdentity, echoHandlers(runs), all.metrics,
-                           all.events);
+        call_server server({"127.0.0.1", 0}, serverIdentity, echoHandlers(runs), context.metrics,
+                           context.events);
         const endpoint address = valueOf(server.start());
-        call_client client(clientIdentity, all.metrics, all.events);
+        call_client client(clientIdentity, context.metrics, context.events);
         const auto refused =
-                ask<claim_reply>(client, address, call_kind::Claim, claim_ask{}, safety);
+                ask<claim_reply>(client, address, call_kind::Claim, claim_ask{}, testTimeout);
         CPPUNIT_ASSERT(errorOf(refused)
                        == notRun(error_code::Conflict, "other body", milliseconds(40)));
         const auto unknown =
-                ask<events_reply>(client, address, call_kind::Events, events_ask{}, safety);
+                ask<events_reply>(client, address, call_kind::Events, events_ask{}, testTimeout);
         CPPUNIT_ASSERT(errorOf(unknown).ran == verdict::NotRun);
         const auto tooLarge = client.call(address, call_kind::Body,
-                                          std::string(config::maxPeerCallBytes, 'x'), safety);
+                                          std::string(config::maxPeerCallBytes, 'x'), testTimeout);
         CPPUNIT_ASSERT(errorOf(tooLarge).ran == verdict::NotRun);
     }
 
-    void nobodyThereIsNotRun()
+    void refusedConnectionIsNotRun()
     {
-        fixture all;
+        fixture context;
         endpoint address;
         {
             const scripted_peer gone([](int) {});
             address = gone.address();
         }
-        call_client client(clientIdentity, all.metrics, all.events);
-        const auto reply = ask<body_reply>(client, address, call_kind::Body, body_ask{"a"}, safety);
+        call_client client(clientIdentity, context.metrics, context.events);
+        const auto reply =
+                ask<body_reply>(client, address, call_kind::Body, body_ask{"a"}, testTimeout);
         CPPUNIT_ASSERT(errorOf(reply).ran == verdict::NotRun);
     }
 
-    void peerThatStopsAfterTheCallMayHaveRunIt()
+    void callMayHaveRunIfPeerClosesBeforeReply()
     {
-        fixture all;
+        fixture context;
         const scripted_peer peer([](int fd) { acceptCall(fd); });
-        call_client client(clientIdentity, all.metrics, all.events);
-        const auto reply =
-                ask<body_reply>(client, peer.address(), call_kind::Body, body_ask{"a"}, safety);
+        call_client client(clientIdentity, context.metrics, context.events);
+        const auto reply = ask<body_reply>(client, peer.address(), call_kind::Body, body_ask{"a"},
+                                           testTimeout);
         CPPUNIT_ASSERT(errorOf(reply).ran == verdict::MayHaveRun);
     }
 
-    /// The caller gets the answer to its own question. Before it come an answer to another call,
-    /// one for an earlier life of the asking process and one from an earlier life of the peer; each
-    /// would look right by its kind alone.
-    void crossedAnswersAreDropped()
+    /// Guards against accepting a reply that belongs to another call. Before the right reply, the
+    /// peer sends one to another call, one for an earlier incarnation of the client and one from
+    /// an earlier incarnation of the peer. All have the right frame kind.
+    void repliesToOtherCallsAreDropped()
     {
-        fixture all;
+        fixture context;
         const scripted_peer peer([](int fd) {
             const frame_header right = replyTo(acceptCall(fd));
             frame_header other = right;
             other.callId = right.callId + 1;
-            say(fd, other, answered("of another call"));
-            frame_header formerUs = right;
-            formerUs.receiverLife = clientIdentity.life - 1;
-            say(fd, formerUs, answered("for a former life"));
+            sendFrame(fd, other, encodedBody("of another call"));
+            frame_header formerClient = right;
+            formerClient.receiverIncarnation = clientIdentity.life - 1;
+            sendFrame(fd, formerClient, encodedBody("for a former incarnation"));
             frame_header formerPeer = right;
-            formerPeer.senderLife = serverIdentity.life - 1;
-            say(fd, formerPeer, answered("of a former life"));
-            say(fd, right, answered("right"));
+            formerPeer.senderIncarnation = serverIdentity.life - 1;
+            sendFrame(fd, formerPeer, encodedBody("of a former incarnation"));
+            sendFrame(fd, right, encodedBody("right"));
         });
-        call_client client(clientIdentity, all.metrics, all.events);
-        const auto reply =
-                ask<body_reply>(client, peer.address(), call_kind::Body, body_ask{"a"}, safety);
+        call_client client(clientIdentity, context.metrics, context.events);
+        const auto reply = ask<body_reply>(client, peer.address(), call_kind::Body, body_ask{"a"},
+                                           testTimeout);
         CPPUNIT_ASSERT_EQUAL(std::string("right"), valueOf(reply).content);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(3), all.count("poplarspool_peer_stray_answers_total"));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(3),
+                             context.count("poplarspool_peer_stray_answers_total"));
     }
 
-    /// The first caller gets "timed out", the second its own answer. The peer answers the first
-    /// call only after its time; that answer must not be the first thing that the second call
-    /// reads.
-    void lateAnswerDoesNotReachTheNextCall()
+    /// The peer replies to the first call only after its timeout. The second call
+    /// must not read that late reply as its own.
+    void lateReplyIsNotGivenToNextCall()
     {
-        fixture all;
+        fixture context;
         std::promise<void> release;
         std::shared_future<void> released = release.get_future().share();
         std::atomic<int> calls{0};
@@ -251,78 +255,80 @@
                          released.wait();
                      return encode(body_reply{std::to_string(number)});
                  }}};
-        call_server server({"127.0.0.1", 0}, serverIdentity, handlers, all.metrics, all.events);
+        call_server server({"127.0.0.1", 0}, serverIdentity, handlers, context.metrics,
+                           context.events);
         const endpoint address = valueOf(server.start());
-        call_client client(clientIdentity, all.metrics, all.events);
+        call_client client(clientIdentity, context.metrics, context.events);
         const auto first =
                 ask<body_reply>(client, address, call_kind::Body, body_ask{"a"}, milliseconds(300));
         CPPUNIT_ASSERT(errorOf(first).code == error_code::TimedOut);
         release.set_value();
         const auto second =
-                ask<body_reply>(client, address, call_kind::Body, body_ask{"b"}, safety);
+                ask<body_reply>(client, address, call_kind::Body, body_ask{"b"}, testTimeout);
         CPPUNIT_ASSERT(succeeded(second));
         CPPUNIT_ASSERT(valueOf(second).content != "1");
     }
 
-    /// Somebody who has recorded a whole connection plays it again. The server speaks first and
-    /// expects its own random number in every frame, so nothing of the recording is run.
-    void recordedConnectionIsNotRunAgain()
+    /// Replays a recorded connection. The server expects frame counters that continue the random
+    /// number in its own hello, so no recorded call may run.
+    void replayedConnectionIsRejected()
     {
-        fixture all;
+        fixture context;
         std::atomic<int> runs{0};
-        call_server server({"127.0.0.1", 0}, serverIdentity, echoHandlers(runs), all.metrics,
-                           all.events);
+        call_server server({"127.0.0.1", 0}, serverIdentity, echoHandlers(runs), context.metrics,
+                           context.events);
         const endpoint address = valueOf(server.start());
-        const auto converse = [&](std::uint64_t counter) {
+        const auto exchange = [&](std::uint64_t counter) {
             const descriptor socket = std::move(valueOf(*connect(address)));
-            const frame_header hello = hear(socket.get());
+            const frame_header hello = receiveHeader(socket.get());
             frame_header call;
             call.kind = frame_kind::Hello;
             call.sender = senderNumber(clientIdentity.instance);
-            call.senderLife = clientIdentity.life;
-            call.receiverLife = hello.senderLife;
+            call.senderIncarnation = clientIdentity.life;
+            call.receiverIncarnation = hello.senderIncarnation;
             call.counter = counter == 0 ? hello.counter + 1 : counter;
             const std::uint64_t used = call.counter;
-            say(socket.get(), call, {});
+            sendFrame(socket.get(), call, {});
             call.kind = frame_kind::Call;
             ++call.counter;
-            say(socket.get(), call, encodeCall(call_kind::Body, encode(body_ask{"a"})));
-            readFrame(socket.get(), key, config::maxPeerCallBytes, soon(), -1);
+            sendFrame(socket.get(), call, encodeCall(call_kind::Body, encode(body_ask{"a"})));
+            readFrame(socket.get(), key, config::maxPeerCallBytes, testDeadline(), -1);
             return used;
         };
-        const std::uint64_t recorded = converse(0);
+        const std::uint64_t recorded = exchange(0);
         CPPUNIT_ASSERT_EQUAL(1, runs.load());
-        converse(recorded);
+        exchange(recorded);
         CPPUNIT_ASSERT_EQUAL(1, runs.load());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1),
-                             all.count("poplarspool_peer_dropped_total{reason=\"replay\"}"));
+                             context.count("poplarspool_peer_dropped_total{reason=\"replay\"}"));
     }
 
-    void strangerIsTurnedAway()
+    void peerWithoutKeyIsRejected()
     {
-        fixture all;
+        fixture context;
         std::atomic<int> runs{0};
-        call_server server({"127.0.0.1", 0}, serverIdentity, echoHandlers(runs), all.metrics,
-                           all.events);
+        call_server server({"127.0.0.1", 0}, serverIdentity, echoHandlers(runs), context.metrics,
+                           context.events);
         const endpoint address = valueOf(server.start());
-        call_client stranger({{"client"}, 3, "another secret"}, all.metrics, all.events);
-        const auto reply =
-                ask<body_reply>(stranger, address, call_kind::Body, body_ask{"a"}, safety);
+        call_client wrongKeyClient({{"client"}, 3, "another secret"}, context.metrics,
+                                   context.events);
+        const auto reply = ask<body_reply>(wrongKeyClient, address, call_kind::Body, body_ask{"a"},
+                                           testTimeout);
         CPPUNIT_ASSERT(errorOf(reply).ran == verdict::NotRun);
 
         const descriptor socket = std::move(valueOf(*connect(address)));
-        hear(socket.get());
-        sendAll(socket.get(), "GET / HTTP/1.1\r\n" + std::string(200, 'x'), soon(), -1);
-        const auto end = readFrame(socket.get(), key, 0, soon(), -1);
+        receiveHeader(socket.get());
+        sendAll(socket.get(), "GET / HTTP/1.1\r\n" + std::string(200, 'x'), testDeadline(), -1);
+        const auto end = readFrame(socket.get(), key, 0, testDeadline(), -1);
         CPPUNIT_ASSERT(std::get<socket_fault>(end) == socket_fault::Closed);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1),
-                             all.count("poplarspool_peer_dropped_total{reason=\"foreign\"}"));
+                             context.count("poplarspool_peer_dropped_total{reason=\"foreign\"}"));
         CPPUNIT_ASSERT_EQUAL(0, runs.load());
     }
 
-    void stopInterruptsAnOpenCall()
+    void stopCancelsOpenCall()
     {
-        fixture all;
+        fixture context;
         std::promise<void> arrived;
         std::promise<void> release;
         const scripted_peer peer([&](int fd) {
@@ -330,9 +336,10 @@
             arrived.set_value();
             release.get_future().wait();
         });
-        call_client client(clientIdentity, all.metrics, all.events);
+        call_client client(clientIdentity, context.metrics, context.events);
         auto reply = std::async(std::launch::async, [&] {
-            return ask<body_reply>(client, peer.address(), call_kind::Body, body_ask{"a"}, safety);
+            return ask<body_reply>(client, peer.address(), call_kind::Body, body_ask{"a"},
+                                   testTimeout);
         });
         arrived.get_future().wait();
         client.stop();
@@ -344,7 +351,7 @@
 
     static std::unique_ptr<result<descriptor>> connect(const endpoint &address)
     {
-        auto socket = std::make_unique<result<descriptor>>(connectTo(address, soon(), -1));
+        auto socket = std::make_unique<result<descriptor>>(connectTo(address, testDeadline(), -1));
         CPPUNIT_ASSERT(succeeded(*socket));
         return socket;
     }
--- a/tests/peer/decoder_test.cpp
+++ b/tests/peer/decoder_test.cpp
@@ -17,9 +17,10 @@
 
 const mono_time now = mono_time{} + std::chrono::hours(1);
 
-/// An item of a vector takes more memory than its least form on the wire, but not much more.
+/// Allowed allocation per byte of payload: an item of a vector takes more memory than its
+/// shortest encoding, by less than this factor.
 constexpr std::size_t memoryPerByte = 48;
-constexpr std::size_t memoryAlways = 4096;
+constexpr std::size_t baseMemory = 4096;
 
 struct sample
 {
@@ -56,30 +57,30 @@
     record.isLeaving = true;
     record.isDead = true;
     record.diedAt = now - milliseconds(77);
-    record.pulse = {12, 40, 3, now - milliseconds(1500)};
+    record.heartbeat = {12, 40, 3, now - milliseconds(1500)};
     gossip_message message;
     message.purpose = gossip_purpose::Page;
     message.page = 17;
     message.records = {record, record};
-    message.pulses = {{99, {5, 41, 0, {}}}, {98, {6, 2, 1000, now}}};
+    message.heartbeats = {{99, {5, 41, 0, {}}}, {98, {6, 2, 1000, now}}};
     message.rumors = {{{"load/r-1", 7, "payload"}, 2, now - milliseconds(20)}};
     return message;
 }
 
-/// The fixed corpus: one message of each kind.
+/// Fixed corpus with one message of each kind.
 std::vector<sample> corpus()
 {
     std::vector<sample> all;
-    all.push_back(sampleOf("watched_ask", watched_ask{300}));
+    all.push_back(sampleOf("watched_request", watched_ask{300}));
     all.push_back(
             sampleOf("watched_reply", watched_reply{9, {{"head", "value", 8}, {"o", "", 9}}}));
-    all.push_back(sampleOf("body_ask", body_ask{std::string(64, 'a')}));
+    all.push_back(sampleOf("body_request", body_ask{std::string(64, 'a')}));
     all.push_back(sampleOf("body_reply", body_reply{std::string(500, 'x')}));
-    all.push_back(sampleOf("claim_ask", claim_ask{"key", "hash", "nonce", {"node-1"}, 1000}));
+    all.push_back(sampleOf("claim_request", claim_ask{"key", "hash", "nonce", {"node-1"}, 1000}));
     all.push_back(sampleOf("claim_reply", claim_reply{"hash", "nonce", {"node-2"}}));
-    all.push_back(sampleOf("answer_ask", answer_ask{"key", "nonce", 500}));
+    all.push_back(sampleOf("answer_request", answer_ask{"key", "nonce", 500}));
     all.push_back(sampleOf("answer_reply", sampleAnswer()));
-    all.push_back(sampleOf("events_ask", events_ask{{"order_sent", "", "r1"}}));
+    all.push_back(sampleOf("events_request", events_ask{{"order_sent", "", "r1"}}));
     all.push_back(sampleOf("events_reply", events_reply{{sampleEvent(), sampleEvent()}}));
     all.push_back({"gossip", encodeGossip(sampleGossip(), now),
                    [](std::string_view payload) { return succeeded(decodeGossip(payload, now)); }});
@@ -93,16 +94,16 @@
     return all;
 }
 
-void decodeWithinBound(const sample &origin, const std::string &payload)
+void assertDecodesWithinMemoryBound(const sample &origin, const std::string &payload)
 {
     const allocation_meter meter;
     origin.decodes(payload);
-    const std::size_t allowed = payload.size() * memoryPerByte + memoryAlways;
+    const std::size_t allowed = payload.size() * memoryPerByte + baseMemory;
     CPPUNIT_ASSERT_MESSAGE(origin.name, meter.bytes() <= allowed);
 }
 
 template <class Message>
-void comesBack(const Message &message)
+void assertRoundTrip(const Message &message)
 {
     const auto outcome = decode<Message>(encode(message));
     CPPUNIT_ASSERT(succeeded(outcome));
@@ -119,23 +120,23 @@
 class decoder_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(decoder_test);
-    CPPUNIT_TEST(whatIsEncodedComesBack);
-    CPPUNIT_TEST(flippedBitsDoNoHarm);
-    CPPUNIT_TEST(everyTruncationFails);
-    CPPUNIT_TEST(bytesLeftOverFail);
-    CPPUNIT_TEST(liesAboutLengthsAllocateNothing);
-    CPPUNIT_TEST(oversizedMessagesAreNotSent);
-    CPPUNIT_TEST(frameComesBack);
-    CPPUNIT_TEST(changedFramesAreNotOpened);
-    CPPUNIT_TEST(replayedCountersAreSeen);
+    CPPUNIT_TEST(messagesRoundTrip);
+    CPPUNIT_TEST(flippedBitsStayWithinMemoryBound);
+    CPPUNIT_TEST(truncatedPayloadsAreRejected);
+    CPPUNIT_TEST(trailingBytesAreRejected);
+    CPPUNIT_TEST(forgedCountsAllocateNothing);
+    CPPUNIT_TEST(oversizedMessagesAreNotEncoded);
+    CPPUNIT_TEST(frameRoundTrips);
+    CPPUNIT_TEST(modifiedFramesAreRejected);
+    CPPUNIT_TEST(replayedCountersAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
-    void whatIsEncodedComesBack()
+    void messagesRoundTrip()
     {
-        comesBack(watched_reply{9, {{"head", "value", 8}, {"o", "", 9}}});
-        comesBack(claim_ask{"key", "hash", "nonce", {"node-1"}, 1000});
-        comesBack(sampleAnswer());
-        comesBack(events_reply{{sampleEvent(), sampleEvent()}});
+        assertRoundTrip(watched_reply{9, {{"head", "value", 8}, {"o", "", 9}}});
+        assertRoundTrip(claim_ask{"key", "hash", "nonce", {"node-1"}, 1000});
+        assertRoundTrip(sampleAnswer());
+        assertRoundTrip(events_reply{{sampleEvent(), sampleEvent()}});
         const auto gossip = decodeGossip(encodeGossip(sampleGossip(), now), now);
         CPPUNIT_ASSERT(succeeded(gossip));
         CPPUNIT_ASSERT(valueOf(gossip) == sampleGossip());
@@ -143,7 +144,7 @@
         CPPUNIT_ASSERT(decodeReply(encodeReply(failure)) == result<std::string>(failure));
     }
 
-    void flippedBitsDoNoHarm()
+    void flippedBitsStayWithinMemoryBound()
     {
         std::mt19937_64 random(11);
         for (const sample &origin : corpus()) {
@@ -152,23 +153,23 @@
                 std::string payload = origin.payload;
                 for (std::uint64_t flips = 1 + random() % 4; flips > 0; --flips)
                     payload[random() % payload.size()] ^= static_cast<char>(1U << random() % 8);
-                decodeWithinBound(origin, payload);
+                assertDecodesWithinMemoryBound(origin, payload);
             }
         }
     }
 
-    void everyTruncationFails()
+    void truncatedPayloadsAreRejected()
     {
         for (const sample &origin : corpus()) {
             for (std::size_t size = 0; size < origin.payload.size(); ++size) {
-                const std::string cut = origin.payload.substr(0, size);
-                CPPUNIT_ASSERT_MESSAGE(origin.name, !origin.decodes(cut));
-                decodeWithinBound(origin, cut);
+                const std::string truncated = origin.payload.substr(0, size);
+                CPPUNIT_ASSERT_MESSAGE(origin.name, !origin.decodes(truncated));
+                assertDecodesWithinMemoryBound(origin, truncated);
             }
         }
     }
 
-    void bytesLeftOverFail()
+    void trailingBytesAreRejected()
     {
         for (const sample &origin : corpus()) {
             if (origin.name != "reply")
@@ -176,32 +177,32 @@
         }
     }
 
-    /// A peer's message of a few bytes claims 2^30 elements. Whoever sizes a container by it ends
-    /// out of memory, with all its callers, long before the message proves too short.
-    void liesAboutLengthsAllocateNothing()
+    /// Guards against allocating by an unchecked count: a message of a few bytes that claims 2^30
+    /// elements would exhaust the memory of the process before the decoder finds it truncated.
+    void forgedCountsAllocateNothing()
     {
-        const std::vector<std::string> lies{std::string("\x80\x80\x80\x80\x04"),
-                                            std::string("\xff\xff\xff\xff\x0f"),
-                                            std::string("\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01"),
-                                            std::string("\xff\xff\x03")};
+        const std::vector<std::string> forgedCounts{
+                std::string("\x80\x80\x80\x80\x04"), std::string("\xff\xff\xff\xff\x0f"),
+                std::string("\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01"),
+                std::string("\xff\xff\x03")};
         for (const sample &origin : corpus()) {
-            for (const std::string &lie : lies) {
+            for (const std::string &forgedCount : forgedCounts) {
                 for (std::size_t place = 0; place < origin.payload.size(); ++place) {
                     std::string payload = origin.payload;
-                    payload.replace(place, 1, lie);
-                    decodeWithinBound(origin, payload);
+                    payload.replace(place, 1, forgedCount);
+                    assertDecodesWithinMemoryBound(origin, payload);
                 }
             }
         }
     }
 
-    void oversizedMessagesAreNotSent()
+    void oversizedMessagesAreNotEncoded()
     {
         CPPUNIT_ASSERT(encode(body_ask{std::string(1000, 'a')}).empty());
         CPPUNIT_ASSERT(!succeeded(decode<body_ask>({})));
     }
 
-    void frameComesBack()
+    void frameRoundTrips()
     {
         const frame_key key = deriveFrameKey("secret");
         const std::string frame = sealFrame(key, sampleHeader(), "hello");
@@ -212,29 +213,29 @@
                              std::string(std::get<opened_frame>(opened).payload));
     }
 
-    void changedFramesAreNotOpened()
+    void modifiedFramesAreRejected()
     {
         const frame_key key = deriveFrameKey("secret");
         const std::string frame = sealFrame(key, sampleHeader(), "hello");
-        const auto isRefused = [&](const std::string &bytes) {
+        const auto isRejected = [&](const std::string &bytes) {
             return std::holds_alternative<frame_fault>(openFrame(key, bytes));
         };
         for (std::size_t bit = 0; bit < frame.size() * 8; ++bit) {
             std::string changed = frame;
             changed[bit / 8] ^= static_cast<char>(1U << bit % 8);
-            CPPUNIT_ASSERT(isRefused(changed));
+            CPPUNIT_ASSERT(isRejected(changed));
         }
         for (std::size_t size = 0; size < frame.size(); ++size)
-            CPPUNIT_ASSERT(isRefused(frame.substr(0, size)));
-        CPPUNIT_ASSERT(isRefused(frame + "x"));
-        CPPUNIT_ASSERT(isRefused(sealFrame(deriveFrameKey("other"), sampleHeader(), "hello")));
+            CPPUNIT_ASSERT(isRejected(frame.substr(0, size)));
+        CPPUNIT_ASSERT(isRejected(frame + "x"));
+        CPPUNIT_ASSERT(isRejected(sealFrame(deriveFrameKey("other"), sampleHeader(), "hello")));
     }
 
-    void replayedCountersAreSeen()
+    void replayedCountersAreRejected()
     {
         replay_guard guard;
-        const auto check = [&](incarnation life, std::uint64_t counter) {
-            return guard.check(1, life, counter, now);
+        const auto check = [&](incarnation senderIncarnation, std::uint64_t counter) {
+            return guard.check(1, senderIncarnation, counter, now);
         };
         CPPUNIT_ASSERT(check(1, 10) == replay_verdict::Fresh);
         CPPUNIT_ASSERT(check(1, 10) == replay_verdict::Seen);
@@ -243,7 +244,7 @@
         CPPUNIT_ASSERT(check(1, 10 + config::replayWindowSize) == replay_verdict::Fresh);
         CPPUNIT_ASSERT(check(1, 9) == replay_verdict::Seen);
         CPPUNIT_ASSERT(check(2, 1) == replay_verdict::Fresh);
-        CPPUNIT_ASSERT(check(1, 5000) == replay_verdict::OldLife);
+        CPPUNIT_ASSERT(check(1, 5000) == replay_verdict::OldIncarnation);
         for (std::uint64_t sender = 0; sender < 3 * config::maxMembers; ++sender)
             guard.check(sender, 1, 1, now);
         CPPUNIT_ASSERT(guard.size() <= 2 * config::maxMembers);
--- a/tests/peer/gossip_test.cpp
+++ b/tests/peer/gossip_test.cpp
@@ -17,11 +17,11 @@
 
 namespace {
 
-constexpr std::chrono::seconds safety(60);
+constexpr std::chrono::seconds testTimeout(60);
 const std::string secret = "secret of all";
 
-/// What the handlers of all instances of a test wake.
-struct wake_up
+/// Notified by the handlers of all instances of a test.
+struct test_signal
 {
     std::mutex mutex;
     std::condition_variable changed;
@@ -36,26 +36,27 @@
     bool wait(Holds holds)
     {
         std::unique_lock lock(mutex);
-        return changed.wait_for(lock, safety, holds);
+        return changed.wait_for(lock, testTimeout, holds);
     }
 };
 
-struct instance_of_test
+struct test_instance
 {
-    instance_of_test(const std::string &name, wake_up &wake)
-        : events(instance_id{name}, systemClock(), 256), talk(settingsOf(name),
-                                                              {[this, &wake](const auto &members) {
-                                                                   throwIfDue(throwingMembers);
-                                                                   toldMembers = members.size();
-                                                                   wake.notify();
-                                                               },
-                                                               [this, &wake](const rumor &) {
-                                                                   throwIfDue(throwingRumors);
-                                                                   wake.notify();
-                                                               }},
-                                                              systemClock(), metrics, events)
+    test_instance(const std::string &name, test_signal &signal)
+        : events(instance_id{name}, systemClock(), 256),
+          service(settingsOf(name),
+                  {[this, &signal](const auto &members) {
+                       throwIfDue(throwingMembers);
+                       reportedMembers = members.size();
+                       signal.notify();
+                   },
+                   [this, &signal](const rumor &) {
+                       throwIfDue(throwingRumors);
+                       signal.notify();
+                   }},
+                  systemClock(), metrics, events)
     {
-        CPPUNIT_ASSERT(succeeded(talk.start()));
+        CPPUNIT_ASSERT(succeeded(service.start()));
     }
 
     static void throwIfDue(std::atomic<int> &left)
@@ -66,24 +67,24 @@
 
     static gossip_settings settingsOf(const std::string &name)
     {
-        gossip_settings choices;
-        choices.self.id = instance_id{name};
-        choices.self.zone = zone_id{"a"};
-        choices.self.peerAddress = {"127.0.0.1", 0};
-        choices.self.life = 1;
-        choices.key = secret;
-        choices.roundTime = milliseconds(10);
-        choices.suspectTime = milliseconds(5000);
-        choices.deadTime = milliseconds(5000);
-        choices.fanout = config::gossipFanout;
-        choices.bytesPerSecond = 1000000;
-        return choices;
+        gossip_settings settings;
+        settings.self.id = instance_id{name};
+        settings.self.zone = zone_id{"a"};
+        settings.self.peerAddress = {"127.0.0.1", 0};
+        settings.self.life = 1;
+        settings.key = secret;
+        settings.roundTime = milliseconds(10);
+        settings.suspectTime = milliseconds(5000);
+        settings.deadTime = milliseconds(5000);
+        settings.fanout = config::gossipFanout;
+        settings.bytesPerSecond = 1000000;
+        return settings;
     }
 
     std::size_t count(member_state state) const
     {
         std::size_t found = 0;
-        for (const policy::member &member : talk.members())
+        for (const policy::member &member : service.members())
             found += member.state == state ? 1 : 0;
         return found;
     }
@@ -94,12 +95,12 @@
                 .get();
     }
 
-    std::atomic<int> throwingMembers{0}; ///< So many of the first lists of members,
-    std::atomic<int> throwingRumors{0}; ///< and of the first rumors, end by an exception.
-    std::atomic<std::size_t> toldMembers{0};
+    std::atomic<int> throwingMembers{0}; ///< Number of first member lists whose handler throws.
+    std::atomic<int> throwingRumors{0}; ///< Number of first rumors whose handler throws.
+    std::atomic<std::size_t> reportedMembers{0};
     metrics_registry metrics;
     journal events;
-    gossip talk;
+    gossip service;
 };
 
 } // namespace
@@ -108,67 +109,69 @@
 {
     CPPUNIT_TEST_SUITE(gossip_test);
     CPPUNIT_TEST(threeInstancesShareMembersVersionsAndRumors);
-    CPPUNIT_TEST(handlersThatThrowEndNoThread);
-    CPPUNIT_TEST(badDatagramsAreDroppedAndCounted);
+    CPPUNIT_TEST(throwingHandlersDoNotEndTheThread);
+    CPPUNIT_TEST(invalidDatagramsAreDroppedAndCounted);
     CPPUNIT_TEST_SUITE_END();
 
     void threeInstancesShareMembersVersionsAndRumors()
     {
-        wake_up wake;
-        instance_of_test a("a", wake);
-        instance_of_test b("b", wake);
-        auto c = std::make_unique<instance_of_test>("c", wake);
-        const endpoint contact = a.talk.members().front().peerAddress;
-        b.talk.setContacts({contact});
-        c->talk.setContacts({contact});
+        test_signal signal;
+        test_instance a("a", signal);
+        test_instance b("b", signal);
+        auto c = std::make_unique<test_instance>("c", signal);
+        const endpoint contact = a.service.members().front().peerAddress;
+        b.service.setContacts({contact});
+        c->service.setContacts({contact});
         const auto allHave = [&](member_state state, std::size_t count) {
             return a.count(state) == count && b.count(state) == count && c->count(state) == count;
         };
-        CPPUNIT_ASSERT(wake.wait([&] { return allHave(member_state::Alive, 3); }));
+        CPPUNIT_ASSERT(signal.wait([&] { return allHave(member_state::Alive, 3); }));
 
-        b.talk.setApplied(42, systemClock().mono());
-        const auto knowsVersion = [](const instance_of_test &at) {
-            return at.talk.members().at(1).appliedVersion == 42;
+        b.service.setApplied(42, systemClock().mono());
+        const auto knowsVersion = [](const test_instance &at) {
+            return at.service.members().at(1).appliedVersion == 42;
         };
-        CPPUNIT_ASSERT(wake.wait([&] { return knowsVersion(a) && knowsVersion(*c); }));
+        CPPUNIT_ASSERT(signal.wait([&] { return knowsVersion(a) && knowsVersion(*c); }));
 
-        const rumor news{"load/r1", 5, "busy"};
-        c->talk.spread(news);
-        const auto knowsRumor = [&](const instance_of_test &at) {
-            return at.talk.rumors() == std::vector<rumor>{news};
+        const rumor item{"load/r1", 5, "busy"};
+        c->service.spread(item);
+        const auto knowsRumor = [&](const test_instance &at) {
+            return at.service.rumors() == std::vector<rumor>{item};
         };
-        CPPUNIT_ASSERT(wake.wait([&] { return knowsRumor(a) && knowsRumor(b); }));
-
-        c->talk.setLeaving();
-        CPPUNIT_ASSERT(wake.wait([&] { return allHave(member_state::Leaving, 1); }));
-        c->talk.stop();
-        CPPUNIT_ASSERT(wake.wait(
-                [&] { return a.talk.members().size() == 2 && b.talk.members().size() == 2; }));
+        CPPUNIT_ASSERT(signal.wait([&] { return knowsRumor(a) && knowsRumor(b); }));
+
+        c->service.setLeaving();
+        CPPUNIT_ASSERT(signal.wait([&] { return allHave(member_state::Leaving, 1); }));
+        c->service.stop();
+        CPPUNIT_ASSERT(signal.wait([&] {
+            return a.service.members().size() == 2 && b.service.members().size() == 2;
+        }));
     }
 
-    void handlersThatThrowEndNoThread()
+    void throwingHandlersDoNotEndTheThread()
     {
-        wake_up wake;
-        instance_of_test a("a", wake);
-        instance_of_test b("b", wake);
+        test_signal signal;
+        test_instance a("a", signal);
+        test_instance b("b", signal);
         a.throwingMembers = 2;
         a.throwingRumors = 1;
-        b.talk.setContacts({a.talk.members().front().peerAddress});
-        CPPUNIT_ASSERT(wake.wait([&] { return a.toldMembers == 2 && b.toldMembers == 2; }));
-        b.talk.spread({"load/r1", 5, "busy"});
-        CPPUNIT_ASSERT(wake.wait([&] { return a.throwingRumors < 1; }));
-        b.talk.spread({"load/r2", 6, "busy"});
-        CPPUNIT_ASSERT(wake.wait([&] { return a.throwingRumors < 0; }));
+        b.service.setContacts({a.service.members().front().peerAddress});
+        CPPUNIT_ASSERT(
+                signal.wait([&] { return a.reportedMembers == 2 && b.reportedMembers == 2; }));
+        b.service.spread({"load/r1", 5, "busy"});
+        CPPUNIT_ASSERT(signal.wait([&] { return a.throwingRumors < 1; }));
+        b.service.spread({"load/r2", 6, "busy"});
+        CPPUNIT_ASSERT(signal.wait([&] { return a.throwingRumors < 0; }));
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, a.events.events({"step_failed", {}, {}}).size());
     }
 
-    /// Strangers write to the port, an old datagram is played again, and a peer's software is
-    /// broken. Nothing of it is decoded or takes effect; each is counted under its reason.
-    void badDatagramsAreDroppedAndCounted()
+    /// Truncated, foreign, forged, replayed and malformed datagrams must have no effect, and
+    /// each must be counted under its reason.
+    void invalidDatagramsAreDroppedAndCounted()
     {
-        wake_up wake;
-        instance_of_test node("a", wake);
-        const numeric_address to = *numericAddressOf(node.talk.members().front().peerAddress);
+        test_signal signal;
+        test_instance node("a", signal);
+        const numeric_address to = *numericAddressOf(node.service.members().front().peerAddress);
         const descriptor socket(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
         const auto send = [&](const std::string &bytes) {
             sendto(socket.get(), bytes.data(), bytes.size(), 0, to.get(), to.size);
@@ -183,11 +186,11 @@
         const frame_key key = deriveFrameKey(secret);
         frame_header header;
         header.sender = senderNumber(record.id);
-        header.senderLife = record.life;
+        header.senderIncarnation = record.life;
         header.counter = 1;
         const std::string good = sealFrame(key, header, payload);
-        frame_header otherLife = header;
-        otherLife.receiverLife = 99;
+        frame_header otherIncarnation = header;
+        otherIncarnation.receiverIncarnation = 99;
         frame_header later = header;
         later.counter = 2;
 
@@ -195,15 +198,15 @@
         send(std::string(200, 'x'));
         send(good.substr(0, good.size() - 1));
         send(sealFrame(deriveFrameKey("guess"), header, payload));
-        send(sealFrame(key, otherLife, payload));
+        send(sealFrame(key, otherIncarnation, payload));
         send(sealFrame(key, later, payload + "left over"));
         send(good);
         send(good);
-        CPPUNIT_ASSERT(wake.wait([&] { return node.talk.members().size() == 2; }));
+        CPPUNIT_ASSERT(signal.wait([&] { return node.service.members().size() == 2; }));
         header.counter = 3;
         message.records.front().isLeaving = true;
         send(sealFrame(key, header, encodeGossip(message, systemClock().mono())));
-        CPPUNIT_ASSERT(wake.wait([&] { return node.count(member_state::Leaving) == 1; }));
+        CPPUNIT_ASSERT(signal.wait([&] { return node.count(member_state::Leaving) == 1; }));
 
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), node.dropped("truncated"));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), node.dropped("foreign"));
--- a/tests/peer/memory_net.h
+++ b/tests/peer/memory_net.h
@@ -13,11 +13,10 @@
 
 namespace poplarspool::peer {
 
-/// Protocol objects joined by function calls, under a time that the test moves on: every run of a
-/// test is the same.
+/// In-memory network of protocol objects with simulated time, so that test runs are deterministic.
 struct memory_net
 {
-    struct place
+    struct net_node
     {
         endpoint address;
         std::uint64_t sender = 0;
@@ -30,62 +29,62 @@
     {
         for (std::size_t index = 0; index < count; ++index)
             add("node-" + std::to_string(index), 1);
-        for (place &node : nodes)
+        for (net_node &node : nodes)
             node.protocol->setContacts({nodes.front().address});
     }
 
-    place &add(const std::string &name, incarnation life)
+    net_node &add(const std::string &name, incarnation nodeIncarnation)
     {
-        gossip_settings choices;
-        choices.self.id = instance_id{name};
-        choices.self.zone = zone_id{"zone-" + std::to_string(nodes.size() % 8)};
+        gossip_settings settings;
+        settings.self.id = instance_id{name};
+        settings.self.zone = zone_id{"zone-" + std::to_string(nodes.size() % 8)};
         const std::string host = "10.0." + std::to_string(nodes.size() / 250) + "."
                 + std::to_string(nodes.size() % 250);
-        choices.self.peerAddress = {host, 7000};
-        choices.self.callerAddress = {host, 8080};
-        choices.self.life = life;
-        choices.roundTime = config::gossipTime;
-        choices.suspectTime = config::suspectTime;
-        choices.deadTime = config::deadTime;
-        choices.fanout = config::gossipFanout;
-        choices.bytesPerSecond = config::gossipBytesPerSecond;
-        place node;
-        node.address = choices.self.peerAddress;
-        node.sender = senderNumber(choices.self.id);
-        node.protocol = std::make_unique<gossip_protocol>(choices, nodes.size() + 1, now);
-        places[node.address] = nodes.size();
+        settings.self.peerAddress = {host, 7000};
+        settings.self.callerAddress = {host, 8080};
+        settings.self.life = nodeIncarnation;
+        settings.roundTime = config::gossipTime;
+        settings.suspectTime = config::suspectTime;
+        settings.deadTime = config::deadTime;
+        settings.fanout = config::gossipFanout;
+        settings.bytesPerSecond = config::gossipBytesPerSecond;
+        net_node node;
+        node.address = settings.self.peerAddress;
+        node.sender = senderNumber(settings.self.id);
+        node.protocol = std::make_unique<gossip_protocol>(settings, nodes.size() + 1, now);
+        indexByAddress[node.address] = nodes.size();
         nodes.push_back(std::move(node));
         return nodes.back();
     }
 
-    void deliver(place &from, std::vector<outgoing> datagrams)
+    void deliver(net_node &from, std::vector<outgoing_datagram> datagrams)
     {
-        const std::uint64_t life = from.protocol->members().self().record.life;
-        for (outgoing &datagram : datagrams) {
+        const std::uint64_t senderIncarnation = from.protocol->members().self().record.life;
+        for (outgoing_datagram &datagram : datagrams) {
             from.bytesSent +=
                     datagram.payload.size() + frameHeaderBytes + config::datagramOverheadBytes;
-            place *to = at(datagram.to);
+            net_node *to = at(datagram.to);
             if (to == nullptr || to->isFrozen || isCut(from, *to))
                 continue;
-            std::vector<outgoing> answers;
-            to->protocol->onDatagram(
-                    {from.address, from.sender, life, datagram.callId, datagram.payload, now}, now,
-                    answers);
+            std::vector<outgoing_datagram> answers;
+            to->protocol->onDatagram({from.address, from.sender, senderIncarnation, datagram.callId,
+                                      datagram.payload, now},
+                                     now, answers);
             deliver(*to, std::move(answers));
         }
     }
 
-    /// One round of everybody.
+    /// Advances the time by one gossip round and runs the round at every node that isn't frozen.
     void step()
     {
         now += config::gossipTime;
-        for (place &node : nodes) {
+        for (net_node &node : nodes) {
             if (!node.isFrozen)
                 deliver(node, node.protocol->onRound(now));
         }
     }
 
-    /// @returns Rounds until it holds; `limit` where it does not.
+    /// @returns Rounds until the condition holds; `limit` if it does not hold by then.
     std::size_t stepUntil(const std::function<bool()> &holds, std::size_t limit = 2000)
     {
         std::size_t rounds = 0;
@@ -96,16 +95,16 @@
         return rounds;
     }
 
-    place *at(const endpoint &address)
+    net_node *at(const endpoint &address)
     {
-        const auto found = places.find(address);
-        return found == places.end() ? nullptr : &nodes[found->second];
+        const auto found = indexByAddress.find(address);
+        return found == indexByAddress.end() ? nullptr : &nodes[found->second];
     }
 
-    /// @returns Whether every one that runs sees `count` members in that state.
-    bool everybodySees(policy::member_state state, std::size_t count) const
+    /// @returns Whether every node that isn't frozen sees `count` members in that state.
+    bool allNodesSee(policy::member_state state, std::size_t count) const
     {
-        for (const place &node : nodes) {
+        for (const net_node &node : nodes) {
             if (node.isFrozen)
                 continue;
             const auto members = node.protocol->listedMembers();
@@ -119,11 +118,10 @@
     }
 
     mono_time now = mono_time{} + std::chrono::hours(1);
-    std::vector<place> nodes;
-    std::map<endpoint, std::size_t> places;
-    std::function<bool(const place &, const place &)> isCut = [](const place &, const place &) {
-        return false;
-    };
+    std::vector<net_node> nodes;
+    std::map<endpoint, std::size_t> indexByAddress;
+    std::function<bool(const net_node &, const net_node &)> isCut =
+            [](const net_node &, const net_node &) { return false; };
 };
 
 } // namespace poplarspool::peer
