--- a/tests/peer/store_relay_test.cpp
+++ b/tests/peer/store_relay_test.cpp
@@ -13,93 +13,94 @@
 
 using namespace std::chrono_literals;
 
-constexpr milliseconds turnTime{20};
+constexpr milliseconds iterationInterval{20};
 
-/// A relay that tells news with its turn as revision, and keeps what it hears.
-struct relay_run
+/// An exchange that sends an update in every iteration and stores what it receives.
+struct test_exchange
 {
-    relay_run(const std::string &name, std::uint16_t port)
-        : relay(
+    test_exchange(const std::string &name, std::uint16_t port)
+        : exchange(
                 {{name}, 1, {"127.0.0.1", port}, "key-of-the-test-fleet"},
-                [this] { return nextTurn(); },
-                [this](std::uint64_t, const store_news &news) { take(news); }, metrics, events)
+                [this] { return nextIteration(); },
+                [this](std::uint64_t, const store_news &update) { onReceived(update); }, metrics,
+                events)
     { }
 
-    relay_turn nextTurn()
+    relay_turn nextIteration()
     {
-        if (++turns <= throwingTurns)
+        if (++iterations <= throwingIterations)
             throw std::length_error("too many");
-        kind_news told;
-        if (turns <= throwingTurns + untoldTurns)
-            told.changes.emplace_back(config::maxChangeBytes + 1, 'a');
-        return {store_news{{told}}, turnTime};
+        kind_news update;
+        if (iterations <= throwingIterations + oversizedIterations)
+            update.changes.emplace_back(config::maxChangeBytes + 1, 'a');
+        return {store_news{{update}}, iterationInterval};
     }
 
-    void take(const store_news &news)
+    void onReceived(const store_news &update)
     {
         const std::lock_guard lock(guard);
-        if (throwingNews-- > 0)
+        if (throwingUpdates-- > 0)
             throw std::length_error("too many");
-        heard = news;
+        received = update;
         changed.notify_all();
     }
 
-    bool hears()
+    bool receivesUpdate()
     {
         std::unique_lock lock(guard);
-        return changed.wait_for(lock, 20s, [this] { return heard.has_value(); });
+        return changed.wait_for(lock, 20s, [this] { return received.has_value(); });
     }
 
     std::size_t failedSteps() const { return events.events({"step_failed", {}, {}}).size(); }
 
-    int turns = 0;
-    int throwingTurns = 0;
-    int untoldTurns = 0; ///< After those that throw; they break a bound.
-    int throwingNews = 0;
+    int iterations = 0;
+    int throwingIterations = 0;
+    int oversizedIterations = 0; ///< Iterations after the throwing ones with oversized updates.
+    int throwingUpdates = 0;
     metrics_registry metrics;
     journal events{{"test"}, systemClock(), 16};
     std::mutex guard;
     std::condition_variable changed;
-    std::optional<store_news> heard;
-    store_relay relay;
+    std::optional<store_news> received;
+    store_relay exchange;
 };
 
 } // namespace
 
-class store_relay_test : public CppUnit::TestFixture
+class store_update_exchange_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(store_relay_test);
-    CPPUNIT_TEST(whatThrowsOrCannotBeToldEndsNoThread);
+    CPPUNIT_TEST_SUITE(store_update_exchange_test);
+    CPPUNIT_TEST(exceptionsAndOversizedUpdatesDoNotEndThreads);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void whatThrowsOrCannotBeToldEndsNoThread()
+    void exceptionsAndOversizedUpdatesDoNotEndThreads()
     {
-        std::unique_ptr<relay_run> first;
-        std::unique_ptr<relay_run> second;
+        std::unique_ptr<test_exchange> first;
+        std::unique_ptr<test_exchange> second;
         bool isStarted = false;
-        // Busy ports are passed over.
+        // Skips ports that are in use.
         for (std::uint16_t port = 23600; port < 23800 && !isStarted; port += 2) {
             const auto other = static_cast<std::uint16_t>(port + 1);
-            first = std::make_unique<relay_run>("a", port);
-            second = std::make_unique<relay_run>("b", other);
-            first->throwingTurns = 2;
-            first->untoldTurns = 2;
-            second->throwingNews = 2;
-            first->relay.setPeers({{"127.0.0.1", other}});
-            isStarted = succeeded(second->relay.start()) && succeeded(first->relay.start());
+            first = std::make_unique<test_exchange>("a", port);
+            second = std::make_unique<test_exchange>("b", other);
+            first->throwingIterations = 2;
+            first->oversizedIterations = 2;
+            second->throwingUpdates = 2;
+            first->exchange.setPeers({{"127.0.0.1", other}});
+            isStarted = succeeded(second->exchange.start()) && succeeded(first->exchange.start());
         }
         CPPUNIT_ASSERT(isStarted);
-        CPPUNIT_ASSERT(second->hears());
-        first->relay.stop();
+        CPPUNIT_ASSERT(second->receivesUpdate());
+        first->exchange.stop();
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, first->failedSteps());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, second->failedSteps());
-        counter &untold =
+        counter &notSent =
                 first->metrics.counterOf("poplarspool_store_news_total{direction=\"untold\"}");
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, untold.get());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, notSent.get());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(store_relay_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(store_update_exchange_test);
 
 } // namespace poplarspool::peer
