--- a/src/peer/gossip_protocol.h
+++ b/src/peer/gossip_protocol.h
@@ -36,7 +36,8 @@
     mono_time arrivedAt{}; ///< Never later than the real arrival.
 };
 
-/// Page number in a Join that requests no page: the reply holds only the receiver's own record.
+/// Page number in a Join that requests no page: the reply holds one record, that of the subject or
+/// else the receiver's own.
 inline constexpr std::uint32_t noPage = UINT32_MAX;
 
 /// The gossip protocol of one instance as a single-threaded state machine, without sockets,
@@ -57,6 +58,7 @@
     /// Runs one round: failure detection, updates, anti-entropy.
     /// @returns The datagrams to send.
     std::vector<outgoing_datagram> onRound(mono_time now);
+    /// Handles a received datagram.
     /// @param answers The datagrams to send in response are appended here.
     /// @returns False if the datagram can't be decoded.
     bool onDatagram(const incoming_datagram &datagram, mono_time now,
--- a/src/peer/prober.cpp
+++ b/src/peer/prober.cpp
@@ -14,8 +14,8 @@
 
 } // namespace
 
-prober::prober(milliseconds suspectTime, std::uint64_t seed)
-    : suspectTime(suspectTime), random(seed), lastCallId(random())
+prober::prober(milliseconds probeTimeout, std::uint64_t seed)
+    : probeTimeout(probeTimeout), random(seed), lastCallId(random())
 { }
 
 std::uint64_t prober::open(open_probe probe)
@@ -57,7 +57,7 @@
 {
     std::vector<std::pair<std::uint64_t, open_probe>> result;
     for (auto &[callId, probe] : probes) {
-        if (probe.isIndirect || now - probe.sentAt < suspectTime / indirectProbeDivisor)
+        if (probe.isIndirect || now - probe.sentAt < probeTimeout / indirectProbeDivisor)
             continue;
         probe.isIndirect = true;
         result.emplace_back(callId, probe);
@@ -69,13 +69,13 @@
 {
     std::vector<open_probe> result;
     std::erase_if(probes, [&](const auto &entry) {
-        const bool isFailed = now - entry.second.sentAt >= suspectTime;
+        const bool isFailed = now - entry.second.sentAt >= probeTimeout;
         if (isFailed)
             result.push_back(entry.second);
         return isFailed;
     });
     std::erase_if(forwarded,
-                  [&](const auto &entry) { return now - entry.second.sentAt >= suspectTime; });
+                  [&](const auto &entry) { return now - entry.second.sentAt >= probeTimeout; });
     return result;
 }
 
--- a/src/peer/prober.h
+++ b/src/peer/prober.h
@@ -40,7 +40,7 @@
 class prober
 {
 public:
-    prober(milliseconds suspectTime, std::uint64_t seed);
+    prober(milliseconds probeTimeout, std::uint64_t seed);
 
     /// @param candidates Returns the members that are not dead.
     ///                   Called only when a new order starts.
@@ -80,7 +80,7 @@
     void reset();
 
 private:
-    const milliseconds suspectTime;
+    const milliseconds probeTimeout;
     std::mt19937_64 random;
     std::uint64_t lastCallId;
     std::vector<instance_id> order;
--- a/src/peer/rumor_table.cpp
+++ b/src/peer/rumor_table.cpp
@@ -39,7 +39,7 @@
 
 bool rumor_table::merge(const rumor_update &update, mono_time now)
 {
-    if (!isBounded(update.value) || now - update.spreadAt > keepTime || !hasRoom(update.value.key))
+    if (!isBounded(update.value) || now - update.spreadAt > retention || !hasRoom(update.value.key))
         return false;
     const auto [place, isNew] = known.try_emplace(update.value.key, known_rumor{update});
     if (isNew)
@@ -55,7 +55,7 @@
 void rumor_table::expire(mono_time now)
 {
     std::erase_if(known,
-                  [&](const auto &entry) { return now - entry.second.rumor.spreadAt > keepTime; });
+                  [&](const auto &entry) { return now - entry.second.rumor.spreadAt > retention; });
 }
 
 std::vector<known_rumor *> rumor_table::toSend(std::uint32_t limit)
--- a/src/peer/rumor_table.h
+++ b/src/peer/rumor_table.h
@@ -20,7 +20,7 @@
 class rumor_table
 {
 public:
-    explicit rumor_table(milliseconds keepTime) : keepTime(keepTime) { }
+    explicit rumor_table(milliseconds retention) : retention(retention) { }
 
     /// Publishes or renews a rumor of this instance.
     /// @returns False if a newer version is known, a bound is exceeded or the table is full.
@@ -36,7 +36,7 @@
 private:
     bool hasRoom(const std::string &key) const;
 
-    const milliseconds keepTime;
+    const milliseconds retention;
     std::map<std::string, known_rumor> known;
 };
 
