--- a/include/poplarspool/platform/instance_list.h
+++ b/include/poplarspool/platform/instance_list.h
@@ -11,7 +11,7 @@
 
 namespace poplarspool::platform {
 
-/// One line of the platform's list of instances. The list lags.
+/// An entry of the platform's instance list, which is eventually consistent.
 struct listed_instance
 {
     instance_id id;
@@ -22,13 +22,15 @@
     bool operator==(const listed_instance &) const = default;
 };
 
-/// The seam to the instance list.
+/// Interface to the platform's instance list.
 struct instance_list
 {
     std::function<result<std::vector<listed_instance>>()> fetch;
 };
 
+/// @returns A client that reads the list as JSON over HTTP.
+/// @param callTimeout Time limit of one call.
 instance_list httpInstanceList(endpoint address, std::shared_ptr<http_pool> pool,
-                               milliseconds callTime);
+                               milliseconds callTimeout);
 
 } // namespace poplarspool::platform
--- a/include/poplarspool/platform/weight_store.h
+++ b/include/poplarspool/platform/weight_store.h
@@ -11,7 +11,7 @@
 
 namespace poplarspool::platform {
 
-/// What the weight store says of one model version. Engines fetch the weights themselves.
+/// The weight store's metadata of one model version. Engines download the weights themselves.
 struct weight_manifest
 {
     std::string model;
@@ -21,15 +21,18 @@
     bool operator==(const weight_manifest &) const = default;
 };
 
-/// The seam to the weight store, which limits the rate of calls.
+/// Interface to the weight store, which limits the rate of calls.
 struct weight_store
 {
-    /// @returns NotFound, or Throttled with retryAfter.
+    /// @returns The manifest; NotFound where the version does not exist; Throttled with retryAfter
+    ///          above the rate limit.
     std::function<result<weight_manifest>(const std::string &model, const std::string &version)>
             manifest;
 };
 
+/// @returns A client that speaks JSON over HTTP.
+/// @param callTimeout Time limit of one call.
 weight_store httpWeightStore(endpoint address, std::shared_ptr<http_pool> pool,
-                             milliseconds callTime);
+                             milliseconds callTimeout);
 
 } // namespace poplarspool::platform
--- a/src/platform/call_gate.cpp
+++ b/src/platform/call_gate.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Doublings beyond which the back-off stands at its bound anyway.
+/// After this many doublings the back-off has reached its maximum in any case.
 constexpr std::uint32_t maxDoublings = 16;
 
-/// Rounded up, so that a caller that waits so long is not sent away again.
+/// Rounds up, so that a caller that waits this long is not refused again.
 milliseconds roundedUp(std::chrono::duration<double> time)
 {
     return std::chrono::ceil<milliseconds>(time);
@@ -17,55 +17,56 @@
 
 } // namespace
 
-call_gate::call_gate(const object_store::limits &bounds, clock_source clock)
-    : bounds(bounds), clock(std::move(clock)), tokens(bounds.burst), refilledAt(this->clock.mono()),
-      closedUntil(refilledAt), random(std::random_device{}())
+call_limiter::call_limiter(const object_store::limits &bounds, clock_source clock)
+    : bounds(bounds), clock(std::move(clock)), tokens(bounds.burst),
+      lastRefillAt(this->clock.mono()), backoffUntil(lastRefillAt), random(std::random_device{}())
 { }
 
-void call_gate::refill(mono_time now)
+void call_limiter::refill(mono_time now)
 {
-    const std::chrono::duration<double> elapsed = now - refilledAt;
-    refilledAt = now;
+    const std::chrono::duration<double> elapsed = now - lastRefillAt;
+    lastRefillAt = now;
     tokens = std::min(bounds.burst, tokens + elapsed.count() * bounds.callsPerSecond);
 }
 
-std::optional<error> call_gate::backoffRefusal(mono_time now) const
+std::optional<error> call_limiter::backoffRefusal(mono_time now) const
 {
-    if (now >= closedUntil)
+    if (now >= backoffUntil)
         return std::nullopt;
-    return notRun(error_code::Unavailable, "store is failing: backing off",
-                  roundedUp(closedUntil - now));
+    return notRun(error_code::Unavailable, "object store is failing: call refused during back-off",
+                  roundedUp(backoffUntil - now));
 }
 
-std::optional<error> call_gate::budgetRefusal() const
+std::optional<error> call_limiter::budgetRefusal() const
 {
     if (tokens >= 1.0)
         return std::nullopt;
     const std::chrono::duration<double> wait((1.0 - tokens) / bounds.callsPerSecond);
-    return notRun(error_code::Throttled, "budget of store calls is used up", roundedUp(wait));
+    return notRun(error_code::Throttled, "call budget of the object store is exhausted",
+                  roundedUp(wait));
 }
 
-result<call_gate::pass> call_gate::enter()
+result<call_limiter::permit> call_limiter::tryAcquire()
 {
     {
         const std::lock_guard guard(lock);
         if (auto refused = backoffRefusal(clock.mono()))
             return *refused;
     }
-    return enterAfterWait();
+    return tryAcquireAfterWait();
 }
 
-result<call_gate::pass> call_gate::enterAfterWait()
+result<call_limiter::permit> call_limiter::tryAcquireAfterWait()
 {
     const std::lock_guard guard(lock);
     refill(clock.mono());
     if (auto refused = budgetRefusal())
         return *refused;
     tokens -= 1.0;
-    return pass{epoch};
+    return permit{backoffEpoch};
 }
 
-milliseconds call_gate::timeLeft()
+milliseconds call_limiter::timeUntilAllowed()
 {
     const std::lock_guard guard(lock);
     const mono_time now = clock.mono();
@@ -77,36 +78,36 @@
     return milliseconds(0);
 }
 
-bool call_gate::onAnswer()
+bool call_limiter::onAnswer()
 {
     const std::lock_guard guard(lock);
-    const bool wasFailing = failures > 0;
-    failures = 0;
-    closedUntil = refilledAt;
+    const bool wasFailing = consecutiveFailures > 0;
+    consecutiveFailures = 0;
+    backoffUntil = lastRefillAt;
     return wasFailing;
 }
 
-// Full jitter: instances that saw the same outage begin must not all come back at the same moments,
-// which would bring a store that is just recovering down again.
-milliseconds call_gate::drawBackoff(std::optional<milliseconds> askedWait)
+// Full jitter: instances that saw the same outage start must not all retry at the same moments,
+// which would overload a store that is just recovering.
+milliseconds call_limiter::drawBackoff(std::optional<milliseconds> requestedWait)
 {
-    const auto doublings = std::min(failures, maxDoublings);
+    const auto doublings = std::min(consecutiveFailures, maxDoublings);
     const auto ceiling = std::min(bounds.backoffMax, bounds.backoffFirst * (1 << doublings));
     std::uniform_int_distribution<milliseconds::rep> draw(0, ceiling.count());
-    return milliseconds(draw(random)) + askedWait.value_or(milliseconds(0));
+    return milliseconds(draw(random)) + requestedWait.value_or(milliseconds(0));
 }
 
-bool call_gate::onFailure(const pass &entered, std::optional<milliseconds> askedWait)
+bool call_limiter::onFailure(const permit &granted, std::optional<milliseconds> requestedWait)
 {
     const std::lock_guard guard(lock);
-    // Calls that were under way together fail together: one outage must not count once per thread,
-    // or a short one would close the store for the longest back-off.
-    if (entered.epoch != epoch)
+    // Concurrent calls fail together. An outage must not count once per thread, or a short one
+    // would lead to the maximum back-off.
+    if (granted.backoffEpoch != backoffEpoch)
         return false;
-    const bool isFirst = failures == 0;
-    closedUntil = clock.mono() + drawBackoff(askedWait);
-    ++failures;
-    ++epoch;
+    const bool isFirst = consecutiveFailures == 0;
+    backoffUntil = clock.mono() + drawBackoff(requestedWait);
+    ++consecutiveFailures;
+    ++backoffEpoch;
     return isFirst;
 }
 
--- a/src/platform/call_gate.h
+++ b/src/platform/call_gate.h
@@ -9,48 +9,49 @@
 #include <optional>
 #include <random>
 
-/// Lets calls to the store through: a token bucket for the budget, and back-off after failures.
-/// Never waits itself.
+/// Limits calls to the store: a token bucket enforces the call budget, and failures start a
+/// back-off. Never blocks.
 namespace poplarspool::platform {
 
-class call_gate
+class call_limiter
 {
 public:
-    /// Given to a call that was let through, and handed back with its outcome.
-    struct pass
+    /// Issued for an admitted call and passed back with its outcome.
+    struct permit
     {
-        std::uint64_t epoch = 0;
+        std::uint64_t backoffEpoch = 0;
     };
 
-    call_gate(const object_store::limits &bounds, clock_source clock);
+    call_limiter(const object_store::limits &bounds, clock_source clock);
 
-    /// @returns Throttled where the budget is used up, Unavailable while backing off; both NotRun
+    /// @returns Throttled if the budget is exhausted, Unavailable during a back-off; both NotRun
     ///          with retryAfter.
-    result<pass> enter();
-    /// As enter(), for a caller that has waited for timeLeft() by itself.
-    result<pass> enterAfterWait();
-    /// @returns Whether the store was backed off from until now.
+    result<permit> tryAcquire();
+    /// Like tryAcquire(), for callers that have waited for timeUntilAllowed(): ignores the
+    /// back-off.
+    result<permit> tryAcquireAfterWait();
+    /// @returns Whether this answer ends a series of failures.
     bool onAnswer();
-    /// @param askedWait What the store itself asked for.
-    /// @returns Whether this is the first failure since an answer.
-    bool onFailure(const pass &entered, std::optional<milliseconds> askedWait);
-    /// @returns Time until a call may be let through.
-    milliseconds timeLeft();
+    /// @param requestedWait The wait that the store itself requested.
+    /// @returns Whether this is the first failure since the last answer.
+    bool onFailure(const permit &granted, std::optional<milliseconds> requestedWait);
+    /// @returns Time until a call may be admitted.
+    milliseconds timeUntilAllowed();
 
 private:
     void refill(mono_time now);
     std::optional<error> backoffRefusal(mono_time now) const;
     std::optional<error> budgetRefusal() const;
-    milliseconds drawBackoff(std::optional<milliseconds> askedWait);
+    milliseconds drawBackoff(std::optional<milliseconds> requestedWait);
 
     const object_store::limits bounds;
     const clock_source clock;
     std::mutex lock;
     double tokens;
-    mono_time refilledAt;
-    std::uint64_t epoch = 0; ///< Grows with each back-off.
-    std::uint32_t failures = 0;
-    mono_time closedUntil;
+    mono_time lastRefillAt;
+    std::uint64_t backoffEpoch = 0; ///< Incremented with each back-off.
+    std::uint32_t consecutiveFailures = 0;
+    mono_time backoffUntil;
     std::mt19937_64 random;
 };
 
--- a/src/platform/http_object_api.cpp
+++ b/src/platform/http_object_api.cpp
@@ -16,22 +16,22 @@
 
 object objectOf(const json &entry)
 {
-    object out;
-    out.key = entry.at("key").get<std::string>();
-    out.version = entry.at("version").get<std::uint64_t>();
-    out.isDeleted = entry.value("deleted", false);
-    if (!out.isDeleted)
-        out.value = entry.at("value").get<std::string>();
-    return out;
+    object decoded;
+    decoded.key = entry.at("key").get<std::string>();
+    decoded.version = entry.at("version").get<std::uint64_t>();
+    decoded.isDeleted = entry.value("deleted", false);
+    if (!decoded.isDeleted)
+        decoded.value = entry.at("value").get<std::string>();
+    return decoded;
 }
 
 object_list listOf(const json &reply)
 {
-    object_list out;
-    out.version = reply.at("version").get<std::uint64_t>();
+    object_list decoded;
+    decoded.version = reply.at("version").get<std::uint64_t>();
     for (const json &entry : reply.at("objects"))
-        out.objects.push_back(objectOf(entry));
-    return out;
+        decoded.objects.push_back(objectOf(entry));
+    return decoded;
 }
 
 std::uint64_t versionOf(const json &reply)
@@ -39,36 +39,36 @@
     return reply.at("version").get<std::uint64_t>();
 }
 
-unit nothingOf(const json & /*reply*/)
+unit unitOf(const json & /*reply*/)
 {
     return {};
 }
 
-/// One call, its reply read by `read`.
+/// Makes one call and converts its reply with `decode`.
 template <class T>
-result<T> callAndRead(const json_target &target, const http_request &request, call_effect effect,
-                      milliseconds timeLimit, T (*read)(const json &))
+result<T> callAndRead(const platform_endpoint &server, const http_request &request,
+                      call_effect effect, milliseconds timeLimit, T (*decode)(const json &))
 {
-    const auto reply = callJson(target, request, effect, timeLimit);
+    const auto reply = callJson(server, request, effect, timeLimit);
     if (!succeeded(reply))
         return errorOf(reply);
     try {
-        return read(valueOf(reply));
+        return decode(valueOf(reply));
     } catch (const json::exception &) {
-        return brokenReply(request, effect);
+        return malformedReply(request, effect);
     }
 }
 
-http_request getOf(std::string path)
+http_request getRequest(std::string path)
 {
     http_request request;
     request.path = std::move(path);
     return request;
 }
 
-/// @returns BadRequest (NotRun) for a value that is no UTF-8 and so can't be put into JSON.
-result<http_request> putOf(const std::string &key, const std::string &value,
-                           std::uint64_t ifVersion)
+/// @returns BadRequest (NotRun) for a value that is not UTF-8 and cannot be encoded as JSON.
+result<http_request> putRequest(const std::string &key, const std::string &value,
+                                std::uint64_t ifVersion)
 {
     http_request request;
     request.method = "PUT";
@@ -82,7 +82,7 @@
     return request;
 }
 
-http_request removeOf(const std::string &key, std::uint64_t ifVersion)
+http_request removeRequest(const std::string &key, std::uint64_t ifVersion)
 {
     http_request request;
     request.method = "DELETE";
@@ -90,7 +90,7 @@
     return request;
 }
 
-std::string watchPathOf(const std::string &prefix, std::uint64_t after, milliseconds wait)
+std::string watchPath(const std::string &prefix, std::uint64_t after, milliseconds wait)
 {
     return "/watch?prefix=" + percentEncoded(prefix) + "&after=" + std::to_string(after)
             + "&wait_ms=" + std::to_string(wait.count());
@@ -98,31 +98,34 @@
 
 } // namespace
 
-object_api httpObjectApi(endpoint address, std::shared_ptr<http_pool> pool, milliseconds callTime)
+object_api httpObjectApi(endpoint address, std::shared_ptr<http_pool> pool,
+                         milliseconds callTimeout)
 {
-    const json_target store{std::move(address), std::move(pool), callTime};
+    const platform_endpoint store{std::move(address), std::move(pool), callTimeout};
     object_api api;
     api.get = [store](const std::string &key) {
-        return callAndRead(store, getOf(pathOf(key)), call_effect::Read, store.callTime, objectOf);
+        return callAndRead(store, getRequest(pathOf(key)), call_effect::Read, store.callTimeout,
+                           objectOf);
     };
     api.list = [store](const std::string &prefix) {
-        return callAndRead(store, getOf("/list?prefix=" + percentEncoded(prefix)),
-                           call_effect::Read, store.callTime, listOf);
+        return callAndRead(store, getRequest("/list?prefix=" + percentEncoded(prefix)),
+                           call_effect::Read, store.callTimeout, listOf);
     };
     api.put = [store](const std::string &key, const std::string &value,
                       std::uint64_t ifVersion) -> result<std::uint64_t> {
-        const auto request = putOf(key, value, ifVersion);
+        const auto request = putRequest(key, value, ifVersion);
         if (!succeeded(request))
             return errorOf(request);
-        return callAndRead(store, valueOf(request), call_effect::Write, store.callTime, versionOf);
+        return callAndRead(store, valueOf(request), call_effect::Write, store.callTimeout,
+                           versionOf);
     };
     api.remove = [store](const std::string &key, std::uint64_t ifVersion) {
-        return callAndRead(store, removeOf(key, ifVersion), call_effect::Write, store.callTime,
-                           nothingOf);
+        return callAndRead(store, removeRequest(key, ifVersion), call_effect::Write,
+                           store.callTimeout, unitOf);
     };
     api.watch = [store](const std::string &prefix, std::uint64_t after, milliseconds wait) {
-        return callAndRead(store, getOf(watchPathOf(prefix, after, wait)), call_effect::Read,
-                           wait + store.callTime, listOf);
+        return callAndRead(store, getRequest(watchPath(prefix, after, wait)), call_effect::Read,
+                           wait + store.callTimeout, listOf);
     };
     return api;
 }
--- a/src/platform/instance_list.cpp
+++ b/src/platform/instance_list.cpp
@@ -8,49 +8,49 @@
 
 using nlohmann::json;
 
-result<listed_instance> lineFrom(const json &entry)
+result<listed_instance> decodeInstance(const json &entry)
 {
     const auto peer = parseEndpoint(entry.at("peer").get<std::string>());
     if (!succeeded(peer))
         return errorOf(peer);
-    listed_instance line;
-    line.id.text = entry.at("id").get<std::string>();
-    line.zone.text = entry.at("zone").get<std::string>();
-    line.peerAddress = valueOf(peer);
-    line.isLeaving = entry.value("leaving", false);
-    return line;
+    listed_instance instance;
+    instance.id.text = entry.at("id").get<std::string>();
+    instance.zone.text = entry.at("zone").get<std::string>();
+    instance.peerAddress = valueOf(peer);
+    instance.isLeaving = entry.value("leaving", false);
+    return instance;
 }
 
-result<std::vector<listed_instance>> linesFrom(const json &reply, const http_request &request)
+result<std::vector<listed_instance>> decodeInstances(const json &reply, const http_request &request)
 {
-    std::vector<listed_instance> lines;
+    std::vector<listed_instance> instances;
     try {
         for (const json &entry : reply.at("instances")) {
-            auto line = lineFrom(entry);
-            if (!succeeded(line))
-                return brokenReply(request, call_effect::Read);
-            lines.push_back(std::move(valueOf(line)));
+            auto instance = decodeInstance(entry);
+            if (!succeeded(instance))
+                return malformedReply(request, call_effect::Read);
+            instances.push_back(std::move(valueOf(instance)));
         }
     } catch (const json::exception &) {
-        return brokenReply(request, call_effect::Read);
+        return malformedReply(request, call_effect::Read);
     }
-    return lines;
+    return instances;
 }
 
 } // namespace
 
 instance_list httpInstanceList(endpoint address, std::shared_ptr<http_pool> pool,
-                               milliseconds callTime)
+                               milliseconds callTimeout)
 {
-    const json_target target{std::move(address), std::move(pool), callTime};
+    const platform_endpoint server{std::move(address), std::move(pool), callTimeout};
     instance_list list;
-    list.fetch = [target]() -> result<std::vector<listed_instance>> {
+    list.fetch = [server]() -> result<std::vector<listed_instance>> {
         http_request request;
         request.path = "/instances";
-        const auto reply = callJson(target, request, call_effect::Read, target.callTime);
+        const auto reply = callJson(server, request, call_effect::Read, server.callTimeout);
         if (!succeeded(reply))
             return errorOf(reply);
-        return linesFrom(valueOf(reply), request);
+        return decodeInstances(valueOf(reply), request);
     };
     return list;
 }
--- a/src/platform/json_call.cpp
+++ b/src/platform/json_call.cpp
@@ -19,48 +19,49 @@
     return std::chrono::seconds(seconds);
 }
 
-verdict worstOf(call_effect effect)
+verdict failureVerdict(call_effect effect)
 {
     return effect == call_effect::Read ? verdict::NotRun : verdict::MayHaveRun;
 }
 
-error errorOfStatus(const http_request &request, const http_reply &reply, call_effect effect)
+error errorForStatus(const http_request &request, const http_reply &reply, call_effect effect)
 {
-    const std::string what = "platform answered " + std::to_string(reply.status) + " to "
+    const std::string message = "platform answered " + std::to_string(reply.status) + " to "
             + request.method + " " + request.path;
     switch (reply.status) {
     case 400:
-        return notRun(error_code::BadRequest, what);
+        return notRun(error_code::BadRequest, message);
     case 404:
-        return notRun(error_code::NotFound, what);
+        return notRun(error_code::NotFound, message);
     case 409:
-        return notRun(error_code::Conflict, what);
+        return notRun(error_code::Conflict, message);
     case 413:
-        return notRun(error_code::TooLarge, what);
+        return notRun(error_code::TooLarge, message);
     case 429:
-        return notRun(error_code::Throttled, what, retryAfterOf(reply.headers));
+        return notRun(error_code::Throttled, message, retryAfterOf(reply.headers));
     default:
         break;
     }
-    // A 5xx may come from the store itself or from something before it that lost the store's
-    // answer; only the store could say that a write had no effect.
+    // A 5xx may come from the service itself or from a proxy that lost the service's reply; only
+    // the service could confirm that a write had no effect.
     const auto code = reply.status >= 500 ? error_code::Unavailable : error_code::Broken;
-    return error{code, what, worstOf(effect), retryAfterOf(reply.headers)};
+    return error{code, message, failureVerdict(effect), retryAfterOf(reply.headers)};
 }
 
 } // namespace
 
-error brokenReply(const http_request &request, call_effect effect)
+error malformedReply(const http_request &request, call_effect effect)
 {
     return error{error_code::Broken,
-                 "platform's reply to " + request.method + " " + request.path + " is malformed",
-                 worstOf(effect), std::nullopt};
+                 "reply of the platform to " + request.method + " " + request.path
+                         + " is malformed",
+                 failureVerdict(effect), std::nullopt};
 }
 
-result<nlohmann::json> callJson(const json_target &target, const http_request &request,
+result<nlohmann::json> callJson(const platform_endpoint &server, const http_request &request,
                                 call_effect effect, milliseconds timeLimit)
 {
-    const auto reply = target.pool->send(target.address, request, timeLimit);
+    const auto reply = server.pool->send(server.address, request, timeLimit);
     if (!succeeded(reply)) {
         error fault = errorOf(reply);
         if (effect == call_effect::Read)
@@ -68,10 +69,10 @@
         return fault;
     }
     if (valueOf(reply).status != 200)
-        return errorOfStatus(request, valueOf(reply), effect);
+        return errorForStatus(request, valueOf(reply), effect);
     auto parsed = parseJson(valueOf(reply).body);
     if (!parsed.is_object())
-        return brokenReply(request, effect);
+        return malformedReply(request, effect);
     return parsed;
 }
 
--- a/src/platform/json_call.h
+++ b/src/platform/json_call.h
@@ -7,31 +7,31 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-/// What the three parts of the platform have in common on the wire: JSON over HTTP, statuses as
-/// errors.
+/// JSON calls over HTTP, shared by the clients of the platform's three services. HTTP statuses
+/// become errors.
 namespace poplarspool::platform {
 
-/// Where a part of the platform is, and how it is reached.
-struct json_target
+/// Address of one service of the platform, with the connections and the time limit to call it.
+struct platform_endpoint
 {
     endpoint address;
     std::shared_ptr<http_pool> pool;
-    milliseconds callTime;
+    milliseconds callTimeout;
 };
 
-/// What a failure of a call says about its effect.
+/// Whether a failed call can have had an effect.
 enum class call_effect {
-    Read, ///< Changes nothing, so that every failure is NotRun.
-    Write, ///< May have taken effect unless the platform said that it had not.
+    Read, ///< Changes nothing: each failure is NotRun.
+    Write, ///< May have taken effect, unless the platform replied that it did not.
 };
 
-/// @returns The JSON of a reply with status 200. Other statuses become errors: 404 NotFound,
-///          409 Conflict, 413 TooLarge, 429 Throttled, all NotRun; anything else Unavailable or
-///          Broken.
-result<nlohmann::json> callJson(const json_target &target, const http_request &request,
+/// @returns The JSON object of a reply with status 200. Other statuses become errors:
+///          400 BadRequest, 404 NotFound, 409 Conflict, 413 TooLarge and 429 Throttled are NotRun;
+///          5xx is Unavailable, and any other status is Broken.
+result<nlohmann::json> callJson(const platform_endpoint &server, const http_request &request,
                                 call_effect effect, milliseconds timeLimit);
 
-/// @returns The failure of a reply whose JSON lacks what it must have.
-error brokenReply(const http_request &request, call_effect effect);
+/// @returns The error for a reply that is not the expected JSON.
+error malformedReply(const http_request &request, call_effect effect);
 
 } // namespace poplarspool::platform
--- a/src/platform/weight_store.cpp
+++ b/src/platform/weight_store.cpp
@@ -9,10 +9,10 @@
 
 using nlohmann::json;
 
-/// What a throttled caller waits where the weight store names no time.
-constexpr milliseconds defaultThrottleTime{1000};
+/// Wait after a throttled call whose reply has no Retry-After.
+constexpr milliseconds defaultRetryAfter{1000};
 
-result<weight_manifest> manifestFrom(const json &reply, const http_request &request)
+result<weight_manifest> decodeManifest(const json &reply, const http_request &request)
 {
     try {
         weight_manifest manifest;
@@ -21,27 +21,27 @@
         manifest.bytes = reply.at("bytes").get<std::uint64_t>();
         return manifest;
     } catch (const json::exception &) {
-        return brokenReply(request, call_effect::Read);
+        return malformedReply(request, call_effect::Read);
     }
 }
 
 } // namespace
 
 weight_store httpWeightStore(endpoint address, std::shared_ptr<http_pool> pool,
-                             milliseconds callTime)
+                             milliseconds callTimeout)
 {
-    const json_target target{std::move(address), std::move(pool), callTime};
+    const platform_endpoint server{std::move(address), std::move(pool), callTimeout};
     weight_store store;
-    store.manifest = [target](const std::string &model,
+    store.manifest = [server](const std::string &model,
                               const std::string &version) -> result<weight_manifest> {
         http_request request;
         request.path = "/weights/" + percentEncoded(model) + "/" + percentEncoded(version);
-        const auto reply = callJson(target, request, call_effect::Read, target.callTime);
+        const auto reply = callJson(server, request, call_effect::Read, server.callTimeout);
         if (succeeded(reply))
-            return manifestFrom(valueOf(reply), request);
+            return decodeManifest(valueOf(reply), request);
         error fault = errorOf(reply);
         if (fault.code == error_code::Throttled && !fault.retryAfter)
-            fault.retryAfter = defaultThrottleTime;
+            fault.retryAfter = defaultRetryAfter;
         return fault;
     };
     return store;
--- a/tests/platform/object_store_test.cpp
+++ b/tests/platform/object_store_test.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-const std::string ours = "value+nonce";
+const std::string ownValue = "value+nonce";
 
-/// A store of one object whose answers can be lost and whose requests can be held back.
+/// A store of one object that can lose replies and delay requests.
 struct fake_store
 {
     std::string value;
@@ -23,14 +23,14 @@
     std::uint64_t lastVersion = 10;
     std::uint32_t calls = 0;
     std::function<void()> beforeCall = [] {};
-    /// Given a write that arrives; true: it takes effect and its answer is lost.
-    std::function<bool()> losesAnswer = [] { return false; };
+    /// Called for each write that arrives. If true, the write takes effect and its reply is lost.
+    std::function<bool()> losesReply = [] { return false; };
     bool isDown = false;
 
     result<std::uint64_t> write(const std::string &next, std::uint64_t ifVersion)
     {
         if (version != ifVersion)
-            return notRun(error_code::Conflict, "moved");
+            return notRun(error_code::Conflict, "version mismatch");
         value = next;
         version = ++lastVersion;
         return version;
@@ -41,10 +41,10 @@
         ++calls;
         beforeCall();
         if (isDown)
-            return mayHaveRun(error_code::Broken, "no answer");
+            return mayHaveRun(error_code::Broken, "no reply");
         auto outcome = write(next, ifVersion);
-        if (losesAnswer())
-            return mayHaveRun(error_code::Broken, "answer lost");
+        if (losesReply())
+            return mayHaveRun(error_code::Broken, "reply lost");
         return outcome;
     }
 
@@ -53,7 +53,7 @@
         ++calls;
         beforeCall();
         if (isDown)
-            return notRun(error_code::Broken, "no answer");
+            return notRun(error_code::Broken, "no reply");
         if (version == mustNotExist)
             return notRun(error_code::NotFound, "none");
         return object{key, value, version};
@@ -61,11 +61,11 @@
 
     object_api api()
     {
-        object_api seam;
-        seam.get = [this](const std::string &key) { return get(key); };
-        seam.put = [this](const std::string & /*key*/, const std::string &next,
-                          std::uint64_t ifVersion) { return put(next, ifVersion); };
-        return seam;
+        object_api functions;
+        functions.get = [this](const std::string &key) { return get(key); };
+        functions.put = [this](const std::string & /*key*/, const std::string &next,
+                               std::uint64_t ifVersion) { return put(next, ifVersion); };
+        return functions;
     }
 };
 
@@ -74,18 +74,18 @@
 class object_store_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(object_store_test);
-    CPPUNIT_TEST(budgetRefusesAndRefills);
+    CPPUNIT_TEST(callsAreRefusedUntilBudgetRefills);
     CPPUNIT_TEST(backsOffAfterFailures);
     CPPUNIT_TEST(answeredConflictIsNotRun);
-    CPPUNIT_TEST(lostAnswerOfOwnWriteIsSuccess);
-    CPPUNIT_TEST(lostRequestIsWrittenAgain);
-    CPPUNIT_TEST(lateCopyAndRetryGiveOneWrite);
-    CPPUNIT_TEST(overwrittenAfterLostAnswerMayHaveRun);
-    CPPUNIT_TEST(outageInTheMiddleMayHaveRun);
+    CPPUNIT_TEST(ownWriteWithLostReplySucceeds);
+    CPPUNIT_TEST(lostRequestIsSentAgain);
+    CPPUNIT_TEST(delayedRequestAndRetryWriteOnce);
+    CPPUNIT_TEST(overwriteAfterLostReplyMayHaveRun);
+    CPPUNIT_TEST(outageDuringWriteMayHaveRun);
     CPPUNIT_TEST_SUITE_END();
 
     mono_time now{std::chrono::hours(1)};
-    milliseconds tick{0}; ///< Passes with each look at the clock.
+    milliseconds tick{0}; ///< Advances the clock on each reading.
     clock_source clock{[this] { return now += tick; }, [] { return wall_time{}; }};
     metrics_registry metrics;
     journal events{{"a"}, clock, 64};
@@ -99,9 +99,9 @@
 
     mono_time deadline() const { return now + std::chrono::seconds(5); }
 
-    void loseAnswersOfFirst(std::uint32_t count)
+    void loseFirstReplies(std::uint32_t count)
     {
-        fake.losesAnswer = [count]() mutable { return count > 0 && count-- > 0; };
+        fake.losesReply = [count]() mutable { return count > 0 && count-- > 0; };
     }
 
     std::uint64_t callsOf(const std::string &kind)
@@ -110,7 +110,7 @@
     }
 
 public:
-    void budgetRefusesAndRefills()
+    void callsAreRefusedUntilBudgetRefills()
     {
         object_store store = makeStore(2);
         store.get("k");
@@ -125,14 +125,14 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(3), store.callsMade());
     }
 
-    // The store is down. The caller gets "not run" with a time to come back, at once; the store
-    // gets no call until the back-off is over, so that many callers can't keep it down.
+    // The store is down: calls are refused at once as NotRun with retryAfter, and none is sent
+    // until the back-off ends, so that many callers cannot keep the store overloaded.
     void backsOffAfterFailures()
     {
         object_store store = makeStore();
         fake.isDown = true;
         std::uint32_t refusals = 0;
-        for (int round = 0; round < 50; ++round) {
+        for (int i = 0; i < 50; ++i) {
             const auto outcome = store.get("k");
             if (!errorOf(outcome).retryAfter)
                 continue;
@@ -159,41 +159,41 @@
     {
         object_store store = makeStore();
         fake.write("theirs", mustNotExist);
-        const auto outcome = store.put("k", ours, mustNotExist, deadline());
+        const auto outcome = store.put("k", ownValue, mustNotExist, deadline());
         CPPUNIT_ASSERT(errorOf(outcome).code == error_code::Conflict);
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::NotRun);
     }
 
-    // The write takes effect, its answer is lost. The caller sees a success with the version of
-    // that write, because the object that is read back holds its nonce; nothing is written twice.
-    void lostAnswerOfOwnWriteIsSuccess()
+    // The write takes effect and its reply is lost. The object that is read back holds the writer's
+    // nonce, so that the write succeeds with its version and is not sent twice.
+    void ownWriteWithLostReplySucceeds()
     {
         object_store store = makeStore();
         tick = milliseconds(1);
-        loseAnswersOfFirst(1);
-        const auto outcome = store.put("k", ours, mustNotExist, deadline());
+        loseFirstReplies(1);
+        const auto outcome = store.put("k", ownValue, mustNotExist, deadline());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(11), valueOf(outcome));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(11), fake.lastVersion);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), callsOf("put"));
     }
 
-    // The first request never arrives. The object still has the version that the write needs, so
-    // nothing is decided; the caller sees the success of the second copy.
-    void lostRequestIsWrittenAgain()
+    // The first request never arrives. The object still has the expected version, so that the write
+    // is sent again and succeeds.
+    void lostRequestIsSentAgain()
     {
         object_store store = makeStore();
         tick = milliseconds(1);
         fake.isDown = true;
         fake.beforeCall = [this] { fake.isDown = fake.calls <= 1; };
-        const auto outcome = store.put("k", ours, mustNotExist, deadline());
+        const auto outcome = store.put("k", ownValue, mustNotExist, deadline());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(11), valueOf(outcome));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), callsOf("put"));
     }
 
-    // The first request is held up on its way and arrives between the look that found nothing and
-    // the second copy. The second copy conflicts with the first one; the caller must not be told
-    // of a conflict, because its write stands.
-    void lateCopyAndRetryGiveOneWrite()
+    // The first request is delayed and arrives after the object was read back, but before the
+    // retry. The retry conflicts with it; the caller must not get a conflict, because its write
+    // took effect.
+    void delayedRequestAndRetryWriteOnce()
     {
         object_store store = makeStore();
         tick = milliseconds(1);
@@ -201,39 +201,39 @@
         fake.beforeCall = [this] {
             fake.isDown = fake.calls <= 1;
             if (fake.calls == 3)
-                fake.write(ours, mustNotExist);
+                fake.write(ownValue, mustNotExist);
         };
-        const auto outcome = store.put("k", ours, mustNotExist, deadline());
+        const auto outcome = store.put("k", ownValue, mustNotExist, deadline());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(11), valueOf(outcome));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(11), fake.lastVersion);
     }
 
-    // The write takes effect, its answer is lost, and another writer builds on it before it is
-    // read back. "Not run" would be a lie: the caller hears that it may have run.
-    void overwrittenAfterLostAnswerMayHaveRun()
+    // The write takes effect, its reply is lost, and another writer replaces the object before it
+    // is read back. NotRun would be wrong: the write reports MayHaveRun.
+    void overwriteAfterLostReplyMayHaveRun()
     {
         object_store store = makeStore();
         tick = milliseconds(1);
-        loseAnswersOfFirst(1);
+        loseFirstReplies(1);
         fake.beforeCall = [this] {
             if (fake.calls == 2)
                 fake.write("theirs", 11);
         };
-        const auto outcome = store.put("k", ours, mustNotExist, deadline());
+        const auto outcome = store.put("k", ownValue, mustNotExist, deadline());
         CPPUNIT_ASSERT(errorOf(outcome).code == error_code::Conflict);
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::MayHaveRun);
         CPPUNIT_ASSERT_EQUAL(std::string("theirs"), fake.value);
     }
 
-    // The answer is lost and the store stays away until the deadline. The caller hears that the
-    // write may have run, at the deadline and not later.
-    void outageInTheMiddleMayHaveRun()
+    // The reply is lost and the store stays unreachable until the deadline. The write reports
+    // MayHaveRun at the deadline and not later.
+    void outageDuringWriteMayHaveRun()
     {
         object_store store = makeStore();
         fake.isDown = true;
         tick = milliseconds(20);
         const mono_time end = deadline();
-        const auto outcome = store.put("k", ours, mustNotExist, end);
+        const auto outcome = store.put("k", ownValue, mustNotExist, end);
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::MayHaveRun);
         CPPUNIT_ASSERT(now <= end + milliseconds(100));
     }
--- a/tests/platform/platform_wire_test.cpp
+++ b/tests/platform/platform_wire_test.cpp
@@ -18,26 +18,26 @@
 
 namespace {
 
-constexpr milliseconds safetyTime{10000};
-constexpr milliseconds shortTime{50};
+constexpr milliseconds testTimeout{10000};
+constexpr milliseconds shortTimeout{50};
 
 } // namespace
 
-/// The three clients against the stand-in, over HTTP on loopback.
+/// Tests the three platform clients against the stand-in platform, over HTTP on loopback.
 class platform_wire_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(platform_wire_test);
     CPPUNIT_TEST(writesAreConditional);
-    CPPUNIT_TEST(keysAndValuesPassUnchanged);
-    CPPUNIT_TEST(valuesAreBounded);
-    CPPUNIT_TEST(watchTellsChangesAndRemovals);
-    CPPUNIT_TEST(watchEndsWithoutChange);
-    CPPUNIT_TEST(lostAnswerIsReadBack);
-    CPPUNIT_TEST(outageHasNoEffect);
+    CPPUNIT_TEST(keysAndValuesArePreserved);
+    CPPUNIT_TEST(oversizedValuesAreRejected);
+    CPPUNIT_TEST(watchReportsChangesAndRemovals);
+    CPPUNIT_TEST(watchWithoutChangeTimesOutEmpty);
+    CPPUNIT_TEST(writeWithLostReplyIsReadBack);
+    CPPUNIT_TEST(writeDuringOutageHasNoEffect);
     CPPUNIT_TEST(slowStoreTimesOut);
-    CPPUNIT_TEST(weightsAreThrottled);
+    CPPUNIT_TEST(weightStoreThrottlesCalls);
     CPPUNIT_TEST(instancesAreListed);
-    CPPUNIT_TEST(instanceListLags);
+    CPPUNIT_TEST(instanceListIsDelayed);
     CPPUNIT_TEST_SUITE_END();
 
     metrics_registry metrics;
@@ -46,13 +46,13 @@
     endpoint address;
     object_api api;
 
-    http_reply control(const std::string &path, const std::string &body)
+    http_reply postControl(const std::string &path, const std::string &body)
     {
         http_request request;
         request.method = "POST";
         request.path = path;
         request.body = body;
-        const auto reply = pool->send(address, request, safetyTime);
+        const auto reply = pool->send(address, request, testTimeout);
         CPPUNIT_ASSERT(succeeded(reply));
         CPPUNIT_ASSERT_EQUAL(200, valueOf(reply).status);
         return valueOf(reply);
@@ -72,7 +72,7 @@
         const auto started = platform.start();
         CPPUNIT_ASSERT(succeeded(started));
         address = valueOf(started);
-        api = httpObjectApi(address, pool, safetyTime);
+        api = httpObjectApi(address, pool, testTimeout);
     }
 
     void tearDown() override
@@ -93,7 +93,7 @@
         CPPUNIT_ASSERT(put("a", "3", mustNotExist) > second);
     }
 
-    void keysAndValuesPassUnchanged()
+    void keysAndValuesArePreserved()
     {
         const std::string key = "p/ä ?&%2F=\n/x";
         const std::string value = "{\"quoted\":\"\\u0000\"}\n\ttōtara";
@@ -106,7 +106,7 @@
         CPPUNIT_ASSERT(errorOf(api.put("a", "\xff", 0)).code == error_code::BadRequest);
     }
 
-    void valuesAreBounded()
+    void oversizedValuesAreRejected()
     {
         put("a", std::string(config::maxObjectBytes, 'x'), mustNotExist);
         const auto outcome = api.put("b", std::string(config::maxObjectBytes + 1, 'x'), 0);
@@ -114,41 +114,41 @@
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::NotRun);
     }
 
-    void watchTellsChangesAndRemovals()
+    void watchReportsChangesAndRemovals()
     {
         const auto first = put("w/a", "1", mustNotExist);
         put("x/a", "1", mustNotExist);
-        const auto seen = api.watch("w/", 0, safetyTime);
+        const auto seen = api.watch("w/", 0, testTimeout);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), valueOf(seen).objects.size());
 
         std::thread writer([&] { api.remove("w/a", first); });
-        const auto removed = api.watch("w/", valueOf(seen).version, safetyTime);
+        const auto removed = api.watch("w/", valueOf(seen).version, testTimeout);
         writer.join();
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), valueOf(removed).objects.size());
         CPPUNIT_ASSERT(valueOf(removed).objects.front().isDeleted);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), platform.records().watches);
     }
 
-    void watchEndsWithoutChange()
+    void watchWithoutChangeTimesOutEmpty()
     {
         const auto version = put("x/a", "1", mustNotExist);
-        const auto seen = api.watch("w/", 0, shortTime);
+        const auto seen = api.watch("w/", 0, shortTimeout);
         CPPUNIT_ASSERT(valueOf(seen).objects.empty());
         CPPUNIT_ASSERT_EQUAL(version, valueOf(seen).version);
     }
 
-    // Three writes in a row take effect and lose their answers. The writer sees three successes
-    // and the versions that stand in the store, because each is read back.
-    void lostAnswerIsReadBack()
+    // Three consecutive writes take effect and lose their replies. Each is read back, so that all
+    // three succeed with the versions in the store.
+    void writeWithLostReplyIsReadBack()
     {
         const auto clock = systemClock();
         journal events({"a"}, clock, 64);
         object_store store(api, {1000, 1000, milliseconds(1), milliseconds(2)}, clock, metrics,
                            events);
-        control("/standin/fault", R"({"mode":"lose_answers","count":3})");
+        postControl("/standin/fault", R"({"mode":"lose_answers","count":3})");
         std::uint64_t version = mustNotExist;
         for (const std::string value : {"1", "2", "3", "4"}) {
-            const auto outcome = store.put("a", value, version, clock.mono() + safetyTime);
+            const auto outcome = store.put("a", value, version, clock.mono() + testTimeout);
             CPPUNIT_ASSERT(succeeded(outcome));
             version = valueOf(outcome);
             CPPUNIT_ASSERT(valueOf(api.get("a")) == (object{"a", value, version}));
@@ -158,31 +158,31 @@
                              metrics.counterOf("poplarspool_store_lost_answers_total").get());
     }
 
-    // The store is out: a writer hears that its write may have run, a reader that its call has
-    // not; a waiting watch ends. Once the store is back, the write turns out not to have run.
-    void outageHasNoEffect()
+    // During an outage a write fails with MayHaveRun, a read with NotRun, and a pending watch ends.
+    // After the outage the object does not exist: the write had no effect.
+    void writeDuringOutageHasNoEffect()
     {
-        std::thread breaker([&] { control("/standin/fault", R"({"mode":"outage"})"); });
-        CPPUNIT_ASSERT(errorOf(api.watch("w/", 0, safetyTime)).ran == verdict::NotRun);
-        breaker.join();
+        std::thread faultThread([&] { postControl("/standin/fault", R"({"mode":"outage"})"); });
+        CPPUNIT_ASSERT(errorOf(api.watch("w/", 0, testTimeout)).ran == verdict::NotRun);
+        faultThread.join();
         CPPUNIT_ASSERT(errorOf(api.put("a", "1", 0)).ran == verdict::MayHaveRun);
         CPPUNIT_ASSERT(errorOf(api.get("a")).ran == verdict::NotRun);
-        control("/standin/fault", R"({"mode":"none"})");
+        postControl("/standin/fault", R"({"mode":"none"})");
         CPPUNIT_ASSERT(errorOf(api.get("a")).code == error_code::NotFound);
     }
 
     void slowStoreTimesOut()
     {
         platform.setFault({platform_fault::Slow, 60000});
-        const auto hasty = httpObjectApi(address, pool, shortTime);
-        const auto outcome = hasty.put("a", "1", mustNotExist);
+        const auto impatient = httpObjectApi(address, pool, shortTimeout);
+        const auto outcome = impatient.put("a", "1", mustNotExist);
         CPPUNIT_ASSERT(errorOf(outcome).code == error_code::TimedOut);
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::MayHaveRun);
     }
 
-    void weightsAreThrottled()
+    void weightStoreThrottlesCalls()
     {
-        const auto weights = httpWeightStore(address, pool, safetyTime);
+        const auto weights = httpWeightStore(address, pool, testTimeout);
         const auto manifest = weights.manifest("org/recovery-llm", "1");
         CPPUNIT_ASSERT_EQUAL(std::string("org/recovery-llm"), valueOf(manifest).model);
         CPPUNIT_ASSERT_EQUAL(std::string("1"), valueOf(manifest).version);
@@ -195,20 +195,20 @@
 
     void instancesAreListed()
     {
-        const auto list = httpInstanceList(address, pool, safetyTime);
-        control("/standin/instances",
-                R"({"set":[{"id":"a","zone":"z","peer":"127.0.0.1:7001"},
+        const auto list = httpInstanceList(address, pool, testTimeout);
+        postControl("/standin/instances",
+                    R"({"set":[{"id":"a","zone":"z","peer":"127.0.0.1:7001"},
                            {"id":"b","zone":"z","peer":"127.0.0.1:7002"}]})");
-        control("/standin/instances",
-                R"({"set":[{"id":"a","zone":"z","peer":"127.0.0.1:7001","leaving":true}],
+        postControl("/standin/instances",
+                    R"({"set":[{"id":"a","zone":"z","peer":"127.0.0.1:7001","leaving":true}],
                     "remove":["b"]})");
-        const auto lines = list.fetch();
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), valueOf(lines).size());
+        const auto instances = list.fetch();
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), valueOf(instances).size());
         const listed_instance expected{{"a"}, {"z"}, {"127.0.0.1", 7001}, true};
-        CPPUNIT_ASSERT(valueOf(lines).front() == expected);
+        CPPUNIT_ASSERT(valueOf(instances).front() == expected);
     }
 
-    void instanceListLags()
+    void instanceListIsDelayed()
     {
         using clock_type = standin::lagging_list::clock_type;
         clock_type::time_point now = clock_type::now();
