--- a/tests/adapter/decode_bounds_test.cpp
+++ b/tests/adapter/decode_bounds_test.cpp
@@ -29,32 +29,32 @@
     return made;
 }
 
-/// A table of three routes, of which the second is the given one.
-read_routes readWith(const json &entry)
+/// Decodes a table of three routes, the second of which is the given entry.
+read_routes decodeWith(const json &entry)
 {
     return valueOf(decodeRoutes(specOf({routeEntry("a"), entry, routeEntry("c")})));
 }
 
-json changedEntry(const std::string &key, const json &value)
+json routeWithValue(const std::string &key, const json &value)
 {
     json made = routeEntry("b");
     made[key] = value;
     return made;
 }
 
-milliseconds timeReadFrom(const std::string &number)
+milliseconds decodedTimeLimit(const std::string &number)
 {
-    return readWith(changedEntry("timeoutMs", json::parse(number))).table.routes[1].timeLimit;
+    return decodeWith(routeWithValue("timeoutMs", json::parse(number))).table.routes[1].timeLimit;
 }
 
-std::vector<std::uint32_t> weightsReadFrom(const std::vector<std::string> &numbers)
+std::vector<std::uint32_t> decodedWeights(const std::vector<std::string> &numbers)
 {
     json split = json::array();
     for (const std::string &number : numbers)
         split.push_back({{"service", "s"}, {"weight", json::parse(number)}});
-    const read_routes read = readWith(changedEntry("split", split));
+    const read_routes decoded = decodeWith(routeWithValue("split", split));
     std::vector<std::uint32_t> weights;
-    for (const auto &one : read.table.routes[1].services)
+    for (const auto &one : decoded.table.routes[1].services)
         weights.push_back(one.weight);
     return weights;
 }
@@ -64,21 +64,22 @@
 class decode_bounds_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(decode_bounds_test);
-    CPPUNIT_TEST(aRouteThatCantBeReadHurtsNoOther);
-    CPPUNIT_TEST(aRouteOfNoReadablePlaceTakesWhatIsLeft);
-    CPPUNIT_TEST(aServiceThatCantBeReadHurtsNoOther);
-    CPPUNIT_TEST(configurationsThatSayNothingAreRefused);
-    CPPUNIT_TEST(timesAreHeldToTheirBound);
-    CPPUNIT_TEST(weightsAreSharesWhateverTheirSize);
-    CPPUNIT_TEST(trafficIsSplitByWeightsOfAnySum);
-    CPPUNIT_TEST(countsBeyondTheirTypeAreNotTakenForOthers);
-    CPPUNIT_TEST(emptyNamesOfRunnersNameNobody);
-    CPPUNIT_TEST(tablesOfAnySizeAreRead);
+    CPPUNIT_TEST(unreadableRouteDoesNotAffectOthers);
+    CPPUNIT_TEST(routeWithUnreadableMatchTakesUnmatchedRequests);
+    CPPUNIT_TEST(unreadableServiceDoesNotAffectOthers);
+    CPPUNIT_TEST(configurationsWithoutRequiredValuesAreRejected);
+    CPPUNIT_TEST(timesAreClampedToMaxRouteTime);
+    CPPUNIT_TEST(largeAndFractionalWeightsAreScaled);
+    CPPUNIT_TEST(trafficIsSplitWhenWeightSumExceeds32Bits);
+    CPPUNIT_TEST(countsBeyondTheirTypeAreClamped);
+    CPPUNIT_TEST(runnersWithEmptyNamesAreRejected);
+    CPPUNIT_TEST(tablesOfAnySizeAreDecoded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Its own callers are refused for now: it keeps its place, and has nobody to send to.
-    void aRouteThatCantBeReadHurtsNoOther()
+    /// A route that cannot be decoded keeps its index, host and prefix but has no services, so that
+    /// only its own callers are refused.
+    void unreadableRouteDoesNotAffectOthers()
     {
         const std::vector<std::pair<std::string, json>> faults{
                 {"kind", 1},
@@ -98,51 +99,53 @@
                 {"split", json::parse(R"([{"service":"","weight":1}])")},
                 {"split", json::parse(R"([7])")}};
         for (const auto &[key, value] : faults) {
-            json bad = changedEntry(key, value);
+            json bad = routeWithValue(key, value);
             if (key == "resumable")
                 bad["kind"] = "streaming";
-            const read_routes read = readWith(bad);
-            const std::string shown = key + " " + value.dump();
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(shown, std::size_t{3}, read.table.routes.size());
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(shown, std::size_t{1}, read.refused.size());
-            const std::string &reason = read.refused[0].message;
-            const std::string named = key == "name" ? "route  at place 1:" : "route b at place 1:";
-            CPPUNIT_ASSERT_MESSAGE(reason, reason.starts_with(named));
-            const gateway::route &second = read.table.routes[1];
+            const read_routes decoded = decodeWith(bad);
+            const std::string description = key + " " + value.dump();
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(description, std::size_t{3}, decoded.table.routes.size());
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(description, std::size_t{1}, decoded.refused.size());
+            const std::string &reason = decoded.refused[0].message;
+            const std::string expectedPrefix =
+                    key == "name" ? "route  at place 1:" : "route b at place 1:";
+            CPPUNIT_ASSERT_MESSAGE(reason, reason.starts_with(expectedPrefix));
+            const gateway::route &second = decoded.table.routes[1];
             CPPUNIT_ASSERT(second.host == "h" && second.pathPrefix == "/b/");
             CPPUNIT_ASSERT(second.services.empty() && !second.isUnplaced);
             for (const std::size_t place : {0U, 2U})
-                CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read.table.routes[place].services.size());
+                CPPUNIT_ASSERT_EQUAL(std::size_t{1}, decoded.table.routes[place].services.size());
         }
     }
 
-    /// Nobody can say whose requests it would take: a 404 could be for its callers, and is final.
-    void aRouteOfNoReadablePlaceTakesWhatIsLeft()
+    /// It is unknown which requests such a route would match, so that any request matched by no
+    /// other route may be for it. A 404 is final, and must not be sent to its callers.
+    void routeWithUnreadableMatchTakesUnmatchedRequests()
     {
         json noHost = routeEntry("b");
         noHost.erase("host");
-        for (const json &bad : {noHost, changedEntry("pathPrefix", 1), changedEntry("host", 5),
+        for (const json &bad : {noHost, routeWithValue("pathPrefix", 1), routeWithValue("host", 5),
                                 json(3), json("b"), json(), json::array()}) {
-            const read_routes read = readWith(bad);
-            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read.refused.size());
-            CPPUNIT_ASSERT(read.table.routes[1].isUnplaced);
-            CPPUNIT_ASSERT(read.table.routes[1].services.empty());
+            const read_routes decoded = decodeWith(bad);
+            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, decoded.refused.size());
+            CPPUNIT_ASSERT(decoded.table.routes[1].isUnplaced);
+            CPPUNIT_ASSERT(decoded.table.routes[1].services.empty());
         }
     }
 
-    void aServiceThatCantBeReadHurtsNoOther()
+    void unreadableServiceDoesNotAffectOthers()
     {
         json spec = specOf({routeEntry("a")});
         spec["services"] = json::parse(R"([{"name":"x","engine":{"slots":-1}},{"name":7},3,
             {"name":"y","engine":{"slots":9,"kvCapacity":1e300}}])");
-        const read_routes read = valueOf(decodeRoutes(spec));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, read.refused.size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read.table.services.size());
-        CPPUNIT_ASSERT_EQUAL(9U, read.table.services[0].engine->batch);
+        const read_routes decoded = valueOf(decodeRoutes(spec));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, decoded.refused.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, decoded.table.services.size());
+        CPPUNIT_ASSERT_EQUAL(9U, decoded.table.services[0].engine->batch);
     }
 
-    /// The configuration before stays in force.
-    void configurationsThatSayNothingAreRefused()
+    /// The previous configuration stays in effect.
+    void configurationsWithoutRequiredValuesAreRejected()
     {
         const json good = specOf({routeEntry("a")});
         CPPUNIT_ASSERT(succeeded(decodeRoutes(good)));
@@ -159,59 +162,60 @@
             bad["limits"][key] = -1;
             CPPUNIT_ASSERT_MESSAGE(key, !succeeded(decodeRoutes(bad)));
         }
-        json noneReadable = good;
-        noneReadable["routes"][0]["kind"] = 1;
-        CPPUNIT_ASSERT(!succeeded(decodeRoutes(noneReadable)));
+        json noReadableRoute = good;
+        noReadableRoute["routes"][0]["kind"] = 1;
+        CPPUNIT_ASSERT(!succeeded(decodeRoutes(noReadableRoute)));
     }
 
-    void timesAreHeldToTheirBound()
+    void timesAreClampedToMaxRouteTime()
     {
-        CPPUNIT_ASSERT(timeReadFrom("0") == 0ms && timeReadFrom("1.9") == 1ms);
-        CPPUNIT_ASSERT(timeReadFrom("1500.0") == 1500ms && timeReadFrom("0.2") == 0ms);
-        CPPUNIT_ASSERT(timeReadFrom("86399999") == config::maxRouteTime - 1ms);
-        CPPUNIT_ASSERT(timeReadFrom("86400000") == config::maxRouteTime);
+        CPPUNIT_ASSERT(decodedTimeLimit("0") == 0ms && decodedTimeLimit("1.9") == 1ms);
+        CPPUNIT_ASSERT(decodedTimeLimit("1500.0") == 1500ms && decodedTimeLimit("0.2") == 0ms);
+        CPPUNIT_ASSERT(decodedTimeLimit("86399999") == config::maxRouteTime - 1ms);
+        CPPUNIT_ASSERT(decodedTimeLimit("86400000") == config::maxRouteTime);
         for (const char *huge : {"86400001", "4294967296", "9223372036854775808",
                                  "18446744073709551615", "18446744073709551616", "1e300"})
-            CPPUNIT_ASSERT_MESSAGE(huge, timeReadFrom(huge) == config::maxRouteTime);
+            CPPUNIT_ASSERT_MESSAGE(huge, decodedTimeLimit(huge) == config::maxRouteTime);
     }
 
-    void weightsAreSharesWhateverTheirSize()
+    void largeAndFractionalWeightsAreScaled()
     {
         using weights = std::vector<std::uint32_t>;
-        CPPUNIT_ASSERT(weightsReadFrom({"4294967295", "1"}) == (weights{4294967295, 1}));
-        CPPUNIT_ASSERT(weightsReadFrom({"4294967296", "4294967296"})
+        CPPUNIT_ASSERT(decodedWeights({"4294967295", "1"}) == (weights{4294967295, 1}));
+        CPPUNIT_ASSERT(decodedWeights({"4294967296", "4294967296"})
                        == (weights{1'000'000, 1'000'000}));
-        CPPUNIT_ASSERT(weightsReadFrom({"4294967296", "2147483648"})
+        CPPUNIT_ASSERT(decodedWeights({"4294967296", "2147483648"})
                        == (weights{1'000'000, 500'000}));
-        CPPUNIT_ASSERT(weightsReadFrom({"0.9", "0.1"}) == (weights{1'000'000, 111'111}));
-        CPPUNIT_ASSERT(weightsReadFrom({"90.0", "10"}) == (weights{90, 10}));
-        CPPUNIT_ASSERT(weightsReadFrom({"0", "0"}) == (weights{0, 0}));
-        CPPUNIT_ASSERT(weightsReadFrom({"1e300", "5"}) == (weights{1'000'000, 0}));
+        CPPUNIT_ASSERT(decodedWeights({"0.9", "0.1"}) == (weights{1'000'000, 111'111}));
+        CPPUNIT_ASSERT(decodedWeights({"90.0", "10"}) == (weights{90, 10}));
+        CPPUNIT_ASSERT(decodedWeights({"0", "0"}) == (weights{0, 0}));
+        CPPUNIT_ASSERT(decodedWeights({"1e300", "5"}) == (weights{1'000'000, 0}));
     }
 
-    void trafficIsSplitByWeightsOfAnySum()
+    void trafficIsSplitWhenWeightSumExceeds32Bits()
     {
         gateway::route split;
         split.services = {{{"a"}, UINT32_MAX}, {{"b"}, UINT32_MAX}, {{"c"}, UINT32_MAX}};
         std::map<std::string, int> counts;
-        constexpr std::uint64_t odd = 0x9e3779b97f4a7c15; // Spreads the draws over all numbers.
+        // Spreads the draws over the 64-bit range.
+        constexpr std::uint64_t stride = 0x9e3779b97f4a7c15;
         for (std::uint64_t i = 0; i < 30'000; ++i)
-            ++counts[drawService(split, i * odd).text];
+            ++counts[drawService(split, i * stride).text];
         for (const char *name : {"a", "b", "c"})
             CPPUNIT_ASSERT(counts[name] > 9'000 && counts[name] < 11'000);
     }
 
-    void countsBeyondTheirTypeAreNotTakenForOthers()
+    void countsBeyondTheirTypeAreClamped()
     {
-        const auto ranked = readWith(changedEntry("priority", json::parse("4294967296")));
-        CPPUNIT_ASSERT_EQUAL(UINT32_MAX, ranked.table.routes[1].rank);
-        const auto tried = readWith(changedEntry("attempts", json::parse("4294967297")));
-        CPPUNIT_ASSERT_EQUAL(UINT32_MAX, tried.table.routes[1].maxRunners);
-        CPPUNIT_ASSERT(ranked.refused.empty() && tried.refused.empty());
+        const auto withPriority = decodeWith(routeWithValue("priority", json::parse("4294967296")));
+        CPPUNIT_ASSERT_EQUAL(UINT32_MAX, withPriority.table.routes[1].rank);
+        const auto withAttempts = decodeWith(routeWithValue("attempts", json::parse("4294967297")));
+        CPPUNIT_ASSERT_EQUAL(UINT32_MAX, withAttempts.table.routes[1].maxRunners);
+        CPPUNIT_ASSERT(withPriority.refused.empty() && withAttempts.refused.empty());
     }
 
-    /// A route whose weights are all 0 has no service, and must not find runners of none.
-    void emptyNamesOfRunnersNameNobody()
+    /// A route whose weights are all 0 selects an empty service name, which must match no runner.
+    void runnersWithEmptyNamesAreRejected()
     {
         const json good{{"service", "s"}, {"address", "10.0.0.1:80"}};
         CPPUNIT_ASSERT(succeeded(decodeRunner("i-1", good)));
@@ -221,7 +225,7 @@
         CPPUNIT_ASSERT(!succeeded(decodeRunner("i-1", noService)));
     }
 
-    void tablesOfAnySizeAreRead()
+    void tablesOfAnySizeAreDecoded()
     {
         for (const std::size_t count : {1U, 16U, 255U, 256U, 257U, 400U, 2'000U, 5'000U}) {
             std::vector<json> routes;
@@ -230,10 +234,10 @@
             json spec = specOf(routes);
             for (int i = 1; i < 60; ++i)
                 spec["services"].push_back({{"name", "s" + std::to_string(i)}});
-            const read_routes read = valueOf(decodeRoutes(spec));
-            CPPUNIT_ASSERT_EQUAL(count, read.table.routes.size());
-            CPPUNIT_ASSERT_EQUAL(std::size_t{60}, read.table.services.size());
-            CPPUNIT_ASSERT(read.refused.empty());
+            const read_routes decoded = valueOf(decodeRoutes(spec));
+            CPPUNIT_ASSERT_EQUAL(count, decoded.table.routes.size());
+            CPPUNIT_ASSERT_EQUAL(std::size_t{60}, decoded.table.services.size());
+            CPPUNIT_ASSERT(decoded.refused.empty());
         }
     }
 };
--- a/tests/adapter/decode_test.cpp
+++ b/tests/adapter/decode_test.cpp
@@ -31,17 +31,17 @@
 class decode_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(decode_test);
-    CPPUNIT_TEST(routesSayWhatTheyHold);
-    CPPUNIT_TEST(brokenRoutesNameWhatIsWrong);
-    CPPUNIT_TEST(runnersSayWhatTheyHold);
-    CPPUNIT_TEST(entriesOfOtherWritersNameNobody);
-    CPPUNIT_TEST(instancesSurviveTheStore);
-    CPPUNIT_TEST(leasesSurviveTheStore);
-    CPPUNIT_TEST(reportsAndOrdersSpeakAsEnginesDo);
+    CPPUNIT_TEST(routesAreDecoded);
+    CPPUNIT_TEST(errorOfInvalidRoutesNamesTheKey);
+    CPPUNIT_TEST(runnersAreDecoded);
+    CPPUNIT_TEST(invalidRunnerEntriesAreRejected);
+    CPPUNIT_TEST(instancesRoundTrip);
+    CPPUNIT_TEST(leasesRoundTrip);
+    CPPUNIT_TEST(reportsAndOrdersUseTheEngineFormat);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void routesSayWhatTheyHold()
+    void routesAreDecoded()
     {
         const auto table = valueOf(decodeRoutes(sampleRoutes())).table;
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, table.version);
@@ -51,25 +51,25 @@
         CPPUNIT_ASSERT(table.routes[1].repeats == gateway::repeat_rule::AtMostOnce);
         CPPUNIT_ASSERT_EQUAL(90U, table.routes[1].services[0].weight);
         CPPUNIT_ASSERT_EQUAL(2U, table.routes[1].maxRunners);
-        // A kind that isn't known may run once at most, whatever else the route says.
+        // An unknown kind runs at most once, whatever else the route says.
         CPPUNIT_ASSERT(table.routes[2].repeats == gateway::repeat_rule::AtMostOnce);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{808015}, table.services[0].engine->kvTokens);
         CPPUNIT_ASSERT(!table.services[1].engine);
         CPPUNIT_ASSERT(table.bounds.idleTime == 15s);
     }
 
-    void brokenRoutesNameWhatIsWrong()
+    void errorOfInvalidRoutesNamesTheKey()
     {
-        json broken = sampleRoutes();
-        broken.erase("limits");
-        const auto outcome = decodeRoutes(broken);
+        json invalid = sampleRoutes();
+        invalid.erase("limits");
+        const auto outcome = decodeRoutes(invalid);
         CPPUNIT_ASSERT(errorOf(outcome).message.find("limits") != std::string::npos);
         CPPUNIT_ASSERT(!succeeded(decodeRoutes(json::array())));
     }
 
-    /// Something else writes into the list of runners. Taken for a runner, what it wrote would get
-    /// callers' requests.
-    void entriesOfOtherWritersNameNobody()
+    /// Guards against objects that another writer puts into the list of runners: accepted as a
+    /// runner, such an object would receive callers' requests.
+    void invalidRunnerEntriesAreRejected()
     {
         const json good = json::parse(R"({"service":"llm","address":"10.128.0.9:8080","zone":"a",
             "slots":16,"state":"in_service","stage":"decode","born":1700000000000})");
@@ -85,31 +85,32 @@
             bad[key] = value;
             CPPUNIT_ASSERT_MESSAGE(key + " " + value.dump(), !succeeded(decodeRunner("i-1", bad)));
         }
-        // A stage that has no name here is no fault: such an engine does all the work.
-        json whole = good;
-        whole["stage"] = "everything";
-        CPPUNIT_ASSERT(valueOf(decodeRunner("i-1", whole)).stage == gateway::engine_stage::None);
+        // An unknown stage is no error: such an engine runs prefill and decode.
+        json unknownStage = good;
+        unknownStage["stage"] = "everything";
+        CPPUNIT_ASSERT(valueOf(decodeRunner("i-1", unknownStage)).stage
+                       == gateway::engine_stage::None);
         for (const json &bad : {json(), json(3), json("text"), json::array()})
             CPPUNIT_ASSERT(!succeeded(decodeRunner("i-1", bad)));
     }
 
-    void runnersSayWhatTheyHold()
+    void runnersAreDecoded()
     {
         const json entry = json::parse(R"({"service":"llm","address":"10.128.0.9:8080",
             "zone":"a","slots":128,"state":"draining","stage":"prefill","seq":4})");
-        const auto made = valueOf(decodeRunner("i-1", entry));
-        CPPUNIT_ASSERT(made.isDraining && made.stage == gateway::engine_stage::Prefill);
-        CPPUNIT_ASSERT_EQUAL(std::string("10.128.0.9:8080"), textOf(made.address));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, made.writes);
-        json odd = entry;
-        odd["seq"] = "four";
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, valueOf(decodeRunner("i-1", odd)).writes);
-        const auto plain = decodeRunner("i-2", {{"service", "x"}, {"address", "10.0.0.1:80"}});
-        CPPUNIT_ASSERT(valueOf(plain).stage == gateway::engine_stage::None);
+        const auto decoded = valueOf(decodeRunner("i-1", entry));
+        CPPUNIT_ASSERT(decoded.isDraining && decoded.stage == gateway::engine_stage::Prefill);
+        CPPUNIT_ASSERT_EQUAL(std::string("10.128.0.9:8080"), textOf(decoded.address));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, decoded.writes);
+        json invalidSeq = entry;
+        invalidSeq["seq"] = "four";
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, valueOf(decodeRunner("i-1", invalidSeq)).writes);
+        const auto minimal = decodeRunner("i-2", {{"service", "x"}, {"address", "10.0.0.1:80"}});
+        CPPUNIT_ASSERT(valueOf(minimal).stage == gateway::engine_stage::None);
         CPPUNIT_ASSERT(!succeeded(decodeRunner("i-3", {{"service", "x"}, {"address", "nowhere"}})));
     }
 
-    void instancesSurviveTheStore()
+    void instancesRoundTrip()
     {
         const gateway::listed_gateway self{
                 {"edge-1"}, {"10.0.0.1", 7300}, {"10.0.0.1", 7301}, {"a"}, {}, {{{"i-1"}, 7, 41}}};
@@ -117,22 +118,23 @@
         CPPUNIT_ASSERT(!succeeded(decodeInstance("edge-1", json::object())));
     }
 
-    void leasesSurviveTheStore()
+    void leasesRoundTrip()
     {
         const duties::lease_record lease{{"edge-1"}, 41, {0, 9}};
         CPPUNIT_ASSERT(valueOf(decodeLease(encodeLease(lease), {0, 9})) == lease);
         CPPUNIT_ASSERT(!succeeded(decodeLease(json::object(), {0, 9})));
     }
 
-    void reportsAndOrdersSpeakAsEnginesDo()
+    void reportsAndOrdersUseTheEngineFormat()
     {
-        const gateway::dialect names = platformDialect();
-        CPPUNIT_ASSERT(names.readReport(R"({"stage":"decode","busy":true,"seq":2,"queued":1})")
-                       == (gateway::engine_report{true, 2}));
-        CPPUNIT_ASSERT(!names.readReport("{}"));
-        CPPUNIT_ASSERT(!names.readReport("nonsense"));
+        const gateway::dialect engineDialect = platformDialect();
+        CPPUNIT_ASSERT(
+                engineDialect.readReport(R"({"stage":"decode","busy":true,"seq":2,"queued":1})")
+                == (gateway::engine_report{true, 2}));
+        CPPUNIT_ASSERT(!engineDialect.readReport("{}"));
+        CPPUNIT_ASSERT(!engineDialect.readReport("nonsense"));
         const http_request order =
-                names.orderStage({gateway::engine_stage::Prefill, {"edge-1"}, 41, 2});
+                engineDialect.orderStage({gateway::engine_stage::Prefill, {"edge-1"}, 41, 2});
         CPPUNIT_ASSERT_EQUAL(std::string("POST"), order.method);
         CPPUNIT_ASSERT(json::parse(order.body)
                        == json::parse(R"({"opType":"stage","stage":"prefill","holder":"edge-1",
--- a/tests/adapter/decode_workspaces_test.cpp
+++ b/tests/adapter/decode_workspaces_test.cpp
@@ -23,7 +23,7 @@
     return made;
 }
 
-read_routes readOf(const char *workspaces)
+read_routes decodeWith(const char *workspaces)
 {
     return valueOf(decodeRoutes(configWith(json::parse(workspaces))));
 }
@@ -33,17 +33,17 @@
 class decode_workspaces_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(decode_workspaces_test);
-    CPPUNIT_TEST(workspacesSayWhatTheyHold);
-    CPPUNIT_TEST(withoutThemNobodyNeedsAKey);
-    CPPUNIT_TEST(oneThatCantBeReadHurtsNoOther);
-    CPPUNIT_TEST(noReasonShowsAKey);
-    CPPUNIT_TEST(whatAHeaderCantHoldIsNoName);
+    CPPUNIT_TEST(workspacesAreDecoded);
+    CPPUNIT_TEST(keysAreNotRequiredWithoutWorkspaces);
+    CPPUNIT_TEST(unreadableWorkspaceDoesNotAffectOthers);
+    CPPUNIT_TEST(errorMessagesContainNoKeys);
+    CPPUNIT_TEST(namesInvalidInHeadersAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void workspacesSayWhatTheyHold()
+    void workspacesAreDecoded()
     {
-        const auto table = readOf(R"([{"name":"a","apiKeys":["k1","k2"],"priority":1},
+        const auto table = decodeWith(R"([{"name":"a","apiKeys":["k1","k2"],"priority":1},
             {"name":"\u0c15\u0c4a","apiKeys":[]}])")
                                    .table;
         CPPUNIT_ASSERT(table.needsKeys && !table.hasUnreadKeys);
@@ -52,40 +52,40 @@
         CPPUNIT_ASSERT(!table.routes[0].isAnonymous && table.routes[1].isAnonymous);
     }
 
-    void withoutThemNobodyNeedsAKey()
+    void keysAreNotRequiredWithoutWorkspaces()
     {
         CPPUNIT_ASSERT(
                 !valueOf(decodeRoutes(configWith(json(json::value_t::discarded)))).table.needsKeys);
-        CPPUNIT_ASSERT(readOf("[]").table.needsKeys);
+        CPPUNIT_ASSERT(decodeWith("[]").table.needsKeys);
     }
 
-    /// Guards against one bad entry that locks all callers out, and against a final refusal of
-    /// callers whose keys stand in it.
-    void oneThatCantBeReadHurtsNoOther()
+    /// Guards against one invalid entry that locks out all callers, and against a final refusal of
+    /// callers whose keys are in that entry.
+    void unreadableWorkspaceDoesNotAffectOthers()
     {
-        const auto read = readOf(R"([7,{"name":"a","apiKeys":["k1",4]},{"name":"b"},
+        const auto decoded = decodeWith(R"([7,{"name":"a","apiKeys":["k1",4]},{"name":"b"},
             {"name":"c","apiKeys":["k3"]}])");
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, read.table.workspaces.size());
-        CPPUNIT_ASSERT(read.table.hasUnreadKeys);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, read.refused.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, decoded.table.workspaces.size());
+        CPPUNIT_ASSERT(decoded.table.hasUnreadKeys);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, decoded.refused.size());
     }
 
-    /// Guards against keys in the log.
-    void noReasonShowsAKey()
+    /// The messages are logged: guards against keys in the log.
+    void errorMessagesContainNoKeys()
     {
-        const auto read = readOf(R"([{"name":"a","apiKeys":"secret-1"},{"name":7,
+        const auto decoded = decodeWith(R"([{"name":"a","apiKeys":"secret-1"},{"name":7,
             "apiKeys":["secret-2"]},"secret-3",{"name":"c","apiKeys":[["secret-4"]]}])");
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, read.refused.size());
-        for (const error &one : read.refused)
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, decoded.refused.size());
+        for (const error &one : decoded.refused)
             CPPUNIT_ASSERT_MESSAGE(one.message, one.message.find("secret") == std::string::npos);
     }
 
-    /// Guards against a name that ends a header and begins another one.
-    void whatAHeaderCantHoldIsNoName()
+    /// Guards against header injection through the name of a workspace.
+    void namesInvalidInHeadersAreRejected()
     {
-        const auto read = readOf(R"([{"name":"a\r\nX: y","apiKeys":["k1"]},
+        const auto decoded = decodeWith(R"([{"name":"a\r\nX: y","apiKeys":["k1"]},
             {"name":"","apiKeys":["k2"]}])");
-        CPPUNIT_ASSERT(read.table.workspaces.empty() && read.table.hasUnreadKeys);
+        CPPUNIT_ASSERT(decoded.table.workspaces.empty() && decoded.table.hasUnreadKeys);
     }
 };
 
--- a/tests/adapter/duty_client_test.cpp
+++ b/tests/adapter/duty_client_test.cpp
@@ -17,7 +17,7 @@
     return "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 }
 
-struct world
+struct client_fixture
 {
     mono_time now{std::chrono::hours(1)};
     clock_source clock{[this] { return now; }, [] { return wall_time{}; }};
@@ -34,49 +34,49 @@
 class duty_client_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(duty_client_test);
-    CPPUNIT_TEST(aReportNamesHolderAndFence);
-    CPPUNIT_TEST(whatIsNotTakenIsAnError);
-    CPPUNIT_TEST(nothingIsSentAfterTheTerm);
-    CPPUNIT_TEST(aCallWithoutAnswerIsReset);
+    CPPUNIT_TEST(usageReportHasHolderAndFencingToken);
+    CPPUNIT_TEST(rejectedReportIsAnError);
+    CPPUNIT_TEST(nothingIsSentAfterTheLeaseEnds);
+    CPPUNIT_TEST(unansweredCallIsReset);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void aReportNamesHolderAndFence()
+    void usageReportHasHolderAndFencingToken()
     {
         scripted_runner platform({{replyOf("200 OK")}});
-        world test;
-        CPPUNIT_ASSERT(succeeded(test.report(platform)));
-        const std::string seen = platform.requests()[0];
-        CPPUNIT_ASSERT(seen.starts_with("POST /usage HTTP/1.1\r\n"));
-        CPPUNIT_ASSERT(seen.find("X-Duty-Holder: me\r\n") != std::string::npos);
-        CPPUNIT_ASSERT(seen.find("X-Fencing-Token: 12\r\n") != std::string::npos);
+        client_fixture fixture;
+        CPPUNIT_ASSERT(succeeded(fixture.report(platform)));
+        const std::string request = platform.requests()[0];
+        CPPUNIT_ASSERT(request.starts_with("POST /usage HTTP/1.1\r\n"));
+        CPPUNIT_ASSERT(request.find("X-Duty-Holder: me\r\n") != std::string::npos);
+        CPPUNIT_ASSERT(request.find("X-Fencing-Token: 12\r\n") != std::string::npos);
     }
 
-    void whatIsNotTakenIsAnError()
+    void rejectedReportIsAnError()
     {
         scripted_runner platform({{replyOf("429 Too Many Requests")},
                                   {replyOf("409 Conflict")},
                                   {replyOf("503 Service Unavailable")}});
-        world test;
-        CPPUNIT_ASSERT(errorOf(test.report(platform)).code == error_code::Throttled);
-        CPPUNIT_ASSERT(errorOf(test.report(platform)).code == error_code::Conflict);
-        CPPUNIT_ASSERT(errorOf(test.report(platform)).code == error_code::Unavailable);
+        client_fixture fixture;
+        CPPUNIT_ASSERT(errorOf(fixture.report(platform)).code == error_code::Throttled);
+        CPPUNIT_ASSERT(errorOf(fixture.report(platform)).code == error_code::Conflict);
+        CPPUNIT_ASSERT(errorOf(fixture.report(platform)).code == error_code::Unavailable);
     }
 
-    void nothingIsSentAfterTheTerm()
+    void nothingIsSentAfterTheLeaseEnds()
     {
         scripted_runner platform({});
-        world test;
-        test.now += 1500ms;
-        CPPUNIT_ASSERT(errorOf(test.report(platform)).ran == verdict::NotRun);
+        client_fixture fixture;
+        fixture.now += 1500ms;
+        CPPUNIT_ASSERT(errorOf(fixture.report(platform)).ran == verdict::NotRun);
     }
 
-    /// What is still queued would arrive in another holder's term.
-    void aCallWithoutAnswerIsReset()
+    /// Guards against a request that is still queued and arrives in the next holder's term.
+    void unansweredCallIsReset()
     {
         scripted_runner platform({{"", script_end::Stay}});
-        world test;
-        CPPUNIT_ASSERT(errorOf(test.report(platform)).ran == verdict::MayHaveRun);
+        client_fixture fixture;
+        CPPUNIT_ASSERT(errorOf(fixture.report(platform)).ran == verdict::MayHaveRun);
         while (!platform.wasLeft())
             std::this_thread::sleep_for(1ms);
     }
--- a/tests/adapter/odd_numbers_test.cpp
+++ b/tests/adapter/odd_numbers_test.cpp
@@ -15,8 +15,8 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-/// Routes in which one number is replaced.
-json routesWith(const std::string &place, const json &number)
+/// @param pointer JSON pointer to the number that is replaced.
+json routesWith(const std::string &pointer, const json &number)
 {
     json spec = json::parse(R"({"version":7,
         "routes":[{"host":"h","pathPrefix":"/a/","kind":"idempotent","timeoutMs":3000,
@@ -25,86 +25,89 @@
         "services":[{"name":"s","engine":{"slots":8,"kvCapacity":10,"kvTokenBytes":10}}],
         "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,
                   "idleTimeoutMs":15000}})");
-    spec[json::json_pointer(place)] = number;
+    spec[json::json_pointer(pointer)] = number;
     return spec;
 }
 
-constexpr std::array places{"/version",
-                            "/routes/0/timeoutMs",
-                            "/routes/0/targetLatencyMs",
-                            "/routes/0/priority",
-                            "/routes/0/attempts",
-                            "/routes/0/split/0/weight",
-                            "/services/0/engine/slots",
-                            "/services/0/engine/kvCapacity",
-                            "/services/0/engine/kvTokenBytes",
-                            "/limits/maxHeaderBytes",
-                            "/limits/maxBodyBytes",
-                            "/limits/headerTimeoutMs",
-                            "/limits/idleTimeoutMs"};
+constexpr std::array pointers{"/version",
+                              "/routes/0/timeoutMs",
+                              "/routes/0/targetLatencyMs",
+                              "/routes/0/priority",
+                              "/routes/0/attempts",
+                              "/routes/0/split/0/weight",
+                              "/services/0/engine/slots",
+                              "/services/0/engine/kvCapacity",
+                              "/services/0/engine/kvTokenBytes",
+                              "/limits/maxHeaderBytes",
+                              "/limits/maxBodyBytes",
+                              "/limits/headerTimeoutMs",
+                              "/limits/idleTimeoutMs"};
 
 } // namespace
 
-class odd_numbers_test : public CppUnit::TestFixture
+class number_range_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(odd_numbers_test);
-    CPPUNIT_TEST(whatIsBelowZeroIsNoCount);
-    CPPUNIT_TEST(timesBeyondADayCountAsOne);
-    CPPUNIT_TEST(numbersThatFitNowhereAreTakenAsTheMost);
-    CPPUNIT_TEST(fractionsCountAsTheirWholePart);
-    CPPUNIT_TEST(leasesAndReportsHaveNoOddNumbers);
-    CPPUNIT_TEST(revisionsAreCounts);
+    CPPUNIT_TEST_SUITE(number_range_test);
+    CPPUNIT_TEST(negativeNumbersAreRejected);
+    CPPUNIT_TEST(timesBeyondADayAreClamped);
+    CPPUNIT_TEST(numbersBeyondTheirTypeAreClamped);
+    CPPUNIT_TEST(fractionsAreTruncated);
+    CPPUNIT_TEST(leasesAndReportsHandleOutOfRangeNumbers);
+    CPPUNIT_TEST(negativeRevisionsAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Read as a huge number, a version below zero would keep all later routes out of force.
-    void whatIsBelowZeroIsNoCount()
+    /// Decoded as a huge number, a negative version would keep all later routes from taking effect.
+    void negativeNumbersAreRejected()
     {
-        for (const char *place : places) {
+        for (const char *pointer : pointers) {
             for (const json &number : {json(-1), json(-1.5), json(-1e300)}) {
-                const auto read = decodeRoutes(routesWith(place, number));
-                CPPUNIT_ASSERT_MESSAGE(place, !succeeded(read) || !valueOf(read).refused.empty());
+                const auto decoded = decodeRoutes(routesWith(pointer, number));
+                CPPUNIT_ASSERT_MESSAGE(pointer,
+                                       !succeeded(decoded) || !valueOf(decoded).refused.empty());
             }
         }
     }
 
-    /// Added to the time of day, they came out as a time long ago: each request was over at once.
-    void timesBeyondADayCountAsOne()
+    /// Guards against overflow: added to the time of day, such a time gave one long past, and each
+    /// request timed out at once.
+    void timesBeyondADayAreClamped()
     {
         for (const json &number : {json(1LL << 62), json(1e300), json(86'400'001)}) {
-            const auto slow =
+            const auto withTimeLimit =
                     valueOf(decodeRoutes(routesWith("/routes/0/timeoutMs", number))).table;
-            CPPUNIT_ASSERT(slow.routes[0].timeLimit == 24h);
-            const auto idle =
+            CPPUNIT_ASSERT(withTimeLimit.routes[0].timeLimit == 24h);
+            const auto withIdleTimeout =
                     valueOf(decodeRoutes(routesWith("/limits/idleTimeoutMs", number))).table;
-            CPPUNIT_ASSERT(gateway::callerLimitsOf(idle.bounds).keepAliveTime >= 24h);
-            CPPUNIT_ASSERT(succeeded(gateway::encode(slow, {})));
-            CPPUNIT_ASSERT(
-                    valueOf(gateway::decodeRouteTable(valueOf(gateway::encode(slow, {})), {}))
-                    == slow);
+            CPPUNIT_ASSERT(gateway::callerLimitsOf(withIdleTimeout.bounds).keepAliveTime >= 24h);
+            CPPUNIT_ASSERT(succeeded(gateway::encode(withTimeLimit, {})));
+            CPPUNIT_ASSERT(valueOf(gateway::decodeRouteTable(
+                                   valueOf(gateway::encode(withTimeLimit, {})), {}))
+                           == withTimeLimit);
         }
     }
 
-    void numbersThatFitNowhereAreTakenAsTheMost()
+    void numbersBeyondTheirTypeAreClamped()
     {
         for (const json &number : {json(std::numeric_limits<std::uint64_t>::max()), json(1e300)}) {
-            const auto ranked =
+            const auto withPriority =
                     valueOf(decodeRoutes(routesWith("/routes/0/priority", number))).table;
-            CPPUNIT_ASSERT_EQUAL(std::numeric_limits<std::uint32_t>::max(), ranked.routes[0].rank);
-            const auto wide =
+            CPPUNIT_ASSERT_EQUAL(std::numeric_limits<std::uint32_t>::max(),
+                                 withPriority.routes[0].rank);
+            const auto withBodyLimit =
                     valueOf(decodeRoutes(routesWith("/limits/maxBodyBytes", number))).table;
             CPPUNIT_ASSERT_EQUAL(std::size_t{std::numeric_limits<std::uint32_t>::max()},
-                                 wide.bounds.bodyBytes);
+                                 withBodyLimit.bounds.bodyBytes);
         }
     }
 
-    void fractionsCountAsTheirWholePart()
+    void fractionsAreTruncated()
     {
         const auto table = valueOf(decodeRoutes(routesWith("/routes/0/timeoutMs", 1500.9))).table;
         CPPUNIT_ASSERT(table.routes[0].timeLimit == 1500ms);
     }
 
-    void leasesAndReportsHaveNoOddNumbers()
+    void leasesAndReportsHandleOutOfRangeNumbers()
     {
         CPPUNIT_ASSERT(!succeeded(decodeLease({{"holder", "a"}, {"fence", -1}}, {})));
         CPPUNIT_ASSERT_EQUAL(std::numeric_limits<std::uint64_t>::max(),
@@ -112,13 +115,13 @@
         CPPUNIT_ASSERT(!platformDialect().readReport(R"({"busy":false,"seq":-1})"));
     }
 
-    void revisionsAreCounts()
+    void negativeRevisionsAreRejected()
     {
         CPPUNIT_ASSERT(!pageOf(json::parse(R"({"items":[],"currentRev":-1.5})"), 0));
         CPPUNIT_ASSERT(!changesOf(json::parse(R"({"events":[],"currentRev":-1})"), 0));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(odd_numbers_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(number_range_test);
 
 } // namespace poplarspool::adapter
--- a/tests/adapter/swallowed_watch_test.cpp
+++ b/tests/adapter/swallowed_watch_test.cpp
@@ -13,37 +13,37 @@
 using namespace std::chrono_literals;
 using test::jsonReply;
 
-/// After a trouble of the instance itself, its news may be late for so long. The default of its
-/// settings.
-constexpr milliseconds settleTime = 3s;
+/// Max delay until store changes take effect after the instance's access to the store has
+/// recovered; the default of its settings.
+constexpr milliseconds maxRecoveryDelay = 3s;
 
-/// A store that answers every call but watches of one kind: those it takes and never answers.
-class swallowing_store
+/// A store that accepts watches of one kind and never answers them. It answers all other calls.
+class hanging_store
 {
 public:
-    explicit swallowing_store(const std::string &kind)
-        : watched(wire::objectsPath + kind),
+    explicit hanging_store(const std::string &kind)
+        : watchedPath(wire::objectsPath + kind),
           server(
                   "store", {"127.0.0.1", 0}, defaultHttpLimits(),
                   [this](const http_request &request, http_sink &) { return answer(request); },
                   metrics),
-          address(valueOf(server.start()))
+          listenAddress(valueOf(server.start()))
     { }
 
-    ~swallowing_store()
+    ~hanging_store()
     {
         {
             const std::lock_guard lock(guard);
-            isEnding = true;
+            isStopping = true;
         }
         changed.notify_all();
         server.stop();
     }
 
-    endpoint at() const { return address; }
+    endpoint address() const { return listenAddress; }
 
-    /// @returns For how long the first watch of that kind may wait, as the instance asked it.
-    milliseconds awaitWatch()
+    /// @returns The wait time that the instance requested for its first watch of that kind.
+    milliseconds awaitWatchTime()
     {
         std::unique_lock lock(guard);
         CPPUNIT_ASSERT(changed.wait_for(lock, 20s, [this] { return watchTime.has_value(); }));
@@ -55,82 +55,83 @@
     {
         const std::string waitKey = std::string(wire::watchTimeMs) + "=";
         const std::size_t wait = request.path.find(waitKey);
-        if (!request.path.starts_with(watched) || wait == std::string::npos)
+        if (!request.path.starts_with(watchedPath) || wait == std::string::npos)
             return jsonReply(R"({"items":[],"events":[],"truncated":false,"currentRev":5})");
         std::unique_lock lock(guard);
         watchTime = milliseconds(std::stol(request.path.substr(wait + waitKey.size())));
         changed.notify_all();
-        changed.wait(lock, [this] { return isEnding; });
+        changed.wait(lock, [this] { return isStopping; });
         return http_reply{503, {}, {}, {}};
     }
 
-    const std::string watched;
+    const std::string watchedPath;
     metrics_registry metrics;
     std::mutex guard;
     std::condition_variable changed;
     std::optional<milliseconds> watchTime;
-    bool isEnding = false;
+    bool isStopping = false;
     http_server server;
-    const endpoint address;
+    const endpoint listenAddress;
 };
 
-gateway::gateway_settings settingsFor(const swallowing_store &store)
+gateway::gateway_settings settingsFor(const hanging_store &store)
 {
     const endpoint any{"127.0.0.1", 0};
-    gateway::gateway_settings choices;
-    choices.instance.text = "edge-1";
-    choices.zone.text = "a";
-    choices.callerAddress = any;
-    choices.readinessAddress = any;
-    choices.directoryAddress = any;
-    choices.peerAddress = any;
-    choices.loadAddress = any;
-    choices.metricsAddress = any;
-    choices.storeAddress = store.at();
-    choices.leaveSeconds = 1;
-    return choices;
+    gateway::gateway_settings settings;
+    settings.instance.text = "edge-1";
+    settings.zone.text = "a";
+    settings.callerAddress = any;
+    settings.readinessAddress = any;
+    settings.directoryAddress = any;
+    settings.peerAddress = any;
+    settings.loadAddress = any;
+    settings.metricsAddress = any;
+    settings.storeAddress = store.address();
+    settings.leaveSeconds = 1;
+    return settings;
 }
 
 } // namespace
 
-class swallowed_watch_test : public CppUnit::TestFixture
+class unanswered_watch_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(swallowed_watch_test);
-    CPPUNIT_TEST(aSwallowedWatchOfRunnersEndsInTime);
-    CPPUNIT_TEST(aSwallowedWatchOfRoutesEndsInTime);
+    CPPUNIT_TEST_SUITE(unanswered_watch_test);
+    CPPUNIT_TEST(unansweredRunnerWatchIsReplacedInTime);
+    CPPUNIT_TEST(unansweredRouteWatchIsReplacedInTime);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Callers were sent to a runner that had said in the store that it leaves, and were cut off
-    /// when it ended. Before, the store had been silent for a moment: it took the instance's watch
-    /// and never answered it. From then on it answered every other call, took the runner's word,
-    /// and the instance went on waiting for that one answer: it took silence for "no change".
+    /// Guards against callers sent to a runner whose entry in the store says that it is draining,
+    /// and cut off when it ends. After a short stall the store accepts the instance's watch and
+    /// never answers it, but answers all other calls and accepts the runner's entry. The instance
+    /// takes the silence for "no change" and keeps its old list.
     ///
-    /// What proved it: the sends were chosen by a list that the store had last confirmed 9.4 s
-    /// before, at a revision long passed, and left 2 ms after the choice; no entry had gone back
-    /// from leaving; and the watch that failed then had been open for 11.0 s.
-    void aSwallowedWatchOfRunnersEndsInTime() { assertBlindTime(wire::runnerKind); }
+    /// In the observed failure, requests were sent 2 ms after their runner was chosen from a list
+    /// last confirmed 9.4 s before, at a revision long passed. No entry had changed back from
+    /// draining, and the watch that failed afterwards had been open for 11.0 s.
+    void unansweredRunnerWatchIsReplacedInTime() { assertReplacedInTime(wire::runnerKind); }
 
-    /// Callers of a new route got 503, and requests of a changed one went to the service that it
-    /// had before: the same silence had swallowed the watch of the routes.
-    void aSwallowedWatchOfRoutesEndsInTime() { assertBlindTime(wire::configKind); }
+    /// Guards against the same failure of the route watch: callers of a new route got 503, and
+    /// requests of a changed route went to its previous service.
+    void unansweredRouteWatchIsReplacedInTime() { assertReplacedInTime(wire::configKind); }
 
 private:
-    static void assertBlindTime(const std::string &kind)
+    static void assertReplacedInTime(const std::string &kind)
     {
-        swallowing_store store(kind);
+        hanging_store store(kind);
         platform_gateway instance(settingsFor(store));
         CPPUNIT_ASSERT(succeeded(instance.start()));
-        const milliseconds asked = store.awaitWatch();
+        const milliseconds requestedWait = store.awaitWatchTime();
         instance.leave();
-        // Given up, the watch is followed by a pause, and by one that is answered at once.
-        const milliseconds blind = asked + config::storeReadTime
+        // After its time-out follow a pause and a short watch, which is answered at once.
+        const milliseconds replacedAfter = requestedWait + config::storeReadTime
                 + 2 * config::gatewayStorePauseFirst + config::storeProbeWatchTime;
-        CPPUNIT_ASSERT_MESSAGE("blind for " + std::to_string(blind.count()) + " ms",
-                               blind < settleTime);
+        CPPUNIT_ASSERT_MESSAGE("unanswered watch replaced after "
+                                       + std::to_string(replacedAfter.count()) + " ms",
+                               replacedAfter < maxRecoveryDelay);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(swallowed_watch_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(unanswered_watch_test);
 
 } // namespace poplarspool::adapter
