--- a/tests/adapter/ending_request_test.cpp
+++ b/tests/adapter/ending_request_test.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 using namespace std::chrono_literals;
-using test::ending_runner;
-using test::ending_runners;
-using test::small_store;
+using test::crashing_runner;
+using test::crashing_runners;
+using test::fake_store;
 using test::waitUntil;
 
-const std::string guilty(ending_runner::mark);
-const std::string innocent = "harmless";
+const std::string crashingBody(crashing_runner::crashMarker);
+const std::string harmlessBody = "harmless";
 
-/// One route that may be repeated.
+/// One route whose requests may be retried.
 std::string routesSpec()
 {
     return R"({"version":1,"services":[{"name":"s"}],"routes":[{"name":"r","host":"h",)"
@@ -27,11 +27,11 @@
            R"("maxBodyBytes":65536,"headerTimeoutMs":3000,"idleTimeoutMs":5000}})";
 }
 
-/// Whole instances at free ports of loopback.
+/// Complete instances on free loopback ports.
 class fleet
 {
 public:
-    fleet(small_store &store, int count) : store(store)
+    fleet(fake_store &store, int count) : store(store)
     {
         for (int i = 0; i < count; ++i)
             startOne();
@@ -47,12 +47,12 @@
     void startOne()
     {
         while (port < 30000) {
-            gateway::gateway_settings choices = settingsAt(port);
+            gateway::gateway_settings settings = settingsAt(port);
             port = static_cast<std::uint16_t>(port + 10);
-            auto made = std::make_unique<platform_gateway>(choices);
+            auto made = std::make_unique<platform_gateway>(settings);
             if (succeeded(made->start())) {
                 instances.push_back(std::move(made));
-                callers.push_back(choices.callerAddress);
+                callers.push_back(settings.callerAddress);
                 return;
             }
         }
@@ -62,13 +62,13 @@
     void waitUntilReady()
     {
         for (std::size_t i = 0; i < callers.size(); ++i)
-            CPPUNIT_ASSERT(waitUntil([&] { return ask(i, innocent) == 200; }));
+            CPPUNIT_ASSERT(waitUntil([&] { return sendRequest(i, harmlessBody) == 200; }));
     }
 
     std::size_t size() const { return callers.size(); }
 
-    /// @returns The status; 0: none.
-    int ask(std::size_t instance, const std::string &body)
+    /// @returns The HTTP status, or 0 without a reply.
+    int sendRequest(std::size_t instance, const std::string &body)
     {
         http_request request;
         request.method = "POST";
@@ -82,11 +82,11 @@
         return succeeded(reply) ? valueOf(reply).status : 0;
     }
 
-    /// @returns Whether each instance refuses the one and serves the other.
+    /// @returns Whether each instance answers `refused` with 503 and `served` with 200.
     bool allRefuse(const std::string &refused, const std::string &served)
     {
         for (std::size_t i = 0; i < size(); ++i) {
-            if (ask(i, refused) != 503 || ask(i, served) != 200)
+            if (sendRequest(i, refused) != 503 || sendRequest(i, served) != 200)
                 return false;
         }
         return true;
@@ -98,7 +98,7 @@
         gateway::gateway_settings made;
         made.instance.text = "edge-" + std::to_string(first);
         made.zone.text = "a";
-        made.storeAddress = store.at();
+        made.storeAddress = store.address();
         std::uint16_t next = first;
         for (endpoint *each : {&made.callerAddress, &made.readinessAddress, &made.directoryAddress,
                                &made.loadAddress, &made.metricsAddress, &made.peerAddress})
@@ -107,7 +107,7 @@
         return made;
     }
 
-    small_store &store;
+    fake_store &store;
     metrics_registry metrics;
     http_pool pool{4, 500ms, metrics, 5s};
     std::vector<std::unique_ptr<platform_gateway>> instances;
@@ -118,39 +118,41 @@
 
 } // namespace
 
-class ending_request_test : public CppUnit::TestFixture
+class crashing_request_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(ending_request_test);
-    CPPUNIT_TEST(aRequestThatEndsRunnersIsSentNoMore);
+    CPPUNIT_TEST_SUITE(crashing_request_test);
+    CPPUNIT_TEST(requestThatCrashesRunnersIsQuarantined);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// The same request, at any instance, ended runner after runner for as long as it came again.
-    void aRequestThatEndsRunnersIsSentNoMore()
+    /// Guards against a request that, repeated at any instance, crashes one runner after another.
+    void requestThatCrashesRunnersIsQuarantined()
     {
-        small_store store;
+        fake_store store;
         store.put(wire::configKind, wire::configName, routesSpec());
-        ending_runners runners(store, 4);
+        crashing_runners runners(store, 4);
         fleet instances(store, 3);
-        std::size_t turn = 0;
-        const bool isRefused = waitUntil([&] {
-            instances.ask(turn++ % instances.size(), guilty);
-            runners.startEndedAgain();
-            return runners.ended() >= 3 && instances.allRefuse(guilty, innocent);
+        std::size_t nextInstance = 0;
+        const bool isQuarantined = waitUntil([&] {
+            instances.sendRequest(nextInstance++ % instances.size(), crashingBody);
+            runners.replaceCrashed();
+            return runners.crashedCount() >= 3 && instances.allRefuse(crashingBody, harmlessBody);
         });
-        CPPUNIT_ASSERT_MESSAGE("ended " + std::to_string(runners.ended()), isRefused);
-        // Three, and those that the other instances sent before they knew.
-        CPPUNIT_ASSERT(runners.ended() <= 6);
-        const int reached = runners.markedRequests();
+        CPPUNIT_ASSERT_MESSAGE("runners crashed: " + std::to_string(runners.crashedCount()),
+                               isQuarantined);
+        // Three crashes start the quarantine. The other instances may send the request until they
+        // receive the crash update.
+        CPPUNIT_ASSERT(runners.crashedCount() <= 6);
+        const int sentBefore = runners.crashRequests();
         instances.startOne();
         instances.waitUntilReady();
         for (std::size_t i = 0; i < 3 * instances.size(); ++i)
-            CPPUNIT_ASSERT_EQUAL(503, instances.ask(i % instances.size(), guilty));
-        CPPUNIT_ASSERT_EQUAL(reached, runners.markedRequests());
-        CPPUNIT_ASSERT(instances.allRefuse(guilty, innocent));
+            CPPUNIT_ASSERT_EQUAL(503, instances.sendRequest(i % instances.size(), crashingBody));
+        CPPUNIT_ASSERT_EQUAL(sentBefore, runners.crashRequests());
+        CPPUNIT_ASSERT(instances.allRefuse(crashingBody, harmlessBody));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ending_request_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(crashing_request_test);
 
 } // namespace poplarspool::adapter
--- a/tests/adapter/ending_runners.h
+++ b/tests/adapter/ending_runners.h
@@ -13,14 +13,14 @@
 
 namespace poplarspool::adapter::test {
 
-/// A runner that ends as it begins a marked body: it resets all its connections, and refuses new
-/// ones. Any other request gets a whole answer.
-class ending_runner
+/// A runner that crashes when it receives a body with `crashMarker`: it resets all its connections
+/// and refuses new ones. Any other request gets a complete reply.
+class crashing_runner
 {
 public:
-    static constexpr std::string_view mark = "ends-its-runner";
+    static constexpr std::string_view crashMarker = "crashes-its-runner";
 
-    ending_runner() : listener(::socket(AF_INET, SOCK_STREAM, 0))
+    crashing_runner() : listener(::socket(AF_INET, SOCK_STREAM, 0))
     {
         sockaddr_in address{};
         address.sin_family = AF_INET;
@@ -30,22 +30,22 @@
         CPPUNIT_ASSERT(bind(listener.get(), raw, size) == 0);
         CPPUNIT_ASSERT(listen(listener.get(), 64) == 0);
         getsockname(listener.get(), raw, &size);
-        at = {"127.0.0.1", ntohs(address.sin_port)};
-        acceptor = std::thread([this] { acceptAll(); });
+        listenAddress = {"127.0.0.1", ntohs(address.sin_port)};
+        acceptThread = std::thread([this] { acceptAll(); });
     }
 
-    ~ending_runner()
+    ~crashing_runner()
     {
-        end();
-        acceptor.join();
-        for (std::thread &each : servers)
+        crash();
+        acceptThread.join();
+        for (std::thread &each : serverThreads)
             each.join();
     }
 
-    const endpoint &address() const { return at; }
-    bool hasEnded() const { return isEnded; }
-    /// Marked requests that reached it.
-    int marked() const { return markedRequests; }
+    const endpoint &address() const { return listenAddress; }
+    bool hasCrashed() const { return isCrashed; }
+    /// Number of received requests with `crashMarker`.
+    int crashRequestCount() const { return crashRequests; }
 
 private:
     void acceptAll()
@@ -53,44 +53,44 @@
         while (true) {
             descriptor connection(accept(listener.get(), nullptr, nullptr));
             const std::lock_guard lock(guard);
-            if (!connection.isOpen() || isEnded)
+            if (!connection.isOpen() || isCrashed)
                 return;
             connections.push_back(std::make_unique<descriptor>(std::move(connection)));
-            servers.emplace_back([this, fd = connections.back()->get()] { serve(fd); });
+            serverThreads.emplace_back([this, fd = connections.back()->get()] { serve(fd); });
         }
     }
 
     void serve(int fd)
     {
-        while (!isEnded) {
+        while (!isCrashed) {
             std::string request = poplarspool::test::readUntil(fd, "\r\n\r\n");
-            const std::size_t length = request.find("Content-Length: ");
-            if (request.empty() || length == std::string::npos)
+            const std::size_t lengthStart = request.find("Content-Length: ");
+            if (request.empty() || lengthStart == std::string::npos)
                 return;
-            const std::size_t bodyBytes = std::stoul(request.substr(length + 16));
-            const std::size_t head = request.find("\r\n\r\n") + 4;
-            std::string rest(bodyBytes, '\0');
-            std::size_t got = request.size() - head;
-            while (got < bodyBytes) {
-                const ssize_t size = recv(fd, rest.data(), bodyBytes - got, 0);
+            const std::size_t bodyBytes = std::stoul(request.substr(lengthStart + 16));
+            const std::size_t bodyStart = request.find("\r\n\r\n") + 4;
+            std::string buffer(bodyBytes, '\0');
+            std::size_t receivedBytes = request.size() - bodyStart;
+            while (receivedBytes < bodyBytes) {
+                const ssize_t size = recv(fd, buffer.data(), bodyBytes - receivedBytes, 0);
                 if (size <= 0)
                     return;
-                request.append(rest.data(), static_cast<std::size_t>(size));
-                got += static_cast<std::size_t>(size);
+                request.append(buffer.data(), static_cast<std::size_t>(size));
+                receivedBytes += static_cast<std::size_t>(size);
             }
-            if (request.find(mark, head) != std::string::npos) {
-                ++markedRequests;
-                return end();
+            if (request.find(crashMarker, bodyStart) != std::string::npos) {
+                ++crashRequests;
+                return crash();
             }
             sendAll(fd, "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nwhole",
                     poplarspool::test::safetyEnd(), -1);
         }
     }
 
-    void end()
+    void crash()
     {
         const std::lock_guard lock(guard);
-        if (isEnded.exchange(true))
+        if (isCrashed.exchange(true))
             return;
         shutdown(listener.get(), SHUT_RDWR);
         for (const auto &each : connections) {
@@ -100,71 +100,74 @@
     }
 
     descriptor listener;
-    endpoint at;
+    endpoint listenAddress;
     std::mutex guard;
-    std::atomic<bool> isEnded{false};
-    std::atomic<int> markedRequests{0};
+    std::atomic<bool> isCrashed{false};
+    std::atomic<int> crashRequests{0};
     std::vector<std::unique_ptr<descriptor>> connections;
-    std::list<std::thread> servers;
-    std::thread acceptor;
+    std::list<std::thread> serverThreads;
+    std::thread acceptThread;
 };
 
-/// Runners of one service that are started again, under another id, whenever one has ended.
-class ending_runners
+/// Runners of one service. A crashed one is replaced by a new one with another id.
+class crashing_runners
 {
 public:
-    ending_runners(small_store &store, int count) : store(store)
+    crashing_runners(fake_store &store, int count) : store(store)
     {
         for (int i = 0; i < count; ++i)
             startOne();
     }
 
-    /// Starts a new life for each one that has ended since.
-    void startEndedAgain()
+    /// Starts a replacement for each runner that has crashed since the last call.
+    void replaceCrashed()
     {
-        const std::size_t count = lives.size();
+        const std::size_t count = incarnations.size();
         for (std::size_t i = 0; i < count; ++i) {
-            if (!lives[i].isReplaced && lives[i].runner->hasEnded()) {
-                lives[i].isReplaced = true;
-                store.remove(wire::runnerKind, lives[i].id);
+            if (!incarnations[i].isReplaced && incarnations[i].runner->hasCrashed()) {
+                incarnations[i].isReplaced = true;
+                store.remove(wire::runnerKind, incarnations[i].id);
                 startOne();
             }
         }
     }
 
-    int ended() const
+    int crashedCount() const
     {
-        return static_cast<int>(std::ranges::count_if(
-                lives, [](const life &one) { return one.runner->hasEnded(); }));
+        return static_cast<int>(
+                std::ranges::count_if(incarnations, [](const incarnation_entry &one) {
+                    return one.runner->hasCrashed();
+                }));
     }
 
-    int markedRequests() const
+    int crashRequests() const
     {
         int sum = 0;
-        for (const life &one : lives)
-            sum += one.runner->marked();
+        for (const incarnation_entry &one : incarnations)
+            sum += one.runner->crashRequestCount();
         return sum;
     }
 
 private:
-    struct life
+    struct incarnation_entry
     {
         std::string id;
-        std::unique_ptr<ending_runner> runner;
+        std::unique_ptr<crashing_runner> runner;
         bool isReplaced = false;
     };
 
     void startOne()
     {
-        life made{"i-" + std::to_string(lives.size()), std::make_unique<ending_runner>()};
+        incarnation_entry made{"i-" + std::to_string(incarnations.size()),
+                               std::make_unique<crashing_runner>()};
         store.put(wire::runnerKind, made.id,
                   R"({"service":"s","address":")" + textOf(made.runner->address())
                           + R"(","state":"in_service","slots":8,"seq":1})");
-        lives.push_back(std::move(made));
+        incarnations.push_back(std::move(made));
     }
 
-    small_store &store;
-    std::vector<life> lives;
+    fake_store &store;
+    std::vector<incarnation_entry> incarnations;
 };
 
 } // namespace poplarspool::adapter::test
--- a/tests/adapter/following_instance.h
+++ b/tests/adapter/following_instance.h
@@ -10,18 +10,19 @@
 
 namespace poplarspool::adapter::test {
 
-/// What one instance has of the store.
-struct following_instance
+/// The part of an instance that follows the store, without its servers.
+struct follower_fixture
 {
-    explicit following_instance(gateway::gateway_settings settings,
-                                const clock_source &clock = systemClock())
-        : choices(std::move(settings)), events({"test"}, clock, 64),
-          client(choices.storeAddress, metrics), keeper(hub, choices.settleTime, clock, events),
+    explicit follower_fixture(gateway::gateway_settings settings,
+                              const clock_source &clock = systemClock())
+        : ownSettings(std::move(settings)), events({"test"}, clock, 64),
+          client(ownSettings.storeAddress, metrics),
+          catalogueUpdater(publisher, ownSettings.settleTime, clock, events),
           follower(
-                  choices, client, keeper, [] {}, clock, metrics, events)
+                  ownSettings, client, catalogueUpdater, [] {}, clock, metrics, events)
     { }
 
-    ~following_instance()
+    ~follower_fixture()
     {
         client.stop();
         follower.stop();
@@ -29,39 +30,39 @@
 
     gateway::listed_gateway entry() const
     {
-        return {choices.instance,
-                choices.peerAddress,
+        return {ownSettings.instance,
+                ownSettings.peerAddress,
                 {},
-                choices.zone,
-                gateway::newsAddressOf(choices),
+                ownSettings.zone,
+                gateway::newsAddressOf(ownSettings),
                 {}};
     }
 
-    /// @returns Null where it isn't known.
+    /// @returns Null if the runner is unknown.
     std::shared_ptr<const gateway::runner> find(const std::string &runner) const
     {
-        const auto now = hub.current();
+        const auto now = publisher.current();
         const auto found = now->runners.find({runner});
         return found == now->runners.end() ? nullptr : found->second;
     }
 
     bool hasLogged(const std::string &kind) const { return !events.events({kind, {}, {}}).empty(); }
 
-    const gateway::gateway_settings choices;
+    const gateway::gateway_settings ownSettings;
     metrics_registry metrics;
     journal events;
-    gateway::catalogue_hub hub{gateway::catalogue{}};
+    gateway::catalogue_hub publisher{gateway::catalogue{}};
     store_client client;
-    gateway::catalogue_keeper keeper;
+    gateway::catalogue_keeper catalogueUpdater;
     store_follower follower;
 };
 
-inline bool waitUntil(const std::function<bool()> &holds)
+inline bool waitUntil(const std::function<bool()> &condition)
 {
     using namespace std::chrono_literals;
     for (const auto end = std::chrono::steady_clock::now() + 20s;
          std::chrono::steady_clock::now() < end;) {
-        if (holds())
+        if (condition())
             return true;
         std::this_thread::sleep_for(5ms);
     }
--- a/tests/adapter/instances_test.cpp
+++ b/tests/adapter/instances_test.cpp
@@ -15,9 +15,9 @@
     return {"127.0.0.1", static_cast<std::uint16_t>(port)};
 }
 
-/// Its name is no text that JSON takes: it can't enter itself in the store.
+/// The name is invalid UTF-8, which JSON rejects: the instance cannot register in the store.
 /// @param port The first of its ports.
-gateway::gateway_settings unnamableInstance(const endpoint &store, std::uint16_t port)
+gateway::gateway_settings settingsWithInvalidName(const endpoint &store, std::uint16_t port)
 {
     gateway::gateway_settings made;
     made.instance.text = "edge-\xff";
@@ -33,7 +33,7 @@
     return made;
 }
 
-/// @returns The text after the metric's name.
+/// @returns The value of the metric as text, or an empty one.
 std::string valueAt(const endpoint &metricsAddress, const std::string &name)
 {
     metrics_registry unused;
@@ -54,26 +54,26 @@
 class instances_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(instances_test);
-    CPPUNIT_TEST(aStepThatThrowsIsTriedAgain);
+    CPPUNIT_TEST(throwingStepIsRetried);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void aStepThatThrowsIsTriedAgain()
+    void throwingStepIsRetried()
     {
-        test::small_store store;
-        gateway::gateway_settings choices;
+        test::fake_store store;
+        gateway::gateway_settings settings;
         std::unique_ptr<platform_gateway> instance;
         bool isStarted = false;
-        // Busy ports are passed over.
+        // Skips busy ports.
         for (std::uint16_t port = 23100; port < 23400 && !isStarted; port += 6) {
-            choices = unnamableInstance(store.at(), port);
-            instance = std::make_unique<platform_gateway>(choices);
+            settings = settingsWithInvalidName(store.address(), port);
+            instance = std::make_unique<platform_gateway>(settings);
             isStarted = succeeded(instance->start());
         }
         CPPUNIT_ASSERT(isStarted);
         CPPUNIT_ASSERT(test::waitUntil([&] {
             const std::string failed =
-                    valueAt(choices.metricsAddress, "poplarspool_steps_failed_total");
+                    valueAt(settings.metricsAddress, "poplarspool_steps_failed_total");
             return !failed.empty() && std::stoi(failed) >= 3;
         }));
         instance->leave();
--- a/tests/adapter/kind_watch_test.cpp
+++ b/tests/adapter/kind_watch_test.cpp
@@ -20,32 +20,32 @@
 using test::jsonReply;
 using test::scripted_store;
 
-/// Their watch waits for 10 s, longer than any of these tests.
+/// Bounds with a watch time of 10 s, longer than any of these tests.
 constexpr news_bounds longBounds{1min, 1min};
 
-/// A watch of one kind, and what it told.
-struct watch_run
+/// A watch of one kind, with a record of its handler calls.
+struct watch_fixture
 {
-    explicit watch_run(std::deque<http_reply> given)
-        : store(std::move(given)), client(store.address, store.metrics)
+    explicit watch_fixture(std::deque<http_reply> script)
+        : store(std::move(script)), client(store.address, store.metrics)
     { }
 
-    /// Runs until the store has answered so often with success.
-    void runUntilAnswered(std::size_t times)
+    /// Runs until the given number of confirmations by the store.
+    void runUntilConfirmed(std::size_t times)
     {
         kind_handlers handlers;
         handlers.onList = [this](const std::vector<store_object> &objects, store_version) {
             const std::lock_guard lock(guard);
             listSizes.push_back(objects.size());
-            throwIfDue(throwingLists);
+            throwIfRemaining(throwingLists);
         };
         handlers.onChanges = [this](const std::vector<store_change> &, store_span) {
-            throwIfDue(throwingChanges);
+            throwIfRemaining(throwingChanges);
         };
         handlers.onAnswer = [this](const store_answer &answer) {
             const std::lock_guard lock(guard);
             revisions.push_back(answer.version.revision);
-            answered.notify_all();
+            confirmed.notify_all();
         };
         handlers.onFailure = [](mono_time) {};
         handlers.onOlderCopy = [](mono_time) {};
@@ -54,30 +54,31 @@
         watch.start();
         {
             std::unique_lock lock(guard);
-            CPPUNIT_ASSERT(answered.wait_for(lock, 20s, [&] { return revisions.size() == times; }));
+            CPPUNIT_ASSERT(
+                    confirmed.wait_for(lock, 20s, [&] { return revisions.size() == times; }));
         }
         client.stop();
         watch.stop();
     }
 
-    static void throwIfDue(int &left)
+    static void throwIfRemaining(int &remaining)
     {
-        if (left-- > 0)
+        if (remaining-- > 0)
             throw std::length_error("too many");
     }
 
-    int throwingLists = 0; ///< So many of the first lists,
-    int throwingChanges = 0; ///< and of the first changes, end by an exception of the handler.
+    int throwingLists = 0; ///< Number of first calls of onList that throw.
+    int throwingChanges = 0; ///< Number of first calls of onChanges that throw.
     scripted_store store;
     store_client client;
     journal events{{"test"}, systemClock(), 16};
     std::mutex guard;
-    std::condition_variable answered;
+    std::condition_variable confirmed;
     std::vector<std::size_t> listSizes;
     std::vector<std::uint64_t> revisions;
 };
 
-kind_handlers quietHandlers(std::atomic<int> &failures)
+kind_handlers countingHandlers(std::atomic<int> &failures)
 {
     kind_handlers made;
     made.onList = [](const std::vector<store_object> &, store_version) {};
@@ -88,13 +89,13 @@
     return made;
 }
 
-/// @returns How many pages are asked for until the list is given up as malformed.
-std::size_t pagesOfBrokenList(const std::deque<http_reply> &pages)
+/// @returns The number of pages requested until the list is rejected as malformed.
+std::size_t pagesUntilBroken(const std::deque<http_reply> &pages)
 {
     scripted_store store(pages);
     store_client client(store.address, store.metrics);
     CPPUNIT_ASSERT(errorOf(client.list("k", read_mode::Current)).code == error_code::Broken);
-    return store.asked.size();
+    return store.requests.size();
 }
 
 std::vector<std::string> keysOf(const event &entry)
@@ -110,41 +111,42 @@
 class kind_watch_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(kind_watch_test);
-    CPPUNIT_TEST(listsGoOnWhereTheyWereCut);
-    CPPUNIT_TEST(namesAreEncodedInQuestions);
-    CPPUNIT_TEST(listsWithoutEndAreBroken);
-    CPPUNIT_TEST(unreadableObjectsHideNoOthers);
-    CPPUNIT_TEST(forgottenHistoryIsListedAnew);
-    CPPUNIT_TEST(aFailureIsFollowedByAShortWatch);
-    CPPUNIT_TEST(lossAndReturnOfTheStoreAreLogged);
-    CPPUNIT_TEST(aListThatThrowsIsTakenAnew);
-    CPPUNIT_TEST(changesThatThrowAreListedAnew);
-    CPPUNIT_TEST(watchesWaitForAsLongAsNewsMayBeLate);
-    CPPUNIT_TEST(aLossElsewhereIsNotedWithoutSources);
-    CPPUNIT_TEST(whatALaterAnswerDeniesIsNoEpoch);
+    CPPUNIT_TEST(listsContinueAfterTheLastName);
+    CPPUNIT_TEST(namesAreEncodedInQueries);
+    CPPUNIT_TEST(endlessListsAreBroken);
+    CPPUNIT_TEST(unreadableObjectsDoNotHideOthers);
+    CPPUNIT_TEST(compactedHistoryIsListedAgain);
+    CPPUNIT_TEST(failureIsFollowedByAShortWatch);
+    CPPUNIT_TEST(lossAndRecoveryOfTheStoreAreLogged);
+    CPPUNIT_TEST(listIsRepeatedAfterAHandlerException);
+    CPPUNIT_TEST(changesAreListedAgainAfterAHandlerException);
+    CPPUNIT_TEST(unansweredWatchMeetsTheStalenessBounds);
+    CPPUNIT_TEST(relayStoreLossIsRecordedWithoutCallbacks);
+    CPPUNIT_TEST(epochContradictedByALaterReplyIsDiscarded);
     CPPUNIT_TEST(objectsAreReplacedOrCreated);
-    CPPUNIT_TEST(anObjectThatStandsAlreadyIsNotWritten);
-    CPPUNIT_TEST(conditionalWritesNameTheirRevision);
+    CPPUNIT_TEST(unchangedObjectIsNotWritten);
+    CPPUNIT_TEST(conditionalWritesHaveTheirRevision);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// A list comes in two pages, and an object changes between them. Watched from the second
-    /// page's revision, that change would never be seen.
-    void listsGoOnWhereTheyWereCut()
+    /// An object changes between the two pages of a list. A watch from the second page's revision
+    /// would miss that change.
+    void listsContinueAfterTheLastName()
     {
         scripted_store store({jsonReply(R"({"items":[{"metadata":{"name":"a"},"spec":1}],
                                             "truncated":true,"currentRev":5})"),
                               jsonReply(R"({"items":[{"metadata":{"name":"b"},"spec":2}],
                                             "truncated":false,"currentRev":9})")});
         store_client client(store.address, store.metrics);
-        const auto all = valueOf(client.list("k", read_mode::Current));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, all.objects.size());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, all.version.revision);
-        CPPUNIT_ASSERT(store.asked[1].ends_with("k?after=a"));
+        const auto listed = valueOf(client.list("k", read_mode::Current));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, listed.objects.size());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, listed.version.revision);
+        CPPUNIT_ASSERT(store.requests[1].ends_with("k?after=a"));
     }
 
-    /// A name with bytes that mean something in a question made the store give the same page again.
-    void namesAreEncodedInQuestions()
+    /// Guards against a repeated page: with reserved characters of a name in the query, the store
+    /// returned the same page again.
+    void namesAreEncodedInQueries()
     {
         scripted_store store({jsonReply(R"({"items":[{"metadata":{"name":"a&b#c%d+e f"}}],
                                             "truncated":true,"currentRev":5})"),
@@ -153,81 +155,84 @@
         CPPUNIT_ASSERT(succeeded(client.list("k", read_mode::Stale)));
         CPPUNIT_ASSERT_EQUAL(std::string("GET ") + wire::objectsPath
                                      + "k?allowStale=1&after=a%26b%23c%25d%2Be%20f",
-                             store.asked[1]);
+                             store.requests[1]);
     }
 
-    /// The store says that there is more, and gives nothing to go on from, or always more.
-    void listsWithoutEndAreBroken()
+    /// Each page says that more follow, but has no name to continue after, or there is always
+    /// another page.
+    void endlessListsAreBroken()
     {
         const auto nameless = jsonReply(R"({"items":[{}],"truncated":true,"currentRev":5})");
         const auto same = jsonReply(R"({"items":[{"metadata":{"name":"a"}}],
                                         "truncated":true,"currentRev":5})");
         const auto other = jsonReply(R"({"items":[{"metadata":{"name":"b"}}],
                                          "truncated":true,"currentRev":5})");
-        std::deque<http_reply> turns;
+        std::deque<http_reply> alternating;
         for (std::size_t i = 0; i <= config::storeListPagesMost; ++i)
-            turns.push_back(i % 2 == 0 ? same : other);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pagesOfBrokenList({nameless, nameless}));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, pagesOfBrokenList({same, same, same}));
-        CPPUNIT_ASSERT_EQUAL(config::storeListPagesMost, pagesOfBrokenList(turns));
+            alternating.push_back(i % 2 == 0 ? same : other);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pagesUntilBroken({nameless, nameless}));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, pagesUntilBroken({same, same, same}));
+        CPPUNIT_ASSERT_EQUAL(config::storeListPagesMost, pagesUntilBroken(alternating));
     }
 
-    /// Another writer leaves objects in the list that hold bytes which are no text, or lack what
-    /// every object has. Refused as a whole, the list would leave callers without any runner.
-    void unreadableObjectsHideNoOthers()
+    /// Another writer puts objects into the list that have invalid UTF-8 or lack required keys.
+    /// Rejecting the whole list would leave callers without any runner.
+    void unreadableObjectsDoNotHideOthers()
     {
         const std::string page =
                 "{\"items\":[{\"metadata\":{\"name\":\"a\"},\"spec\":1},"
                 "{\"metadata\":{\"name\":\"\xff\x01\"},\"spec\":\"\xc3\x28\"},"
                 "{\"metadata\":7},4,{\"metadata\":{\"name\":3,\"revision\":\"x\"}},"
                 "{\"metadata\":{\"name\":\"b\"},\"spec\":2}],\"currentRev\":5}";
-        const std::string news = "{\"events\":[{\"object\":\"\xfe\"},{\"object\":{\"metadata\":"
-                                 "{\"name\":\"c\"}}}],\"currentRev\":6}";
-        scripted_store store({jsonReply(page), jsonReply(news)});
+        const std::string watchReply =
+                "{\"events\":[{\"object\":\"\xfe\"},{\"object\":{\"metadata\":"
+                "{\"name\":\"c\"}}}],\"currentRev\":6}";
+        scripted_store store({jsonReply(page), jsonReply(watchReply)});
         store_client client(store.address, store.metrics);
-        const auto all = valueOf(client.list("k", read_mode::Current));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{6}, all.objects.size());
-        CPPUNIT_ASSERT_EQUAL(std::string("a"), all.objects.front().name);
-        CPPUNIT_ASSERT_EQUAL(std::string("b"), all.objects.back().name);
-        const auto seen = valueOf(client.watch("k", 5, 10ms));
-        CPPUNIT_ASSERT_EQUAL(std::string("c"), seen.changes.back().object.name);
+        const auto listed = valueOf(client.list("k", read_mode::Current));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{6}, listed.objects.size());
+        CPPUNIT_ASSERT_EQUAL(std::string("a"), listed.objects.front().name);
+        CPPUNIT_ASSERT_EQUAL(std::string("b"), listed.objects.back().name);
+        const auto watched = valueOf(client.watch("k", 5, 10ms));
+        CPPUNIT_ASSERT_EQUAL(std::string("c"), watched.changes.back().object.name);
     }
 
-    /// The store drops its history while a runner leaves: the watch gets 410. Only a new list shows
-    /// that the runner is gone, and it comes at once.
-    void forgottenHistoryIsListedAnew()
+    /// The store compacts its history while a runner leaves, and the watch gets 410. Only a new
+    /// list shows that the runner is gone; it is requested at once.
+    void compactedHistoryIsListedAgain()
     {
-        watch_run test({jsonReply(R"({"items":[{"metadata":{"name":"a"}}],"currentRev":5})"),
-                        jsonReply("{}", 410), jsonReply(R"({"items":[],"currentRev":8})")});
-        test.runUntilAnswered(2);
-        CPPUNIT_ASSERT(test.listSizes == (std::vector<std::size_t>{1, 0}));
-        const std::lock_guard lock(test.store.guard);
-        CPPUNIT_ASSERT(test.store.asked[1].find("watch=5") != std::string::npos);
+        watch_fixture fixture({jsonReply(R"({"items":[{"metadata":{"name":"a"}}],"currentRev":5})"),
+                               jsonReply("{}", 410), jsonReply(R"({"items":[],"currentRev":8})")});
+        fixture.runUntilConfirmed(2);
+        CPPUNIT_ASSERT(fixture.listSizes == (std::vector<std::size_t>{1, 0}));
+        const std::lock_guard lock(fixture.store.guard);
+        CPPUNIT_ASSERT(fixture.store.requests[1].find("watch=5") != std::string::npos);
     }
 
-    /// An instance was suspended, and its watch has failed for that. Told only at the end of a long
-    /// watch that the store is back, it would take the time between for an outage of the store.
-    void aFailureIsFollowedByAShortWatch()
+    /// A watch fails because its instance was suspended. If the next watch were long, only its end
+    /// would show that the store answers, and the instance would take the time until then for an
+    /// outage of the store.
+    void failureIsFollowedByAShortWatch()
     {
-        watch_run test({jsonReply(R"({"items":[],"currentRev":5})"), jsonReply("{}", 503),
-                        jsonReply(R"({"events":[],"currentRev":5})")});
-        test.runUntilAnswered(2);
-        const std::lock_guard lock(test.store.guard);
-        CPPUNIT_ASSERT(test.store.asked[1].ends_with("waitMs=10000"));
-        CPPUNIT_ASSERT(test.store.asked[2].ends_with("waitMs=50"));
+        watch_fixture fixture({jsonReply(R"({"items":[],"currentRev":5})"), jsonReply("{}", 503),
+                               jsonReply(R"({"events":[],"currentRev":5})")});
+        fixture.runUntilConfirmed(2);
+        const std::lock_guard lock(fixture.store.guard);
+        CPPUNIT_ASSERT(fixture.store.requests[1].ends_with("waitMs=10000"));
+        CPPUNIT_ASSERT(fixture.store.requests[2].ends_with("waitMs=50"));
     }
 
-    /// A request went to a runner that had left the list long before, and nobody could tell whether
-    /// the list was old: the lines said when a call failed, and neither how long it had been open
-    /// nor when the store was back.
-    void lossAndReturnOfTheStoreAreLogged()
+    /// Guards against a log that does not show the age of a list. A request was sent to a runner
+    /// that had left the list long before; the log had the time at which a call failed, but
+    /// neither how long the call had been open nor when the store answered again.
+    void lossAndRecoveryOfTheStoreAreLogged()
     {
-        watch_run test({jsonReply(R"({"items":[],"currentRev":5})"), jsonReply("{}", 503),
-                        jsonReply(R"({"events":[],"currentRev":9})")});
-        test.runUntilAnswered(2);
-        CPPUNIT_ASSERT(test.revisions == (std::vector<std::uint64_t>{5, 9}));
-        const auto lost = test.events.events({"store_lost", {}, {}});
-        const auto regained = test.events.events({"store_regained", {}, {}});
+        watch_fixture fixture({jsonReply(R"({"items":[],"currentRev":5})"), jsonReply("{}", 503),
+                               jsonReply(R"({"events":[],"currentRev":9})")});
+        fixture.runUntilConfirmed(2);
+        CPPUNIT_ASSERT(fixture.revisions == (std::vector<std::uint64_t>{5, 9}));
+        const auto lost = fixture.events.events({"store_lost", {}, {}});
+        const auto regained = fixture.events.events({"store_regained", {}, {}});
         CPPUNIT_ASSERT(!lost.empty() && regained.size() == 1);
         const std::vector<std::string> lostKeys{"kind",     "code",         "reason",
                                                 "revision", "asked_ms_ago", "unanswered_ms"};
@@ -238,70 +243,72 @@
         CPPUNIT_ASSERT_EQUAL(std::string("9"), regained.front().fields[2].value);
     }
 
-    /// Counted as known, what was listed would be missing until it changes again.
-    void aListThatThrowsIsTakenAnew()
+    /// If the list counted as known, its objects would be missing until they change again.
+    void listIsRepeatedAfterAHandlerException()
     {
-        watch_run test({jsonReply(R"({"items":[{"metadata":{"name":"a"}}],"currentRev":5})"),
-                        jsonReply(R"({"items":[{"metadata":{"name":"a"}}],"currentRev":5})")});
-        test.throwingLists = 1;
-        test.runUntilAnswered(1);
-        CPPUNIT_ASSERT(test.listSizes == (std::vector<std::size_t>{1, 1}));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.events.events({"step_failed", {}, {}}).size());
+        watch_fixture fixture(
+                {jsonReply(R"({"items":[{"metadata":{"name":"a"}}],"currentRev":5})"),
+                 jsonReply(R"({"items":[{"metadata":{"name":"a"}}],"currentRev":5})")});
+        fixture.throwingLists = 1;
+        fixture.runUntilConfirmed(1);
+        CPPUNIT_ASSERT(fixture.listSizes == (std::vector<std::size_t>{1, 1}));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.events.events({"step_failed", {}, {}}).size());
     }
 
-    /// Asked again from the same revision, what was told in part would look like no change.
-    void changesThatThrowAreListedAnew()
+    /// A watch from the same revision would not repeat changes that were handled in part.
+    void changesAreListedAgainAfterAHandlerException()
     {
-        watch_run test({jsonReply(R"({"items":[],"currentRev":5})"),
-                        jsonReply(R"({"events":[],"currentRev":7})"),
-                        jsonReply(R"({"items":[],"currentRev":8})"),
-                        jsonReply(R"({"events":[],"currentRev":9})")});
-        test.throwingChanges = 1;
-        test.runUntilAnswered(3);
-        CPPUNIT_ASSERT(test.revisions == (std::vector<std::uint64_t>{5, 8, 9}));
-        CPPUNIT_ASSERT(test.listSizes == (std::vector<std::size_t>{0, 0}));
-        const auto failed = test.events.events({"step_failed", {}, {}});
+        watch_fixture fixture({jsonReply(R"({"items":[],"currentRev":5})"),
+                               jsonReply(R"({"events":[],"currentRev":7})"),
+                               jsonReply(R"({"items":[],"currentRev":8})"),
+                               jsonReply(R"({"events":[],"currentRev":9})")});
+        fixture.throwingChanges = 1;
+        fixture.runUntilConfirmed(3);
+        CPPUNIT_ASSERT(fixture.revisions == (std::vector<std::uint64_t>{5, 8, 9}));
+        CPPUNIT_ASSERT(fixture.listSizes == (std::vector<std::size_t>{0, 0}));
+        const auto failed = fixture.events.events({"step_failed", {}, {}});
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, failed.size());
         CPPUNIT_ASSERT_EQUAL(std::string("store_watch_k"), failed.front().fields.front().value);
     }
 
-    /// An instance loses the store for a moment; the store takes its watch just before that ends,
-    /// and never answers it. A runner leaves in the same moment. Callers must not be sent there
-    /// once the instance has been sound again for the time that news may take after a trouble, nor
-    /// later after the leaving than news may take at all: the two times don't add up.
-    void watchesWaitForAsLongAsNewsMayBeLate()
+    /// An instance loses the store for a moment. The store accepts its watch just before the
+    /// recovery and never answers it, and a runner leaves at the same time. Callers must not be
+    /// sent to that runner later than `afterRecovery` after the recovery, nor later than
+    /// `afterChange` after it left: the two times do not add up.
+    void unansweredWatchMeetsTheStalenessBounds()
     {
         for (const news_bounds &bounds :
              {news_bounds{3s, 2s}, news_bounds{4s, 3s}, news_bounds{5s, 4s}, news_bounds{2s, 3s}}) {
-            const milliseconds known =
+            const milliseconds detectedAfter =
                     watchTimeFor(bounds) + config::storeReadTime + config::storeNoticeTime;
-            const milliseconds allowed = std::max(bounds.settle, bounds.inForce);
-            CPPUNIT_ASSERT_MESSAGE("known after " + std::to_string(known.count()) + " ms",
-                                   known == allowed);
+            const milliseconds maxDelay = std::max(bounds.settle, bounds.inForce);
+            CPPUNIT_ASSERT_MESSAGE("detected after " + std::to_string(detectedAfter.count())
+                                           + " ms",
+                                   detectedAfter == maxDelay);
         }
         CPPUNIT_ASSERT(watchTimeFor({5s, 4s}) > watchTimeFor({3s, 2s}));
         CPPUNIT_ASSERT(watchTimeFor({500ms, 500ms}) == config::gatewayWatchTimeLeast);
         CPPUNIT_ASSERT(watchTimeFor({1min, 1min}) == config::gatewayWatchTimeMost);
     }
 
-    /// An instance that follows a kind by itself hears of another one that lost the store.
-    void aLossElsewhereIsNotedWithoutSources()
+    /// An instance that follows a kind itself is informed that another one has lost the store.
+    void relayStoreLossIsRecordedWithoutCallbacks()
     {
-        watch_run test({jsonReply(R"({"items":[],"currentRev":5})")});
+        watch_fixture fixture({jsonReply(R"({"items":[],"currentRev":5})")});
         std::atomic<int> failures{0};
-        kind_watch watch("k", longBounds, test.client, quietHandlers(failures), {}, systemClock(),
-                         test.store.metrics, test.events);
+        kind_watch watch("k", longBounds, fixture.client, countingHandlers(failures), {},
+                         systemClock(), fixture.store.metrics, fixture.events);
         watch.start();
         CPPUNIT_ASSERT(test::waitUntil([&] { return watch.state().isListed; }));
         watch.takeRelayed({5, {0, 6}}, systemClock().mono(), [] { return true; });
         const int before = failures;
         watch.noteLossElsewhere();
         CPPUNIT_ASSERT(failures > before);
-        test.client.stop();
+        fixture.client.stop();
         watch.stop();
     }
 
-    void whatALaterAnswerDeniesIsNoEpoch()
+    void epochContradictedByALaterReplyIsDiscarded()
     {
         const auto listOf = [](const std::string &epoch) {
             http_reply list = jsonReply(R"({"items":[],"currentRev":5})");
@@ -329,28 +336,29 @@
         scripted_store store({jsonReply("{}", 409), jsonReply("{}")});
         store_client client(store.address, store.metrics);
         CPPUNIT_ASSERT(succeeded(client.put("k", "n", {{"x", 1}})));
-        CPPUNIT_ASSERT(store.asked[0].starts_with("POST ") && store.asked[0].ends_with("/k"));
-        CPPUNIT_ASSERT(store.asked[1].starts_with("PUT ") && store.asked[1].ends_with("/k/n"));
+        CPPUNIT_ASSERT(store.requests[0].starts_with("POST ") && store.requests[0].ends_with("/k"));
+        CPPUNIT_ASSERT(store.requests[1].starts_with("PUT ")
+                       && store.requests[1].ends_with("/k/n"));
         CPPUNIT_ASSERT(errorOf(client.list("k", read_mode::Stale)).code == error_code::Unavailable);
     }
 
-    /// An instance starts anew at the address that it had. Written again, its object would wake all
-    /// that watch for changes, and each call is paid for.
-    void anObjectThatStandsAlreadyIsNotWritten()
+    /// An instance restarts at its previous address. Writing its object again would complete all
+    /// watches of that kind, and each call is billed.
+    void unchangedObjectIsNotWritten()
     {
         scripted_store store({jsonReply(R"({"metadata":{"name":"n"},"spec":{"x":1}})", 409),
                               jsonReply(R"({"metadata":{"name":"n"},"spec":{"x":2}})", 409),
                               jsonReply("{}")});
         store_client client(store.address, store.metrics);
         CPPUNIT_ASSERT(succeeded(client.put("k", "n", {{"x", 1}})));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store.asked.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store.requests.size());
         CPPUNIT_ASSERT(succeeded(client.put("k", "n", {{"x", 1}})));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, store.asked.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, store.requests.size());
     }
 
-    /// Two instances want the same lease. Written without its revision, the second write would
-    /// replace the first, and both would believe that they have it.
-    void conditionalWritesNameTheirRevision()
+    /// Two instances compete for a lease. Without a revision, the second write would replace the
+    /// first one, and both instances would believe that they hold the lease.
+    void conditionalWritesHaveTheirRevision()
     {
         scripted_store store({jsonReply(R"({"metadata":{"name":"n","revision":5},"spec":1})"),
                               jsonReply("{}"), jsonReply("{}", 409), jsonReply("{}")});
@@ -361,9 +369,10 @@
         CPPUNIT_ASSERT(errorOf(client.replace("k", found)).code == error_code::Conflict);
         CPPUNIT_ASSERT(succeeded(client.replace("k", {"n", 1, {}})));
         const std::lock_guard lock(store.guard);
-        CPPUNIT_ASSERT(store.asked[1].starts_with("PUT ") && store.asked[1].ends_with("/k/n"));
+        CPPUNIT_ASSERT(store.requests[1].starts_with("PUT ")
+                       && store.requests[1].ends_with("/k/n"));
         CPPUNIT_ASSERT(store.bodies[1].find("\"revision\":5") != std::string::npos);
-        CPPUNIT_ASSERT(store.asked[3].starts_with("POST ") && store.asked[3].ends_with("/k"));
+        CPPUNIT_ASSERT(store.requests[3].starts_with("POST ") && store.requests[3].ends_with("/k"));
     }
 };
 
--- a/tests/adapter/nested_json_test.cpp
+++ b/tests/adapter/nested_json_test.cpp
@@ -14,7 +14,7 @@
 using test::jsonReply;
 using test::scripted_store;
 
-/// Arrays in each other; within the bytes that one object may have.
+/// Nested arrays, within the size limit of one object.
 std::string nested()
 {
     constexpr std::size_t levels = 400'000;
@@ -26,28 +26,29 @@
 class nested_json_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(nested_json_test);
-    CPPUNIT_TEST(aNestedObjectHidesNoOthers);
-    CPPUNIT_TEST(aNestedChangeHidesNoOthers);
-    CPPUNIT_TEST(aNestedRefusalIsRead);
-    CPPUNIT_TEST(nestedAnswersOfRunnersAreNone);
+    CPPUNIT_TEST(nestedObjectDoesNotHideOthers);
+    CPPUNIT_TEST(nestedChangeDoesNotHideOthers);
+    CPPUNIT_TEST(nestedConflictReplyIsDecoded);
+    CPPUNIT_TEST(nestedRunnerRepliesAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Every instance that listed such an object ended, again after each start.
-    void aNestedObjectHidesNoOthers()
+    /// Guards against a crash of every instance that lists such an object, again after each
+    /// restart.
+    void nestedObjectDoesNotHideOthers()
     {
         expectEndsWell([] {
             scripted_store store({jsonReply(
                     R"({"items":[{"metadata":{"name":"a"},"spec":)" + nested()
                     + R"(},{"metadata":{"name":"b"},"spec":{"x":1}}],)" + R"("currentRev":5})")});
             store_client client(store.address, store.metrics);
-            const auto all = client.list("k", read_mode::Current);
-            return succeeded(all) && valueOf(all).objects.size() == 2
-                    && valueOf(all).objects.back().spec == nlohmann::json{{"x", 1}};
+            const auto listed = client.list("k", read_mode::Current);
+            return succeeded(listed) && valueOf(listed).objects.size() == 2
+                    && valueOf(listed).objects.back().spec == nlohmann::json{{"x", 1}};
         });
     }
 
-    void aNestedChangeHidesNoOthers()
+    void nestedChangeDoesNotHideOthers()
     {
         expectEndsWell([] {
             scripted_store store(
@@ -55,30 +56,30 @@
                                + R"(}},{"object":{"metadata":{"name":"b"},"spec":{"x":1}}}],)"
                                + R"("currentRev":6})")});
             store_client client(store.address, store.metrics);
-            const auto seen = client.watch("k", 5, 10ms);
-            return succeeded(seen) && valueOf(seen).changes.size() == 2
-                    && valueOf(seen).changes.back().object.name == "b";
+            const auto watched = client.watch("k", 5, 10ms);
+            return succeeded(watched) && valueOf(watched).changes.size() == 2
+                    && valueOf(watched).changes.back().object.name == "b";
         });
     }
 
-    void aNestedRefusalIsRead()
+    void nestedConflictReplyIsDecoded()
     {
         expectEndsWell([] {
-            const std::string standing =
+            const std::string storedObject =
                     R"({"metadata":{"name":"n"},"spec":{"x":)" + nested() + "}}";
-            scripted_store store({jsonReply(standing, 409), jsonReply("{}")});
+            scripted_store store({jsonReply(storedObject, 409), jsonReply("{}")});
             store_client client(store.address, store.metrics);
-            return succeeded(client.put("k", "n", {{"x", 1}})) && store.asked.size() == 2;
+            return succeeded(client.put("k", "n", {{"x", 1}})) && store.requests.size() == 2;
         });
     }
 
-    void nestedAnswersOfRunnersAreNone()
+    void nestedRunnerRepliesAreRejected()
     {
         expectEndsWell([] {
-            const gateway::dialect names = platformDialect();
-            return !names.readReport(R"({"seq":)" + nested() + "}")
-                    && !names.readReport(R"({"busy":)" + nested() + R"(,"seq":1})")
-                    && !names.readHandle(R"({"kvHandle":)" + nested() + "}");
+            const gateway::dialect engineDialect = platformDialect();
+            return !engineDialect.readReport(R"({"seq":)" + nested() + "}")
+                    && !engineDialect.readReport(R"({"busy":)" + nested() + R"(,"seq":1})")
+                    && !engineDialect.readHandle(R"({"kvHandle":)" + nested() + "}");
         });
     }
 };
--- a/tests/adapter/older_copy_herd_test.cpp
+++ b/tests/adapter/older_copy_herd_test.cpp
@@ -15,25 +15,26 @@
 
 using namespace std::chrono_literals;
 using std::chrono::steady_clock;
-using test::small_store;
-using form = small_store::call::form;
+using test::fake_store;
+using operation = fake_store::call::operation;
 
-/// Instances in one run; another number by POPLARSPOOL_HERD_INSTANCES, which prints the figures.
+/// Environment variable that overrides the number of instances in one run.
 constexpr char instancesVariable[] = "POPLARSPOOL_HERD_INSTANCES";
-constexpr int usualInstances = 4;
+constexpr int defaultInstances = 4;
 constexpr std::uint32_t storeConnections = 4096;
-constexpr milliseconds startTime = 60s;
-constexpr milliseconds quietTime = 3s; ///< Once all are entered, until they have found each other.
-constexpr milliseconds awayTime = 1s;
-constexpr milliseconds observedTime = 6s; ///< After the return.
-/// After the store's return, within which all instances' objects are there again.
-constexpr milliseconds entriesBackTime = 2s;
-constexpr milliseconds slotTime = 100ms;
+constexpr milliseconds startTimeout = 60s;
+/// For instances to discover each other after all have registered.
+constexpr milliseconds discoveryTime = 3s;
+constexpr milliseconds outageTime = 1s;
+constexpr milliseconds observationTime = 6s; ///< After the store's return.
+/// Max time from the store's return until all instances are registered again.
+constexpr milliseconds maxRegistrationTime = 2s;
+constexpr milliseconds bucketTime = 100ms;
 
 int instanceCount()
 {
     const char *text = std::getenv(instancesVariable); // NOLINT(concurrency-mt-unsafe)
-    return text == nullptr ? usualInstances : std::atoi(text); // NOLINT(cert-err34-c)
+    return text == nullptr ? defaultInstances : std::atoi(text); // NOLINT(cert-err34-c)
 }
 
 std::string nameOf(int instance)
@@ -41,8 +42,8 @@
     return "edge-" + std::to_string(instance);
 }
 
-/// Each instance has a loopback address of its own, so that no port is taken twice.
-gateway::gateway_settings settingsOf(int instance, const small_store &store)
+/// Each instance has its own loopback address, so that ports do not conflict.
+gateway::gateway_settings settingsOf(int instance, const fake_store &store)
 {
     const std::string host = "127.77." + std::to_string(1 + instance / 250) + "."
             + std::to_string(1 + instance % 250);
@@ -50,134 +51,135 @@
     made.instance.text = nameOf(instance);
     made.zone.text = std::string(1, static_cast<char>('a' + instance % 6));
     std::uint16_t port = 21000;
-    // The port after the peers' one is for news of the store.
+    // The port after the peer port is used for store updates.
     for (endpoint *each : {&made.callerAddress, &made.readinessAddress, &made.directoryAddress,
                            &made.loadAddress, &made.metricsAddress, &made.peerAddress})
         *each = {host, port++};
     made.sharesStoreNews = true;
-    made.storeAddress = store.at();
+    made.storeAddress = store.address();
     made.leaveSeconds = 1;
     return made;
 }
 
-std::string nameOf(const small_store::call &one)
+std::string nameOf(const fake_store::call &one)
 {
-    const std::map<form, std::string> names{{form::List, "lists"},
-                                            {form::Watch, "watches"},
-                                            {form::Get, "gets"},
-                                            {form::Write, "writes"}};
-    // Looks for other instances cost a tenth of a list.
-    const bool isLook = one.how == form::List && one.kind == wire::instanceKind;
-    return isLook ? "looks" : names.at(one.how);
+    const std::map<operation, std::string> names{{operation::List, "lists"},
+                                                 {operation::Watch, "watches"},
+                                                 {operation::Get, "gets"},
+                                                 {operation::Write, "writes"}};
+    // Counted separately: a list of instances costs a tenth of another list.
+    const bool isInstanceList = one.type == operation::List && one.kind == wire::instanceKind;
+    return isInstanceList ? "looks" : names.at(one.type);
 }
 
-/// What the instances asked of the store.
-struct herd_figures
+/// Calls of the instances to the store.
+struct call_statistics
 {
-    std::map<std::string, std::size_t> counts; ///< From its return on, by form.
-    std::map<std::string, std::map<std::int64_t, std::size_t>> bySlot;
+    std::map<std::string, std::size_t> counts; ///< Since the store's return, by type.
+    std::map<std::string, std::map<std::int64_t, std::size_t>> byBucket;
     std::map<std::string, std::size_t> writes; ///< By instance.
-    std::size_t refused = 0; ///< While it was away.
+    std::size_t refused = 0; ///< During the outage.
 
-    std::size_t mostWrites() const { return mostIn(writes); }
+    std::size_t maxWrites() const { return maxCount(writes); }
 
     template <class Key>
-    static std::size_t mostIn(const std::map<Key, std::size_t> &counted)
+    static std::size_t maxCount(const std::map<Key, std::size_t> &counted)
     {
-        std::size_t most = 0;
+        std::size_t highest = 0;
         for (const auto &[key, count] : counted)
-            most = std::max(most, count);
-        return most;
+            highest = std::max(highest, count);
+        return highest;
     }
 };
 
-herd_figures figuresOf(const std::vector<small_store::call> &calls, steady_clock::time_point backAt)
+call_statistics statisticsOf(const std::vector<fake_store::call> &calls,
+                             steady_clock::time_point restoredAt)
 {
-    herd_figures made;
-    for (const small_store::call &one : calls) {
+    call_statistics made;
+    for (const fake_store::call &one : calls) {
         if (one.isRefused) {
             ++made.refused;
-        } else if (one.at >= backAt) {
+        } else if (one.receivedAt >= restoredAt) {
             ++made.counts[nameOf(one)];
-            ++made.bySlot[nameOf(one)][(one.at - backAt) / slotTime];
+            ++made.byBucket[nameOf(one)][(one.receivedAt - restoredAt) / bucketTime];
         }
-        if (one.how == form::Write && !one.isRefused)
-            ++made.writes[one.caller];
+        if (one.type == operation::Write && !one.isRefused)
+            ++made.writes[one.objectName];
     }
     return made;
 }
 
-void print(const herd_figures &figures, int instances, milliseconds entriesBack)
+void print(const call_statistics &statistics, int instances, milliseconds registrationTime)
 {
-    std::cout << "herd instances=" << instances << " entries_back_ms=" << entriesBack.count()
-              << " refused_while_away=" << figures.refused
-              << " most_writes_of_one=" << figures.mostWrites();
-    for (const auto &[name, count] : figures.counts)
+    std::cout << "herd instances=" << instances << " entries_back_ms=" << registrationTime.count()
+              << " refused_while_away=" << statistics.refused
+              << " most_writes_of_one=" << statistics.maxWrites();
+    for (const auto &[name, count] : statistics.counts)
         std::cout << " " << name << "=" << count << " most_" << name
-                  << "_in_100_ms=" << herd_figures::mostIn(figures.bySlot.at(name));
+                  << "_in_100_ms=" << call_statistics::maxCount(statistics.byBucket.at(name));
     std::cout << std::endl;
 }
 
 } // namespace
 
-class older_copy_herd_test : public CppUnit::TestFixture
+class store_rollback_load_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(older_copy_herd_test);
-    CPPUNIT_TEST(allEntriesAreBackInTimeByOneWriteEach);
+    CPPUNIT_TEST_SUITE(store_rollback_load_test);
+    CPPUNIT_TEST(allInstancesRegisterAgainInTimeWithOneWriteEach);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// The store is away for a second and comes back without any instance's object. Instances that
-    /// stay missing are unknown to those that start, and callers aren't sent to them; all that
-    /// write at once, or more than once, exceed what the store takes.
-    void allEntriesAreBackInTimeByOneWriteEach()
+    /// The store is down for 1 s and is restored from a snapshot without any instance's object.
+    /// Instances that stay missing are unknown to newly started ones and get no callers. If all
+    /// write at once, or more than once, they exceed the capacity of the store.
+    void allInstancesRegisterAgainInTimeWithOneWriteEach()
     {
         const int count = instanceCount();
-        small_store store(storeConnections);
+        fake_store store(storeConnections);
         store.put(wire::configKind, wire::configName, test::configSpec(4));
         store.put(wire::runnerKind, "i-1", test::runnerSpec("in_service", 4));
-        const auto copy = store.current();
+        const auto snapshot = store.takeSnapshot();
         std::vector<std::unique_ptr<platform_gateway>> instances;
         for (int i = 0; i < count; ++i) {
             instances.push_back(std::make_unique<platform_gateway>(settingsOf(i, store)));
             CPPUNIT_ASSERT(succeeded(instances.back()->start()));
         }
-        const bool haveStarted = waitForAll(store, count, startTime) < startTime;
-        std::this_thread::sleep_for(quietTime);
+        const bool haveRegistered = waitUntilRegistered(store, count, startTimeout) < startTimeout;
+        std::this_thread::sleep_for(discoveryTime);
         store.takeCalls();
-        store.goAway();
-        std::this_thread::sleep_for(awayTime);
-        const auto backAt = steady_clock::now();
-        store.comeBackAs(copy);
-        const milliseconds entriesBack = waitForAll(store, count, observedTime);
-        std::this_thread::sleep_until(backAt + observedTime);
-        const herd_figures figures = figuresOf(store.takeCalls(), backAt);
+        store.startOutage();
+        std::this_thread::sleep_for(outageTime);
+        const auto restoredAt = steady_clock::now();
+        store.endOutageWith(snapshot);
+        const milliseconds registrationTime = waitUntilRegistered(store, count, observationTime);
+        std::this_thread::sleep_until(restoredAt + observationTime);
+        const call_statistics statistics = statisticsOf(store.takeCalls(), restoredAt);
         for (auto &each : instances)
             each->leave();
-        print(figures, count, entriesBack);
-        CPPUNIT_ASSERT(haveStarted);
-        CPPUNIT_ASSERT_LESS(entriesBackTime.count(), entriesBack.count());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(count), figures.writes.size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, figures.mostWrites());
+        print(statistics, count, registrationTime);
+        CPPUNIT_ASSERT(haveRegistered);
+        CPPUNIT_ASSERT_LESS(maxRegistrationTime.count(), registrationTime.count());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(count), statistics.writes.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, statistics.maxWrites());
     }
 
 private:
-    /// @returns The time that it took until all instances' objects were there.
-    static milliseconds waitForAll(small_store &store, int count, milliseconds most)
+    /// @returns The time until all instances were registered, or the time-out.
+    static milliseconds waitUntilRegistered(fake_store &store, int count, milliseconds timeout)
     {
         const auto from = steady_clock::now();
         int next = 0;
-        while (steady_clock::now() - from < most) {
+        while (steady_clock::now() - from < timeout) {
             while (next < count && store.has(wire::instanceKind, nameOf(next)))
                 ++next;
             if (next == count)
                 return std::chrono::ceil<milliseconds>(steady_clock::now() - from);
             std::this_thread::sleep_for(5ms);
         }
-        return most;
+        return timeout;
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(older_copy_herd_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(store_rollback_load_test);
 
 } // namespace poplarspool::adapter
--- a/tests/adapter/older_copy_stress_test.cpp
+++ b/tests/adapter/older_copy_stress_test.cpp
@@ -11,25 +11,26 @@
 namespace {
 
 using namespace std::chrono_literals;
-using test::following_instance;
+using test::fake_store;
+using test::follower_fixture;
 using test::runnerSpec;
-using test::small_store;
 using test::waitUntil;
 
-/// Seeds in one run, and instances that each has; more of both by POPLARSPOOL_STRESS_SEEDS and
-/// POPLARSPOOL_STRESS_INSTANCES.
-constexpr int usualSeeds = 1;
-constexpr int usualInstances = 3;
+/// Number of seeds in one run, and of instances for each seed. POPLARSPOOL_STRESS_SEEDS and
+/// POPLARSPOOL_STRESS_INSTANCES override them.
+constexpr int defaultSeeds = 1;
+constexpr int defaultInstances = 3;
 constexpr int rounds = 3;
 constexpr int runnerCount = 6;
-/// Time for which it is watched that nobody uses a runner that was known to leave: two datagrams
-/// and a call to the store fit.
-constexpr milliseconds watchedTime = 800ms;
+/// Time in which no instance may use a runner that was known to leave. Two datagrams and a call to
+/// the store fit into it.
+constexpr milliseconds observationTime = 800ms;
 
-int fromEnvironment(const char *name, int usual)
+int fromEnvironment(const char *name, int defaultValue)
 {
     const char *text = std::getenv(name); // NOLINT(concurrency-mt-unsafe): nobody sets any.
-    return text == nullptr ? usual : std::atoi(text); // NOLINT(cert-err34-c): 0 plays nothing.
+    return text == nullptr ? defaultValue
+                           : std::atoi(text); // NOLINT(cert-err34-c): 0 plays nothing.
 }
 
 std::string nameOf(int runner)
@@ -37,53 +38,54 @@
     return "i-" + std::to_string(runner);
 }
 
-bool isUsed(const following_instance &one, int runner)
+bool isUsed(const follower_fixture &one, int runner)
 {
     const auto entry = one.find(nameOf(runner));
     return entry && !entry->isDraining && entry->keptUntil == mono_time::max();
 }
 
-/// Instances that follow one store and tell each other, and the runners as they really are.
-class small_fleet
+/// Instances that follow one store and send each other updates, and the actual state of the
+/// runners.
+class test_fleet
 {
 public:
-    small_fleet(int count, unsigned seed) : draw(seed)
+    test_fleet(int count, unsigned seed) : generator(seed)
     {
         for (int runner = 0; runner < runnerCount; ++runner)
-            enter(runner);
+            registerRunner(runner);
         for (std::uint16_t port = 23000; port < 26000 && !isStarted; port += 200)
             start(count, port);
         CPPUNIT_ASSERT(isStarted);
     }
 
-    /// A runner leaves: it says so, or is taken away without a word.
-    void leave(int runner)
+    /// Makes a runner leave: its entry is set to draining or is removed.
+    void startLeaving(int runner)
     {
         ++writes;
         isLeaving[runner] = true;
-        isSilent[runner] = draw() % 2 == 0;
-        tellStoreOf(runner);
+        isRemoved[runner] = generator() % 2 == 0;
+        writeEntry(runner);
     }
 
-    /// It ends, and starts again under its id.
+    /// Restarts a runner with the same id.
     void restart(int runner)
     {
-        born[runner] += 1 + static_cast<int>(draw() % 1000);
-        enter(runner);
+        startTimes[runner] += 1 + static_cast<int>(generator() % 1000);
+        registerRunner(runner);
     }
 
-    /// The store comes back as it was some rounds ago. What was lost is written again later.
-    void goBack() { store.goBackTo(copies[draw() % copies.size()]); }
+    /// Restores the snapshot of a random earlier round. writeAgain() writes the lost changes again.
+    void rollBack() { store.restoreSnapshot(snapshots[generator() % snapshots.size()]); }
 
-    void copy() { copies.push_back(store.current()); }
+    void takeSnapshot() { snapshots.push_back(store.takeSnapshot()); }
 
     void writeAgain()
     {
         for (int runner = 0; runner < runnerCount; ++runner)
-            tellStoreOf(runner);
+            writeEntry(runner);
     }
 
-    bool doAllAgree() const
+    bool doAllMatch() const
     {
         return std::ranges::all_of(instances, [this](const auto &one) {
             for (int runner = 0; runner < runnerCount; ++runner) {
@@ -94,46 +96,46 @@
         });
     }
 
-    bool doesAnyUse(int runner) const
+    bool isUsedByAny(int runner) const
     {
         return std::ranges::any_of(instances,
                                    [runner](const auto &one) { return isUsed(*one, runner); });
     }
 
-    /// @returns Whether an instance that starts now comes to leave the runner alone, by what the
-    ///          others put into their objects.
-    bool doesNewcomerLeaveAlone(int runner) const
+    /// @returns Whether an instance that starts now avoids the runner, due to the outdated markers
+    ///          in the objects of the others.
+    bool doesNewInstanceAvoid(int runner) const
     {
         gateway::gateway_settings settings;
         settings.instance.text = "newcomer";
-        settings.storeAddress = store.at();
-        following_instance newcomer(settings);
-        if (!succeeded(newcomer.follower.start()))
+        settings.storeAddress = store.address();
+        follower_fixture newInstance(settings);
+        if (!succeeded(newInstance.follower.start()))
             return false;
         return waitUntil([&] {
-            newcomer.follower.setListed(listedNow());
-            return newcomer.hasLogged("runners_listed") && !isUsed(newcomer, runner);
+            newInstance.follower.setListed(listedInstances());
+            return newInstance.hasLogged("runners_listed") && !isUsed(newInstance, runner);
         });
     }
 
-    /// @returns The last lines of an instance that uses the runner.
-    std::string linesOfOneThatUses(int runner) const
+    /// @returns The log of an instance that uses the runner.
+    std::string logOfOneThatUses(int runner) const
     {
-        std::string lines;
+        std::string log;
         for (const auto &one : instances) {
             if (!isUsed(*one, runner))
                 continue;
             for (const event &each : one->events.events({}))
-                lines += lineOf(each) + "\n";
+                log += lineOf(each) + "\n";
             break;
         }
-        return lines;
+        return log;
     }
 
-    int drawRunner() { return static_cast<int>(draw() % runnerCount); }
+    int randomRunner() { return static_cast<int>(generator() % runnerCount); }
 
 private:
-    std::vector<gateway::listed_gateway> listedNow() const
+    std::vector<gateway::listed_gateway> listedInstances() const
     {
         std::vector<gateway::listed_gateway> listed;
         for (const auto &one : instances) {
@@ -143,21 +145,21 @@
         return listed;
     }
 
-    void enter(int runner)
+    void registerRunner(int runner)
     {
         ++writes;
         isLeaving[runner] = false;
-        isSilent[runner] = false;
-        tellStoreOf(runner);
+        isRemoved[runner] = false;
+        writeEntry(runner);
     }
 
-    void tellStoreOf(int runner)
+    void writeEntry(int runner)
     {
-        if (isSilent[runner])
+        if (isRemoved[runner])
             return store.remove(wire::runnerKind, nameOf(runner));
         auto spec = nlohmann::json::parse(
                 runnerSpec(isLeaving[runner] ? "draining" : "in_service", writes));
-        spec[wire::startedAtMs] = born[runner];
+        spec[wire::startedAtMs] = startTimes[runner];
         store.put(wire::runnerKind, nameOf(runner), spec.dump());
     }
 
@@ -172,8 +174,8 @@
             made.zone.text = "a";
             made.peerAddress = {"127.0.0.1", static_cast<std::uint16_t>(firstPort + 2 * i)};
             made.sharesStoreNews = true;
-            made.storeAddress = store.at();
-            instances.push_back(std::make_unique<following_instance>(made));
+            made.storeAddress = store.address();
+            instances.push_back(std::make_unique<follower_fixture>(made));
             isStarted = isStarted && succeeded(instances.back()->follower.start());
             listed.push_back(instances.back()->entry());
         }
@@ -181,74 +183,74 @@
             one->follower.setListed(listed);
     }
 
-    std::mt19937 draw;
-    small_store store;
-    std::vector<small_store::copy> copies;
+    std::mt19937 generator;
+    fake_store store;
+    std::vector<fake_store::snapshot> snapshots;
     std::array<bool, runnerCount> isLeaving{};
-    std::array<bool, runnerCount> isSilent{};
-    std::array<int, runnerCount> born{};
-    int writes = 0; ///< One count for all: it rises for each.
-    std::vector<std::unique_ptr<following_instance>> instances;
+    std::array<bool, runnerCount> isRemoved{};
+    std::array<int, runnerCount> startTimes{};
+    int writes = 0; ///< Of all runners, so that it rises for each of them.
+    std::vector<std::unique_ptr<follower_fixture>> instances;
     bool isStarted = false;
 };
 
 } // namespace
 
-class older_copy_stress_test : public CppUnit::TestFixture
+class store_rollback_stress_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(older_copy_stress_test);
-    CPPUNIT_TEST(nobodyUsesARunnerThatWasKnownToLeave);
+    CPPUNIT_TEST_SUITE(store_rollback_stress_test);
+    CPPUNIT_TEST(leavingRunnersAreNotUsedAfterRollback);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Callers are sent to a runner that has left. Runners leave with and without a word; the store
-    /// goes back to copies of any age, again before the last one is over; instances notice at
-    /// different times and tell each other meanwhile; others start. Whatever an instance knew of a
-    /// leaving runner must hold, who starts must hear of it, and in the end all must agree with
-    /// what the runners have written.
-    void nobodyUsesARunnerThatWasKnownToLeave()
+    /// Guards against callers sent to a runner that has left. Runners leave with a draining entry
+    /// or by its removal. The store is rolled back to snapshots of any age, again before the last
+    /// rollback is over; instances detect it at different times and send each other updates
+    /// meanwhile, and new ones start. What an instance knew of a leaving runner must hold, new
+    /// instances must receive it, and in the end all must match what the runners have written.
+    void leavingRunnersAreNotUsedAfterRollback()
     {
-        const int seeds = fromEnvironment("POPLARSPOOL_STRESS_SEEDS", usualSeeds);
-        const int count = fromEnvironment("POPLARSPOOL_STRESS_INSTANCES", usualInstances);
+        const int seeds = fromEnvironment("POPLARSPOOL_STRESS_SEEDS", defaultSeeds);
+        const int count = fromEnvironment("POPLARSPOOL_STRESS_INSTANCES", defaultInstances);
         for (int seed = 1; seed <= seeds; ++seed)
-            playSeed(count, static_cast<unsigned>(seed));
+            runSeed(count, static_cast<unsigned>(seed));
     }
 
 private:
-    static void playSeed(int count, unsigned seed)
+    static void runSeed(int count, unsigned seed)
     {
         const std::string name = "seed " + std::to_string(seed);
-        small_fleet fleet(count, seed);
-        CPPUNIT_ASSERT_MESSAGE(name, waitUntil([&] { return fleet.doAllAgree(); }));
+        test_fleet fleet(count, seed);
+        CPPUNIT_ASSERT_MESSAGE(name, waitUntil([&] { return fleet.doAllMatch(); }));
         for (int round = 0; round < rounds; ++round) {
-            fleet.copy();
-            const int leaving = fleet.drawRunner();
-            fleet.leave(leaving);
-            CPPUNIT_ASSERT_MESSAGE(name, waitUntil([&] { return fleet.doAllAgree(); }));
-            fleet.goBack();
+            fleet.takeSnapshot();
+            const int leaving = fleet.randomRunner();
+            fleet.startLeaving(leaving);
+            CPPUNIT_ASSERT_MESSAGE(name, waitUntil([&] { return fleet.doAllMatch(); }));
+            fleet.rollBack();
             assertUnused(fleet, leaving, name);
-            CPPUNIT_ASSERT_MESSAGE(name, fleet.doesNewcomerLeaveAlone(leaving));
+            CPPUNIT_ASSERT_MESSAGE(name, fleet.doesNewInstanceAvoid(leaving));
             if (round % 2 == 1)
-                fleet.goBack();
+                fleet.rollBack();
             fleet.writeAgain();
-            CPPUNIT_ASSERT_MESSAGE(name, waitUntil([&] { return fleet.doAllAgree(); }));
+            CPPUNIT_ASSERT_MESSAGE(name, waitUntil([&] { return fleet.doAllMatch(); }));
             fleet.restart(leaving);
-            CPPUNIT_ASSERT_MESSAGE(name, waitUntil([&] { return fleet.doAllAgree(); }));
+            CPPUNIT_ASSERT_MESSAGE(name, waitUntil([&] { return fleet.doAllMatch(); }));
         }
     }
 
-    static void assertUnused(const small_fleet &fleet, int runner, const std::string &name)
+    static void assertUnused(const test_fleet &fleet, int runner, const std::string &name)
     {
-        const auto end = std::chrono::steady_clock::now() + watchedTime;
+        const auto end = std::chrono::steady_clock::now() + observationTime;
         while (std::chrono::steady_clock::now() < end) {
             CPPUNIT_ASSERT_MESSAGE(name + " " + nameOf(runner) + "\n"
-                                           + fleet.linesOfOneThatUses(runner),
-                                   !fleet.doesAnyUse(runner));
+                                           + fleet.logOfOneThatUses(runner),
+                                   !fleet.isUsedByAny(runner));
             std::this_thread::sleep_for(5ms);
         }
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(older_copy_stress_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(store_rollback_stress_test);
 
 } // namespace poplarspool::adapter
--- a/tests/adapter/older_copy_test.cpp
+++ b/tests/adapter/older_copy_test.cpp
@@ -10,22 +10,22 @@
 namespace {
 
 using namespace std::chrono_literals;
-using test::following_instance;
+using test::fake_store;
+using test::follower_fixture;
 using test::runnerSpec;
-using test::small_store;
 using test::waitUntil;
 
-gateway::gateway_settings settingsFor(const small_store &store)
+gateway::gateway_settings settingsFor(const fake_store &store)
 {
     gateway::gateway_settings made;
     made.instance.text = "edge-1";
     made.zone.text = "a";
-    made.storeAddress = store.at();
+    made.storeAddress = store.address();
     return made;
 }
 
-/// Of a whole instance, at addresses that are free.
-gateway::gateway_settings instanceSettings(const small_store &store)
+/// Settings of a complete instance, with free ports.
+gateway::gateway_settings completeSettings(const fake_store &store)
 {
     const endpoint any{"127.0.0.1", 0};
     gateway::gateway_settings made = settingsFor(store);
@@ -36,46 +36,46 @@
     return made;
 }
 
-/// A clock that stands still, so that on a busy machine nothing is over too early.
-clock_source standingClock()
+/// A clock that stands still, so that nothing times out early on a loaded machine.
+clock_source frozenClock()
 {
     clock_source made = systemClock();
     made.mono = [] { return mono_time(1h); };
     return made;
 }
 
-bool isUsed(const following_instance &one, const std::string &runner)
+bool isUsed(const follower_fixture &one, const std::string &runner)
 {
     const auto entry = one.find(runner);
     return entry && !entry->isDraining;
 }
 
-/// @returns How often the list of runners was found to be of an older copy, and taken.
-std::size_t timesGoneBack(const following_instance &one)
+/// @returns The number of rollbacks that were detected in the list of runners and listed again.
+std::size_t rollbackCount(const follower_fixture &one)
 {
-    const auto isOfRunners = [](const event &each) {
+    const auto isRunnerList = [](const event &each) {
         return each.fields.front().value == wire::runnerKind;
     };
-    const auto seen = one.events.events({"store_went_back", {}, {}});
+    const auto rollbacks = one.events.events({"store_went_back", {}, {}});
     const auto listed = one.events.events({"runners_listed", {}, {}}).size();
-    return std::min<std::size_t>(std::ranges::count_if(seen, isOfRunners), listed - 1);
+    return std::min<std::size_t>(std::ranges::count_if(rollbacks, isRunnerList), listed - 1);
 }
 
-std::vector<gateway::listed_gateway> listedIn(following_instance &one)
+std::vector<gateway::listed_gateway> listInstances(follower_fixture &one)
 {
     const auto listed = one.client.list(wire::instanceKind, read_mode::Current);
     CPPUNIT_ASSERT(succeeded(listed));
     return decodeAll(valueOf(listed).objects, decodeInstance, one.events);
 }
 
-/// @returns Whether an instance's object says that a runner's entry is outdated.
-bool doesNameOutdated(const small_store &store, const std::string &instance,
+/// @returns Whether the object of an instance marks the entry of a runner as outdated.
+bool doesMarkOutdated(const fake_store &store, const std::string &instance,
                       const std::string &runner)
 {
     gateway::gateway_settings reader = settingsFor(store);
     reader.instance.text = "reader";
-    following_instance one(reader);
-    for (const gateway::listed_gateway &each : listedIn(one)) {
+    follower_fixture one(reader);
+    for (const gateway::listed_gateway &each : listInstances(one)) {
         if (each.id.text == instance
             && std::ranges::find(each.outdated, runner_id{runner}, &gateway::entry_mark::id)
                     != each.outdated.end())
@@ -84,84 +84,86 @@
     return false;
 }
 
-void putRunner(small_store &store, const std::string &name, const std::string &state, int writes)
+void putRunner(fake_store &store, const std::string &name, const std::string &state, int writes)
 {
     store.put(wire::runnerKind, name, runnerSpec(state, writes));
 }
 
 } // namespace
 
-class older_copy_test : public CppUnit::TestFixture
+class store_rollback_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(older_copy_test);
-    CPPUNIT_TEST(aRunnerThatLeftInTheLostTimeIsLeftAlone);
-    CPPUNIT_TEST(aRevisionThatMatchesByChanceIsNoticed);
-    CPPUNIT_TEST(whatEnteredInTheLostTimeIsKept);
-    CPPUNIT_TEST(aSecondCopyWithinTheFirstChangesNothing);
-    CPPUNIT_TEST(instancesEnterThemselvesAgainOnce);
-    CPPUNIT_TEST(whatWasEnteredBeforeTheFirstListIsEnteredAgain);
-    CPPUNIT_TEST(anEpochThatIsNamedOnceIsForgotten);
-    CPPUNIT_TEST(whoStartsAfterwardsHearsOfLostLeaving);
+    CPPUNIT_TEST_SUITE(store_rollback_test);
+    CPPUNIT_TEST(leavingRunnerIsNotUsedAfterRollback);
+    CPPUNIT_TEST(rollbackWithEqualRevisionIsDetected);
+    CPPUNIT_TEST(runnerMissingInTheSnapshotIsKept);
+    CPPUNIT_TEST(secondRollbackDuringTheFirstChangesNothing);
+    CPPUNIT_TEST(instanceRegistersAgainOnce);
+    CPPUNIT_TEST(instanceRegisteredBeforeItsFirstListRegistersAgain);
+    CPPUNIT_TEST(epochOfASingleReplyIsDiscarded);
+    CPPUNIT_TEST(newInstanceReceivesOutdatedMarkers);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Callers are sent to a runner that had said that it leaves, and are cut off at its end. The
-    /// store came back from a copy that was made before the runner's word, and its revisions are
-    /// given out again. The copy's entry is older than what the instance knows.
-    void aRunnerThatLeftInTheLostTimeIsLeftAlone()
+    /// Guards against callers sent to a draining runner and cut off at its end. The store was
+    /// restored from a snapshot taken before the runner's entry changed to draining, and assigns
+    /// the same revisions again. The snapshot's entry is older than what the instance knows.
+    void leavingRunnerIsNotUsedAfterRollback()
     {
-        small_store store;
-        putRunner(store, "says", "in_service", 4);
-        putRunner(store, "silent", "in_service", 4);
+        fake_store store;
+        putRunner(store, "drains", "in_service", 4);
+        putRunner(store, "removed", "in_service", 4);
         putRunner(store, "stays", "in_service", 4);
-        const auto copy = store.current();
-        following_instance one(settingsFor(store));
+        const auto snapshot = store.takeSnapshot();
+        follower_fixture one(settingsFor(store));
         CPPUNIT_ASSERT(succeeded(one.follower.start()));
-        CPPUNIT_ASSERT(waitUntil([&] { return isUsed(one, "says") && isUsed(one, "silent"); }));
-        putRunner(store, "says", "draining", 5);
-        store.remove(wire::runnerKind, "silent");
-        CPPUNIT_ASSERT(waitUntil([&] { return !isUsed(one, "says") && !isUsed(one, "silent"); }));
-        store.goBackTo(copy);
-        CPPUNIT_ASSERT(waitUntil([&] { return timesGoneBack(one) == 1; }));
+        CPPUNIT_ASSERT(waitUntil([&] { return isUsed(one, "drains") && isUsed(one, "removed"); }));
+        putRunner(store, "drains", "draining", 5);
+        store.remove(wire::runnerKind, "removed");
+        CPPUNIT_ASSERT(
+                waitUntil([&] { return !isUsed(one, "drains") && !isUsed(one, "removed"); }));
+        store.restoreSnapshot(snapshot);
+        CPPUNIT_ASSERT(waitUntil([&] { return rollbackCount(one) == 1; }));
         CPPUNIT_ASSERT(isUsed(one, "stays"));
-        CPPUNIT_ASSERT(!isUsed(one, "says") && !isUsed(one, "silent"));
-        // The one has its word written again; the other lives after all and writes its entry.
-        putRunner(store, "says", "draining", 5);
-        putRunner(store, "silent", "in_service", 6);
-        CPPUNIT_ASSERT(waitUntil([&] { return isUsed(one, "silent"); }));
-        CPPUNIT_ASSERT(!isUsed(one, "says"));
+        CPPUNIT_ASSERT(!isUsed(one, "drains") && !isUsed(one, "removed"));
+        // The draining entry is written again; the other runner still runs and writes its entry.
+        putRunner(store, "drains", "draining", 5);
+        putRunner(store, "removed", "in_service", 6);
+        CPPUNIT_ASSERT(waitUntil([&] { return isUsed(one, "removed"); }));
+        CPPUNIT_ASSERT(!isUsed(one, "drains"));
     }
 
-    /// The store has come back, and by the time of the next call it has taken as many changes as it
-    /// had lost. Its revision is the known one, so that the watch goes on as if nothing had
+    /// By the time of the next call, the restored store has accepted as many changes as it had
+    /// lost. Its revision equals the known one, so that the watch continues as if nothing had
     /// happened: a runner that left meanwhile would stay in use for good.
-    void aRevisionThatMatchesByChanceIsNoticed()
+    void rollbackWithEqualRevisionIsDetected()
     {
-        small_store store;
+        fake_store store;
         putRunner(store, "a", "in_service", 4);
-        const auto copy = store.current();
+        const auto snapshot = store.takeSnapshot();
         putRunner(store, "b", "in_service", 4);
-        following_instance one(settingsFor(store));
+        follower_fixture one(settingsFor(store));
         CPPUNIT_ASSERT(succeeded(one.follower.start()));
         CPPUNIT_ASSERT(waitUntil([&] { return isUsed(one, "a") && isUsed(one, "b"); }));
-        auto later = copy;
+        auto later = snapshot;
         later.kinds[wire::runnerKind]["a"] = {runnerSpec("draining", 5), ++later.revision, false};
-        CPPUNIT_ASSERT_EQUAL(store.current().revision, later.revision);
-        store.goBackTo(later);
+        CPPUNIT_ASSERT_EQUAL(store.takeSnapshot().revision, later.revision);
+        store.restoreSnapshot(later);
         CPPUNIT_ASSERT(waitUntil([&] { return !isUsed(one, "a"); }));
     }
 
-    /// A runner entered itself after the copy was made. It is missing in the copy and lives:
-    /// dropped at once, callers would be refused although it has room. It writes its entry again.
-    void whatEnteredInTheLostTimeIsKept()
+    /// A runner registered after the snapshot was taken. It is missing in the snapshot but still
+    /// runs: if it were dropped at once, callers would be refused although it has free capacity. It
+    /// writes its entry again.
+    void runnerMissingInTheSnapshotIsKept()
     {
-        small_store store;
-        const auto copy = store.current();
+        fake_store store;
+        const auto snapshot = store.takeSnapshot();
         putRunner(store, "a", "in_service", 1);
-        following_instance one(settingsFor(store), standingClock());
+        follower_fixture one(settingsFor(store), frozenClock());
         CPPUNIT_ASSERT(succeeded(one.follower.start()));
         CPPUNIT_ASSERT(waitUntil([&] { return isUsed(one, "a"); }));
-        store.goBackTo(copy);
+        store.restoreSnapshot(snapshot);
         CPPUNIT_ASSERT(waitUntil([&] { return one.hasLogged("runner_missing"); }));
         CPPUNIT_ASSERT(isUsed(one, "a"));
         putRunner(store, "a", "in_service", 2);
@@ -171,113 +173,116 @@
         }));
     }
 
-    /// The store goes back twice, the second time before the runner's word is written again. The
-    /// first copy must not count as news that the second one confirms.
-    void aSecondCopyWithinTheFirstChangesNothing()
+    /// The store is rolled back twice, the second time before the runner's state is written again.
+    /// The first snapshot must not count as a change that the second one confirms.
+    void secondRollbackDuringTheFirstChangesNothing()
     {
-        small_store store;
+        fake_store store;
         putRunner(store, "a", "in_service", 4);
-        const auto copy = store.current();
-        following_instance one(settingsFor(store));
+        const auto snapshot = store.takeSnapshot();
+        follower_fixture one(settingsFor(store));
         CPPUNIT_ASSERT(succeeded(one.follower.start()));
         CPPUNIT_ASSERT(waitUntil([&] { return isUsed(one, "a"); }));
         store.remove(wire::runnerKind, "a");
         CPPUNIT_ASSERT(waitUntil([&] { return !isUsed(one, "a"); }));
         for (std::size_t times = 1; times <= 2; ++times) {
-            store.goBackTo(copy);
-            CPPUNIT_ASSERT(waitUntil([&] { return timesGoneBack(one) == times; }));
+            store.restoreSnapshot(snapshot);
+            CPPUNIT_ASSERT(waitUntil([&] { return rollbackCount(one) == times; }));
             CPPUNIT_ASSERT(!isUsed(one, "a"));
         }
     }
 
-    /// All instances' objects are gone with the lost time. Nobody would list them to the others any
-    /// more; each writes its own again, and only once.
-    void instancesEnterThemselvesAgainOnce()
+    /// The objects of all instances are lost in the rollback, so that no instance would find the
+    /// others any more. Each one writes its own again, and only once.
+    void instanceRegistersAgainOnce()
     {
-        small_store store;
+        fake_store store;
         store.put(wire::configKind, wire::configName, test::configSpec(4));
-        const auto copy = store.current();
-        platform_gateway instance(instanceSettings(store));
+        const auto snapshot = store.takeSnapshot();
+        platform_gateway instance(completeSettings(store));
         CPPUNIT_ASSERT(succeeded(instance.start()));
         const auto isListed = [&] { return store.has(wire::instanceKind, "edge-1"); };
-        const bool hasEntered = waitUntil(isListed);
-        store.goBackTo(copy);
-        const bool isBack = waitUntil(isListed);
-        const int asked = store.watches;
-        const bool goesOn = waitUntil([&] { return store.watches >= asked + 4; });
+        const bool hasRegistered = waitUntil(isListed);
+        store.restoreSnapshot(snapshot);
+        const bool isRegisteredAgain = waitUntil(isListed);
+        const int watchesBefore = store.watches;
+        const bool keepsWatching = waitUntil([&] { return store.watches >= watchesBefore + 4; });
         instance.leave();
-        CPPUNIT_ASSERT(hasEntered);
-        CPPUNIT_ASSERT(isBack);
-        CPPUNIT_ASSERT(goesOn);
+        CPPUNIT_ASSERT(hasRegistered);
+        CPPUNIT_ASSERT(isRegisteredAgain);
+        CPPUNIT_ASSERT(keepsWatching);
         CPPUNIT_ASSERT_EQUAL(2, store.writes.load());
     }
 
-    /// One answer names an epoch that never was. The instance wrote its entry again every 2 s.
-    void anEpochThatIsNamedOnceIsForgotten()
+    /// One reply has an epoch that never existed. Guards against an instance that then writes its
+    /// entry again every 2 s.
+    void epochOfASingleReplyIsDiscarded()
     {
-        small_store store;
+        fake_store store;
         store.put(wire::configKind, wire::configName, test::configSpec(4));
-        platform_gateway instance(instanceSettings(store));
+        platform_gateway instance(completeSettings(store));
         CPPUNIT_ASSERT(succeeded(instance.start()));
-        const bool hasEntered = waitUntil([&] { return store.has(wire::instanceKind, "edge-1"); });
-        store.nameOnce(900'000);
-        const int asked = store.watches;
-        const bool goesOn = waitUntil([&] { return store.watches >= asked + 24; });
+        const bool hasRegistered =
+                waitUntil([&] { return store.has(wire::instanceKind, "edge-1"); });
+        store.sendEpochOnce(900'000);
+        const int watchesBefore = store.watches;
+        const bool keepsWatching = waitUntil([&] { return store.watches >= watchesBefore + 24; });
         instance.leave();
-        CPPUNIT_ASSERT(hasEntered);
-        CPPUNIT_ASSERT(goesOn);
+        CPPUNIT_ASSERT(hasRegistered);
+        CPPUNIT_ASSERT(keepsWatching);
         CPPUNIT_ASSERT_MESSAGE(std::to_string(store.writes), store.writes <= 2);
     }
 
-    /// An instance starts and enters itself; the store goes back before the instance has listed
-    /// anything, so that its first list is of the copy already. Nothing shows it but the epoch in
-    /// which its object was written: the others would never hear of it.
-    void whatWasEnteredBeforeTheFirstListIsEnteredAgain()
+    /// An instance starts and registers; the store is rolled back before the instance has listed
+    /// anything, so that its first list is already of the snapshot. Only the epoch in which its
+    /// object was written shows the rollback. Undetected, the others would never find the instance.
+    void instanceRegisteredBeforeItsFirstListRegistersAgain()
     {
-        small_store store;
-        const auto copy = store.current();
-        store.goBackAfterTheFirstWrite(copy);
-        platform_gateway instance(instanceSettings(store));
+        fake_store store;
+        const auto snapshot = store.takeSnapshot();
+        store.restoreAfterFirstWrite(snapshot);
+        platform_gateway instance(completeSettings(store));
         const bool hasStarted = succeeded(instance.start());
-        const bool isBack = waitUntil(
+        const bool isRegisteredAgain = waitUntil(
                 [&] { return store.writes == 2 && store.has(wire::instanceKind, "edge-1"); });
         instance.leave();
         CPPUNIT_ASSERT(hasStarted);
-        CPPUNIT_ASSERT(isBack);
+        CPPUNIT_ASSERT(isRegisteredAgain);
     }
 
-    /// Callers of an instance that started after the store had gone back are sent to a runner that
-    /// had left before. The copy has it in service. An instance that knew of its leaving says so in
-    /// its own object, which costs one write; who starts lists these objects anyway.
-    void whoStartsAfterwardsHearsOfLostLeaving()
+    /// Guards against callers sent to a runner that had left, by an instance that started after a
+    /// rollback: the snapshot has the runner in service. An instance that knew of its leaving marks
+    /// the entry as outdated in its own object, which costs one write. New instances list these
+    /// objects anyway.
+    void newInstanceReceivesOutdatedMarkers()
     {
-        small_store store;
+        fake_store store;
         putRunner(store, "gone", "in_service", 4);
         putRunner(store, "stays", "in_service", 4);
-        const auto copy = store.current();
-        platform_gateway knowing(instanceSettings(store));
-        CPPUNIT_ASSERT(succeeded(knowing.start()));
-        const bool hasEntered = waitUntil(
+        const auto snapshot = store.takeSnapshot();
+        platform_gateway markingInstance(completeSettings(store));
+        CPPUNIT_ASSERT(succeeded(markingInstance.start()));
+        const bool hasRegistered = waitUntil(
                 [&] { return store.has(wire::instanceKind, "edge-1") && store.watches > 2; });
         store.remove(wire::runnerKind, "gone");
-        const int asked = store.watches;
-        const bool hasHeard = waitUntil([&] { return store.watches >= asked + 4; });
-        store.goBackTo(copy);
-        const bool isSaid = waitUntil([&] { return doesNameOutdated(store, "edge-1", "gone"); });
-        const int written = store.writes;
-        following_instance started(settingsFor(store));
-        CPPUNIT_ASSERT(succeeded(started.follower.start()));
-        started.follower.setListed(listedIn(started));
-        const bool isLeftAlone =
-                waitUntil([&] { return isUsed(started, "stays") && !isUsed(started, "gone"); });
-        knowing.leave();
-        CPPUNIT_ASSERT(hasEntered && hasHeard);
-        CPPUNIT_ASSERT(isSaid);
-        CPPUNIT_ASSERT(isLeftAlone);
-        CPPUNIT_ASSERT(written <= 3);
+        const int watchesBefore = store.watches;
+        const bool hasSeenRemoval = waitUntil([&] { return store.watches >= watchesBefore + 4; });
+        store.restoreSnapshot(snapshot);
+        const bool isMarked = waitUntil([&] { return doesMarkOutdated(store, "edge-1", "gone"); });
+        const int writeCount = store.writes;
+        follower_fixture newInstance(settingsFor(store));
+        CPPUNIT_ASSERT(succeeded(newInstance.follower.start()));
+        newInstance.follower.setListed(listInstances(newInstance));
+        const bool isAvoided = waitUntil(
+                [&] { return isUsed(newInstance, "stays") && !isUsed(newInstance, "gone"); });
+        markingInstance.leave();
+        CPPUNIT_ASSERT(hasRegistered && hasSeenRemoval);
+        CPPUNIT_ASSERT(isMarked);
+        CPPUNIT_ASSERT(isAvoided);
+        CPPUNIT_ASSERT(writeCount <= 3);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(older_copy_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(store_rollback_test);
 
 } // namespace poplarspool::adapter
--- a/tests/adapter/pair_of_instances.h
+++ b/tests/adapter/pair_of_instances.h
@@ -8,7 +8,7 @@
 
 namespace poplarspool::adapter::test {
 
-inline gateway::gateway_settings settingsFor(const small_store &store, const std::string &name,
+inline gateway::gateway_settings settingsFor(const fake_store &store, const std::string &name,
                                              std::uint16_t port)
 {
     gateway::gateway_settings made;
@@ -16,32 +16,32 @@
     made.zone.text = "a";
     made.peerAddress = {"127.0.0.1", port};
     made.sharesStoreNews = true;
-    made.storeAddress = store.at();
+    made.storeAddress = store.address();
     return made;
 }
 
-inline bool knows(const following_instance &one, std::uint64_t version, bool isDraining)
+inline bool hasState(const follower_fixture &one, std::uint64_t version, bool isDraining)
 {
-    const auto table = one.hub.current()->table;
+    const auto table = one.publisher.current()->table;
     const auto runner = one.find("i-1");
     return table && table->version == version && runner && runner->isDraining == isDraining;
 }
 
-/// Two instances that tell each other. Ports are free on loopback in turns, so that a busy one is
-/// passed over.
-struct pair_of_instances
+/// Two instances that send each other store updates, on loopback ports. Busy ports are skipped.
+struct follower_pair
 {
-    using choice = std::function<void(gateway::gateway_settings &)>;
+    using settings_change = std::function<void(gateway::gateway_settings &)>;
 
-    /// @param choose Changes the settings of both.
-    explicit pair_of_instances(
-            const small_store &store, const choice &choose = [](gateway::gateway_settings &) {})
+    /// @param change Applied to the settings of both.
+    explicit follower_pair(
+            const fake_store &store,
+            const settings_change &change = [](gateway::gateway_settings &) {})
     {
         for (std::uint16_t port = 21400; port < 23000 && !isStarted; port += 4) {
-            one = std::make_unique<following_instance>(
-                    chosen(settingsFor(store, "edge-1", port), choose));
-            two = std::make_unique<following_instance>(
-                    chosen(settingsFor(store, "edge-2", port + 2), choose));
+            one = std::make_unique<follower_fixture>(
+                    changed(settingsFor(store, "edge-1", port), change));
+            two = std::make_unique<follower_fixture>(
+                    changed(settingsFor(store, "edge-2", port + 2), change));
             isStarted = succeeded(one->follower.start()) && succeeded(two->follower.start());
         }
         CPPUNIT_ASSERT(isStarted);
@@ -49,25 +49,26 @@
         two->follower.setListed({one->entry(), two->entry()});
     }
 
-    static gateway::gateway_settings chosen(gateway::gateway_settings made, const choice &choose)
+    static gateway::gateway_settings changed(gateway::gateway_settings made,
+                                             const settings_change &change)
     {
-        choose(made);
+        change(made);
         return made;
     }
 
-    std::size_t followedByOthers() const
+    std::size_t followedByOthersCount() const
     {
         return one->events.events({"store_followed_by_others", {}, {}}).size()
                 + two->events.events({"store_followed_by_others", {}, {}}).size();
     }
 
-    bool bothKnow(std::uint64_t version, bool isDraining) const
+    bool bothHave(std::uint64_t version, bool isDraining) const
     {
-        return knows(*one, version, isDraining) && knows(*two, version, isDraining);
+        return hasState(*one, version, isDraining) && hasState(*two, version, isDraining);
     }
 
-    std::unique_ptr<following_instance> one;
-    std::unique_ptr<following_instance> two;
+    std::unique_ptr<follower_fixture> one;
+    std::unique_ptr<follower_fixture> two;
     bool isStarted = false;
 };
 
--- a/tests/adapter/scripted_store.h
+++ b/tests/adapter/scripted_store.h
@@ -11,11 +11,11 @@
 
 namespace poplarspool::adapter::test {
 
-/// A store that gives its answers by script, and writes down what it was asked.
+/// A store that sends the given replies in order, then 503, and records the requests it receives.
 struct scripted_store
 {
-    explicit scripted_store(std::deque<http_reply> given)
-        : answers(std::move(given)),
+    explicit scripted_store(std::deque<http_reply> script)
+        : replies(std::move(script)),
           server(
                   "store", {"127.0.0.1", 0}, defaultHttpLimits(),
                   [this](const http_request &request, http_sink &) { return answer(request); },
@@ -27,19 +27,19 @@
     std::optional<http_reply> answer(const http_request &request)
     {
         const std::lock_guard lock(guard);
-        asked.push_back(request.method + " " + request.path);
+        requests.push_back(request.method + " " + request.path);
         bodies.push_back(request.body);
-        if (answers.empty())
+        if (replies.empty())
             return http_reply{503, {}, {}, {}};
-        http_reply next = answers.front();
-        answers.pop_front();
+        http_reply next = replies.front();
+        replies.pop_front();
         return next;
     }
 
     metrics_registry metrics;
     std::mutex guard;
-    std::deque<http_reply> answers;
-    std::vector<std::string> asked;
+    std::deque<http_reply> replies;
+    std::vector<std::string> requests;
     std::vector<std::string> bodies;
     http_server server;
     endpoint address;
--- a/tests/adapter/short_bounds_test.cpp
+++ b/tests/adapter/short_bounds_test.cpp
@@ -11,44 +11,44 @@
 using namespace std::chrono_literals;
 
 using test::configSpec;
-using test::pair_of_instances;
+using test::fake_store;
+using test::follower_pair;
 using test::runnerSpec;
-using test::small_store;
 using test::waitUntil;
 
-/// Too short for news by way of another instance.
+/// Too short for updates through a relay.
 constexpr milliseconds shortBound = 1500ms;
 constexpr int losses = 3;
 
-bool haveLogged(const pair_of_instances &both, const std::string &kind)
+bool haveBothLogged(const follower_pair &both, const std::string &kind)
 {
     return both.one->hasLogged(kind) && both.two->hasLogged(kind);
 }
 
-bool hasAnyLogged(const pair_of_instances &both, const std::string &kind)
+bool hasAnyLogged(const follower_pair &both, const std::string &kind)
 {
     return both.one->hasLogged(kind) || both.two->hasLogged(kind);
 }
 
-/// Two instances of short bounds follow a store, and lose it.
-/// @returns Whether each did so by itself.
+/// Two instances with short staleness bounds follow a store and lose it.
+/// @returns Whether each of them followed it directly, without a relay.
 bool followAndLoseStore()
 {
-    small_store store;
+    fake_store store;
     store.put(wire::configKind, wire::configName, configSpec(4));
     store.put(wire::runnerKind, "i-1", runnerSpec("in_service"));
-    const pair_of_instances both(store, [](gateway::gateway_settings &choices) {
-        choices.routesBound = shortBound;
-        choices.runnersBound = shortBound;
+    const follower_pair both(store, [](gateway::gateway_settings &settings) {
+        settings.routesBound = shortBound;
+        settings.runnersBound = shortBound;
     });
-    if (!waitUntil([&] { return both.bothKnow(4, false); }))
+    if (!waitUntil([&] { return both.bothHave(4, false); }))
         return false;
     std::this_thread::sleep_for(2 * config::standInTimeMost);
     store.put(wire::configKind, wire::configName, configSpec(9));
-    if (!waitUntil([&] { return both.bothKnow(9, false); }))
+    if (!waitUntil([&] { return both.bothHave(9, false); }))
         return false;
-    store.end();
-    if (!waitUntil([&] { return haveLogged(both, "store_lost"); }))
+    store.stop();
+    if (!waitUntil([&] { return haveBothLogged(both, "store_lost"); }))
         return false;
     std::this_thread::sleep_for(2 * config::storeNewsTime);
     return !hasAnyLogged(both, "store_telling_began")
@@ -57,33 +57,34 @@
 
 } // namespace
 
-class short_bounds_test : public CppUnit::TestFixture
+class short_staleness_bounds_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(short_bounds_test);
-    CPPUNIT_TEST(theLossOfTheStoreEndsNoInstance);
-    CPPUNIT_TEST(aKindOfShortBoundIsFollowedByEach);
+    CPPUNIT_TEST_SUITE(short_staleness_bounds_test);
+    CPPUNIT_TEST(storeLossDoesNotTerminateInstances);
+    CPPUNIT_TEST(kindWithShortBoundIsFollowedByEachInstance);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// All that heard another instance lose the store ended, where the bounds were short.
-    void theLossOfTheStoreEndsNoInstance()
+    /// Guards against a crash of instances with short bounds that are informed of the store loss of
+    /// another one.
+    void storeLossDoesNotTerminateInstances()
     {
         for (int i = 0; i < losses; ++i)
             poplarspool::test::expectEndsWell(followAndLoseStore);
     }
 
-    /// The kind whose bound is long is still followed by one for both.
-    void aKindOfShortBoundIsFollowedByEach()
+    /// The kind with a long bound is still followed by one instance for both.
+    void kindWithShortBoundIsFollowedByEachInstance()
     {
-        small_store store;
+        fake_store store;
         store.put(wire::runnerKind, "i-1", runnerSpec("in_service"));
-        const pair_of_instances both(store, [](gateway::gateway_settings &choices) {
-            choices.routesBound = shortBound;
+        const follower_pair both(store, [](gateway::gateway_settings &settings) {
+            settings.routesBound = shortBound;
         });
-        CPPUNIT_ASSERT(waitUntil([&] { return both.followedByOthers() >= 1; }));
+        CPPUNIT_ASSERT(waitUntil([&] { return both.followedByOthersCount() >= 1; }));
         store.put(wire::configKind, wire::configName, configSpec(4));
         store.put(wire::runnerKind, "i-1", runnerSpec("draining"));
-        CPPUNIT_ASSERT(waitUntil([&] { return both.bothKnow(4, true); }));
+        CPPUNIT_ASSERT(waitUntil([&] { return both.bothHave(4, true); }));
         for (const auto *one : {both.one.get(), both.two.get()}) {
             for (const event &entry : one->events.events({"store_followed_by_others", {}, {}}))
                 CPPUNIT_ASSERT_EQUAL(std::string(wire::runnerKind), entry.fields.front().value);
@@ -91,6 +92,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(short_bounds_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(short_staleness_bounds_test);
 
 } // namespace poplarspool::adapter
--- a/tests/adapter/small_store.h
+++ b/tests/adapter/small_store.h
@@ -18,13 +18,13 @@
 
 namespace poplarspool::adapter::test {
 
-/// A store of a few objects. Watches are answered with what came after their revision, at the
-/// latest after a tenth of the time that they ask for. It can come back from a copy of itself.
-class small_store
+/// An in-memory store of a few objects. A watch returns the changes after its revision, at the
+/// latest after a tenth of its wait time. The store can be rolled back to a snapshot.
+class fake_store
 {
 public:
-    /// All that it holds at one time.
-    struct copy
+    /// The whole content of the store at one time.
+    struct snapshot
     {
         struct object
         {
@@ -37,33 +37,33 @@
         std::map<std::string, std::map<std::string, object>> kinds;
     };
 
-    /// A call that has arrived.
+    /// A received call.
     struct call
     {
-        enum class form { List, Watch, Get, Write };
+        enum class operation { List, Watch, Get, Write };
 
-        form how = form::List;
+        operation type = operation::List;
         std::string kind;
-        std::string caller; ///< Of writes: the object's name.
-        std::chrono::steady_clock::time_point at;
-        bool isRefused = false; ///< The store was away.
+        std::string objectName; ///< Only of writes.
+        std::chrono::steady_clock::time_point receivedAt;
+        bool isRefused = false; ///< Received during an outage.
     };
 
-    /// @param connections That it takes at a time.
-    explicit small_store(std::uint32_t connections = defaultHttpLimits().connections)
+    /// @param connections Max concurrent connections.
+    explicit fake_store(std::uint32_t connections = defaultHttpLimits().connections)
         : server(
                 "store", {"127.0.0.1", 0}, limitsFor(connections),
                 [this](const http_request &request, http_sink &) { return answer(request); },
                 metrics),
-          address(valueOf(server.start()))
+          listenAddress(valueOf(server.start()))
     { }
 
-    ~small_store() { server.stop(); }
+    ~fake_store() { server.stop(); }
 
-    endpoint at() const { return address; }
+    endpoint address() const { return listenAddress; }
 
-    /// Refuses all calls from now on.
-    void end() { server.stop(); }
+    /// Refuses all later calls.
+    void stop() { server.stop(); }
 
     void put(const std::string &kind, const std::string &name, const std::string &spec)
     {
@@ -85,26 +85,26 @@
         return found != objects.end() && !found->second.isRemoved;
     }
 
-    copy current()
+    snapshot takeSnapshot()
     {
         const std::lock_guard lock(guard);
         return content;
     }
 
-    void goBackTo(const copy &older)
+    void restoreSnapshot(const snapshot &saved)
     {
         const std::lock_guard lock(guard);
-        content = older;
+        content = saved;
         ++epoch;
     }
 
-    /// Breaks all calls off, those that wait too, until it comes back.
-    void goAway() { isAway = true; }
+    /// Drops all calls without a reply, also waiting watches, until endOutageWith().
+    void startOutage() { isDown = true; }
 
-    void comeBackAs(const copy &older)
+    void endOutageWith(const snapshot &saved)
     {
-        goBackTo(older);
-        isAway = false;
+        restoreSnapshot(saved);
+        isDown = false;
     }
 
     std::vector<call> takeCalls()
@@ -113,24 +113,24 @@
         return std::exchange(calls, {});
     }
 
-    /// Lists wait for that write, and are answered from the copy.
-    void goBackAfterTheFirstWrite(const copy &older)
+    /// Restores the snapshot after the next write. Lists and watches wait for that write.
+    void restoreAfterFirstWrite(const snapshot &saved)
     {
         const std::lock_guard lock(guard);
-        afterFirstWrite = older;
+        afterFirstWrite = saved;
     }
 
-    std::atomic<std::size_t> pageSize{SIZE_MAX}; ///< Objects of one answer to a list.
-    /// The next answer names another epoch.
-    void nameOnce(std::uint64_t wrong)
+    std::atomic<std::size_t> pageSize{SIZE_MAX}; ///< Max objects in one page of a list.
+    /// Sends this epoch with the next reply, instead of the store's own.
+    void sendEpochOnce(std::uint64_t wrong)
     {
         const std::lock_guard lock(guard);
         wrongEpoch = wrong;
     }
 
     std::atomic<int> watches{0};
-    std::atomic<int> pages{0}; ///< Answers to lists.
-    std::atomic<int> writes{0}; ///< Calls of the instances that create or replace.
+    std::atomic<int> pages{0}; ///< List replies sent.
+    std::atomic<int> writes{0}; ///< Create and replace calls received.
 
 private:
     static http_limits limitsFor(std::uint32_t connections)
@@ -145,14 +145,14 @@
         const std::string path = request.path.substr(std::string(wire::objectsPath).size());
         call made;
         made.kind = path.substr(0, path.find_first_of("?/"));
-        made.at = std::chrono::steady_clock::now();
+        made.receivedAt = std::chrono::steady_clock::now();
         if (request.method != "GET") {
-            made.how = call::form::Write;
-            made.caller = nlohmann::json::parse(request.body).at("metadata").at("name");
+            made.type = call::operation::Write;
+            made.objectName = nlohmann::json::parse(request.body).at("metadata").at("name");
         } else if (path.find('/') != std::string::npos) {
-            made.how = call::form::Get;
+            made.type = call::operation::Get;
         } else if (path.find("watch=") != std::string::npos) {
-            made.how = call::form::Watch;
+            made.type = call::operation::Watch;
         }
         return made;
     }
@@ -160,26 +160,26 @@
     std::optional<http_reply> answer(const http_request &request)
     {
         call arrived = callOf(request);
-        arrived.isRefused = isAway;
+        arrived.isRefused = isDown;
         {
             const std::lock_guard lock(callsGuard);
             calls.push_back(arrived);
         }
         if (arrived.isRefused)
             return std::nullopt;
-        auto made = answerCall(request);
-        return isAway ? std::nullopt : std::move(made);
+        auto made = answerWhileUp(request);
+        return isDown ? std::nullopt : std::move(made);
     }
 
-    std::optional<http_reply> answerCall(const http_request &request)
+    std::optional<http_reply> answerWhileUp(const http_request &request)
     {
         const std::string path = request.path.substr(std::string(wire::objectsPath).size());
         const std::string kind = path.substr(0, path.find_first_of("?/"));
         if (request.method != "GET")
-            return take(kind, request);
+            return write(kind, request);
         if (const std::size_t slash = path.find('/'); slash != std::string::npos)
             return find(kind, path.substr(slash + 1));
-        while (mustWait())
+        while (isRollbackPending())
             std::this_thread::sleep_for(std::chrono::milliseconds(2));
         const std::size_t from = path.find("watch=");
         if (from == std::string::npos)
@@ -188,7 +188,7 @@
         const std::uint64_t since = std::stoull(path.substr(from + 6));
         const auto wait = milliseconds(std::stol(path.substr(path.find("waitMs=") + 7))) / 10;
         for (const auto end = std::chrono::steady_clock::now() + wait;
-             std::chrono::steady_clock::now() < end && !isAway && !hasNews(kind, since);)
+             std::chrono::steady_clock::now() < end && !isDown && !hasChanges(kind, since);)
             std::this_thread::sleep_for(std::chrono::milliseconds(2));
         return reply(kind, since, true);
     }
@@ -198,17 +198,17 @@
         const std::lock_guard lock(guard);
         const auto found = content.kinds[kind].find(name);
         if (found == content.kinds[kind].end() || found->second.isRemoved)
-            return marked(jsonReply("{}", 404));
-        return marked(jsonReply(textOf(name, found->second)));
+            return withEpoch(jsonReply("{}", 404));
+        return withEpoch(jsonReply(textOf(name, found->second)));
     }
 
-    static std::string textOf(const std::string &name, const copy::object &one)
+    static std::string textOf(const std::string &name, const snapshot::object &one)
     {
         return R"({"metadata":{"name":")" + name + R"(","revision":)" + std::to_string(one.revision)
                 + R"(},"spec":)" + one.spec + "}";
     }
 
-    /// A write that names a revision holds only for that one.
+    /// A write with a revision conflicts unless it is the object's current one.
     bool isConflict(const std::string &kind, const nlohmann::json &metadata)
     {
         const std::lock_guard lock(guard);
@@ -218,7 +218,7 @@
                 && (found == objects.end() || found->second.revision != metadata.at("revision"));
     }
 
-    /// One page, after the name that the path says.
+    /// One page, which starts after the name in the `after` parameter of the path.
     http_reply listFrom(const std::string &kind, const std::string &path)
     {
         ++pages;
@@ -227,29 +227,29 @@
         return reply(kind, 0, false, after.substr(0, after.find('&')));
     }
 
-    http_reply take(const std::string &kind, const http_request &request)
+    http_reply write(const std::string &kind, const http_request &request)
     {
         const auto body = nlohmann::json::parse(request.body);
         ++writes;
         if (isConflict(kind, body.at("metadata")))
-            return marked(jsonReply("{}", 409));
+            return withEpoch(jsonReply("{}", 409));
         put(kind, body.at("metadata").at("name").get<std::string>(), body.at("spec").dump());
         const std::lock_guard lock(guard);
-        http_reply written = marked(jsonReply("{}"));
-        if (const auto older = std::exchange(afterFirstWrite, std::nullopt)) {
-            content = *older;
+        http_reply written = withEpoch(jsonReply("{}"));
+        if (const auto saved = std::exchange(afterFirstWrite, std::nullopt)) {
+            content = *saved;
             ++epoch;
         }
         return written;
     }
 
-    bool mustWait()
+    bool isRollbackPending()
     {
         const std::lock_guard lock(guard);
         return afterFirstWrite.has_value();
     }
 
-    bool hasNews(const std::string &kind, std::uint64_t since)
+    bool hasChanges(const std::string &kind, std::uint64_t since)
     {
         const std::lock_guard lock(guard);
         return since > content.revision
@@ -263,7 +263,7 @@
     {
         const std::lock_guard lock(guard);
         if (since > content.revision)
-            return marked(jsonReply("{}", 410));
+            return withEpoch(jsonReply("{}", 410));
         std::string items;
         std::size_t count = 0;
         bool isTruncated = false;
@@ -282,33 +282,33 @@
                             + R"(,"object":)" + text + "}"
                              : text;
         }
-        return marked(jsonReply(std::string(isWatch ? R"({"events":[)" : R"({"items":[)") + items
-                                + (isTruncated ? R"(],"truncated":true)" : "]")
-                                + R"(,"currentRev":)" + std::to_string(content.revision) + "}"));
+        return withEpoch(jsonReply(std::string(isWatch ? R"({"events":[)" : R"({"items":[)") + items
+                                   + (isTruncated ? R"(],"truncated":true)" : "]")
+                                   + R"(,"currentRev":)" + std::to_string(content.revision) + "}"));
     }
 
-    http_reply marked(http_reply given)
+    http_reply withEpoch(http_reply response)
     {
-        const std::uint64_t named = std::exchange(wrongEpoch, std::nullopt).value_or(epoch);
-        if (named > 0)
-            given.headers.emplace_back(wire::storeEpoch, std::to_string(named));
-        return given;
+        const std::uint64_t sentEpoch = std::exchange(wrongEpoch, std::nullopt).value_or(epoch);
+        if (sentEpoch > 0)
+            response.headers.emplace_back(wire::storeEpoch, std::to_string(sentEpoch));
+        return response;
     }
 
     metrics_registry metrics;
     std::mutex guard;
-    copy content;
+    snapshot content;
     std::uint64_t epoch = 0;
     std::optional<std::uint64_t> wrongEpoch;
-    std::optional<copy> afterFirstWrite;
-    std::atomic<bool> isAway{false};
+    std::optional<snapshot> afterFirstWrite;
+    std::atomic<bool> isDown{false};
     std::mutex callsGuard;
     std::vector<call> calls;
     http_server server;
-    const endpoint address;
+    const endpoint listenAddress;
 };
 
-/// @param routes How many, with long names.
+/// @param routes Number of routes, each with a long name.
 inline std::string configSpec(int version, int routes = 0)
 {
     std::string entries;
--- a/tests/adapter/store_follower_test.cpp
+++ b/tests/adapter/store_follower_test.cpp
@@ -13,11 +13,11 @@
 
 using namespace std::chrono_literals;
 using test::configSpec;
-using test::following_instance;
-using test::knows;
-using test::pair_of_instances;
+using test::fake_store;
+using test::follower_fixture;
+using test::follower_pair;
+using test::hasState;
 using test::runnerSpec;
-using test::small_store;
 using test::waitUntil;
 
 } // namespace
@@ -25,52 +25,52 @@
 class store_follower_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(store_follower_test);
-    CPPUNIT_TEST(oneFollowsTheStoreForBoth);
-    CPPUNIT_TEST(whoIsToldNothingFollowsTheStore);
-    CPPUNIT_TEST(confirmationsLastUntilTheNext);
+    CPPUNIT_TEST(oneInstanceFollowsTheStoreForBoth);
+    CPPUNIT_TEST(instanceWithoutARelayFollowsTheStore);
+    CPPUNIT_TEST(confirmationsLastUntilTheNextOne);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Each call to the store is paid for: of two instances, one asks, and the other hears of the
-    /// first routes, of a leaving runner and of new routes from it.
+    /// Each call to the store is billed, so that only one of two instances makes them. The other
+    /// one receives the first routes, the leaving of a runner and new routes from it.
     ///
-    /// The first routes were once left out: whoever relied on another instance then had none, and
-    /// answered 503 until the next change.
-    void oneFollowsTheStoreForBoth()
+    /// Guards against updates without the first routes: an instance that relied on a relay had none
+    /// and answered 503 until the next change.
+    void oneInstanceFollowsTheStoreForBoth()
     {
-        small_store store;
+        fake_store store;
         store.put(wire::runnerKind, "i-1", runnerSpec("in_service"));
-        const pair_of_instances both(store);
-        CPPUNIT_ASSERT(waitUntil([&] { return both.followedByOthers() >= 2; }));
+        const follower_pair both(store);
+        CPPUNIT_ASSERT(waitUntil([&] { return both.followedByOthersCount() >= 2; }));
         store.put(wire::configKind, wire::configName, configSpec(4));
-        CPPUNIT_ASSERT(waitUntil([&] { return both.bothKnow(4, false); }));
+        CPPUNIT_ASSERT(waitUntil([&] { return both.bothHave(4, false); }));
         store.put(wire::runnerKind, "i-1", runnerSpec("draining"));
-        CPPUNIT_ASSERT(waitUntil([&] { return both.bothKnow(4, true); }));
+        CPPUNIT_ASSERT(waitUntil([&] { return both.bothHave(4, true); }));
         store.put(wire::configKind, wire::configName, configSpec(9));
-        CPPUNIT_ASSERT(waitUntil([&] { return both.bothKnow(9, true); }));
+        CPPUNIT_ASSERT(waitUntil([&] { return both.bothHave(9, true); }));
     }
 
-    /// The instance that told dies. The other one must not go on as if nothing changed: a runner
-    /// that leaves right then would be sent requests until callers are cut off.
-    void whoIsToldNothingFollowsTheStore()
+    /// The relay ends. The other instance must not go on as if nothing changed: a runner that
+    /// leaves at that time would be sent requests until callers are cut off.
+    void instanceWithoutARelayFollowsTheStore()
     {
-        small_store store;
+        fake_store store;
         store.put(wire::configKind, wire::configName, configSpec(4));
         store.put(wire::runnerKind, "i-1", runnerSpec("in_service"));
-        pair_of_instances both(store);
-        CPPUNIT_ASSERT(waitUntil([&] { return both.followedByOthers() >= 2; }));
-        const bool isFirstTold =
+        follower_pair both(store);
+        CPPUNIT_ASSERT(waitUntil([&] { return both.followedByOthersCount() >= 2; }));
+        const bool isFirstRelayed =
                 !both.one->events.events({"store_followed_by_others", {}, {}}).empty();
-        (isFirstTold ? both.two : both.one).reset();
-        const following_instance &left = isFirstTold ? *both.one : *both.two;
+        (isFirstRelayed ? both.two : both.one).reset();
+        const follower_fixture &remaining = isFirstRelayed ? *both.one : *both.two;
         store.put(wire::runnerKind, "i-1", runnerSpec("draining"));
-        CPPUNIT_ASSERT(waitUntil([&] { return knows(left, 4, true); }));
+        CPPUNIT_ASSERT(waitUntil([&] { return hasState(remaining, 4, true); }));
     }
 
-    /// By each user's bounds: who relies on another instance hears its next confirmation before the
-    /// last one ceases to count, also where a datagram is lost; and when it does cease, there is
-    /// time to ask the store.
-    void confirmationsLastUntilTheNext()
+    /// With each user's bounds, an instance that relies on a relay receives the next confirmation
+    /// before the last one expires, even if a datagram is lost. When it does expire, there is time
+    /// left to query the store.
+    void confirmationsLastUntilTheNextOne()
     {
         for (const milliseconds bound : {2s, 3s, 4s}) {
             const news_bounds bounds{bound + 1s, bound};
--- a/tests/adapter/store_wire_test.cpp
+++ b/tests/adapter/store_wire_test.cpp
@@ -24,17 +24,18 @@
 class store_wire_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(store_wire_test);
-    CPPUNIT_TEST(deeplyNestedObjectsHideNoOthers);
-    CPPUNIT_TEST(anEventThatCannotBeReadHidesNoOthers);
-    CPPUNIT_TEST(aListWithoutAnEndIsGivenUp);
-    CPPUNIT_TEST(namesAreNoPartOfTheCall);
-    CPPUNIT_TEST(whatRunnersAreCalledEndsNoHeader);
-    CPPUNIT_TEST(handlesEndNoHeader);
+    CPPUNIT_TEST(deeplyNestedObjectsDoNotHideOthers);
+    CPPUNIT_TEST(unreadableEventDoesNotHideOthers);
+    CPPUNIT_TEST(endlessListIsBroken);
+    CPPUNIT_TEST(namesAreEncodedInQueries);
+    CPPUNIT_TEST(runnerNamesInvalidInHeadersAreRejected);
+    CPPUNIT_TEST(handlesInvalidInHeadersAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Copying such an object takes stack for each level: it ended every instance that listed it.
-    void deeplyNestedObjectsHideNoOthers()
+    /// Guards against stack overflow: copying such an object takes stack for each level, which
+    /// ended every instance that listed it.
+    void deeplyNestedObjectsDoNotHideOthers()
     {
         for (const std::string &deep : {nested(100'000), "{\"a\":" + nested(100'000) + "}"}) {
             const auto body = parsedAnswer(R"({"items":[{"metadata":{"name":"a"},"spec":)" + deep
@@ -50,44 +51,46 @@
         }
     }
 
-    void anEventThatCannotBeReadHidesNoOthers()
+    void unreadableEventDoesNotHideOthers()
     {
-        const auto seen = changesOf(
+        const auto watched = changesOf(
                 parsedAnswer(R"({"events":[{"object":{"metadata":{"name":"a"}},"removed":"no"},7,
                                            {"removed":true},
                                            {"object":{"metadata":{"name":"b"}},"removed":true}],
                                  "currentRev":9})"),
                 0);
-        CPPUNIT_ASSERT(seen.has_value());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, seen->changes.size());
-        CPPUNIT_ASSERT(!seen->changes[0].isRemoved && seen->changes[3].isRemoved);
-        CPPUNIT_ASSERT_EQUAL(std::string("b"), seen->changes[3].object.name);
+        CPPUNIT_ASSERT(watched.has_value());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, watched->changes.size());
+        CPPUNIT_ASSERT(!watched->changes[0].isRemoved && watched->changes[3].isRemoved);
+        CPPUNIT_ASSERT_EQUAL(std::string("b"), watched->changes[3].object.name);
     }
 
-    /// Each page says that there is more, and names nothing to go on from: the calls never ended.
-    void aListWithoutAnEndIsGivenUp()
+    /// Guards against endless calls: each page says that more follow, but has no new name to
+    /// continue after.
+    void endlessListIsBroken()
     {
         const auto page = jsonReply(R"({"items":[{"metadata":{"name":"a"}}],"truncated":true,
                                         "currentRev":5})");
         scripted_store store(std::deque<http_reply>(20, page));
         store_client client(store.address, store.metrics);
         CPPUNIT_ASSERT(errorOf(client.list("k", read_mode::Current)).code == error_code::Broken);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, store.asked.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, store.requests.size());
     }
 
-    /// A list goes on after a name that others have chosen.
-    void namesAreNoPartOfTheCall()
+    /// A list continues after a name that another writer has chosen: guards against its injection
+    /// into the request.
+    void namesAreEncodedInQueries()
     {
         scripted_store store({jsonReply(R"({"items":[{"metadata":{"name":"a&b c\r\nX: y"}}],
                                             "truncated":true,"currentRev":5})"),
                               jsonReply(R"({"items":[],"currentRev":5})")});
         store_client client(store.address, store.metrics);
         CPPUNIT_ASSERT(succeeded(client.list("k", read_mode::Current)));
-        CPPUNIT_ASSERT(store.asked[1].ends_with("k?after=a%26b%20c%0D%0AX%3A%20y"));
+        CPPUNIT_ASSERT(store.requests[1].ends_with("k?after=a%26b%20c%0D%0AX%3A%20y"));
     }
 
-    /// Each request to a runner names it in a header.
-    void whatRunnersAreCalledEndsNoHeader()
+    /// Guards against header injection: each request to a runner has its name in a header.
+    void runnerNamesInvalidInHeadersAreRejected()
     {
         const nlohmann::json spec{{"service", "s"}, {"address", "10.0.0.1:80"}};
         CPPUNIT_ASSERT(succeeded(decodeRunner("i-1", spec)));
@@ -95,14 +98,15 @@
             CPPUNIT_ASSERT(errorOf(decodeRunner(name, spec)).code == error_code::Broken);
     }
 
-    /// A faulty engine's handle stands in the next request to another one.
-    void handlesEndNoHeader()
+    /// Guards against header injection: the handle of a faulty engine is sent in the next request
+    /// to another one.
+    void handlesInvalidInHeadersAreRejected()
     {
-        const gateway::dialect names = platformDialect();
-        CPPUNIT_ASSERT(names.readHandle(R"({"kvHandle":"a-1"})") == "a-1");
+        const gateway::dialect engineDialect = platformDialect();
+        CPPUNIT_ASSERT(engineDialect.readHandle(R"({"kvHandle":"a-1"})") == "a-1");
         for (const char *body : {R"({"kvHandle":"a\r\nX: y"})", R"({"kvHandle":"a b"})",
                                  R"({"kvHandle":""})", R"({"kvHandle":"\u0000"})"})
-            CPPUNIT_ASSERT(!names.readHandle(body));
+            CPPUNIT_ASSERT(!engineDialect.readHandle(body));
     }
 };
 
--- a/tests/adapter/table_sizes_test.cpp
+++ b/tests/adapter/table_sizes_test.cpp
@@ -9,37 +9,37 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 using test::configSpec;
-using test::following_instance;
+using test::fake_store;
+using test::follower_fixture;
+using test::follower_pair;
 using test::jsonReply;
-using test::pair_of_instances;
 using test::runnerSpec;
 using test::scripted_store;
-using test::small_store;
 using test::waitUntil;
 
 constexpr std::size_t fewRoutes = 16;
 
-std::shared_ptr<const gateway::route_table> tableOf(const following_instance &one)
+std::shared_ptr<const gateway::route_table> tableOf(const follower_fixture &one)
 {
-    return one.hub.current()->table;
+    return one.publisher.current()->table;
 }
 
-bool haveRoutes(const pair_of_instances &both, std::uint64_t version, std::size_t routes)
+bool haveRoutes(const follower_pair &both, std::uint64_t version, std::size_t routes)
 {
-    const auto holds = [&](const following_instance &one) {
+    const auto hasRoutes = [&](const follower_fixture &one) {
         const auto table = tableOf(one);
         return table && table->version == version && table->routes.size() == routes;
     };
-    return holds(*both.one) && holds(*both.two);
+    return hasRoutes(*both.one) && hasRoutes(*both.two);
 }
 
-std::size_t countOf(const pair_of_instances &both, const std::string &kind)
+std::size_t countOf(const follower_pair &both, const std::string &kind)
 {
     return both.one->events.events({kind, {}, {}}).size()
             + both.two->events.events({kind, {}, {}}).size();
 }
 
-/// As configSpec(), with another time limit at one route.
+/// As configSpec(), with another time limit for one route.
 std::string changedSpec(int version, std::size_t routes, std::size_t place)
 {
     json spec = json::parse(configSpec(version, static_cast<int>(routes)));
@@ -52,22 +52,22 @@
 class table_sizes_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(table_sizes_test);
-    CPPUNIT_TEST(oneChangeAmongManyRoutesIsTold);
-    CPPUNIT_TEST(tablesThatGrowAndShrinkInASecondAreFollowed);
-    CPPUNIT_TEST(anEntryThatCantBeReadIsNamedAndHurtsNoOther);
+    CPPUNIT_TEST(oneChangeAmongManyRoutesIsRelayed);
+    CPPUNIT_TEST(tablesThatGrowAndShrinkWithinASecondAreFollowed);
+    CPPUNIT_TEST(unreadableEntryIsLoggedAndDoesNotAffectOthers);
     CPPUNIT_TEST(runnersAreListedInPages);
-    CPPUNIT_TEST(anyNameMayEndAPage);
-    CPPUNIT_TEST(aListThatDoesNotGoOnEnds);
+    CPPUNIT_TEST(pageMayEndWithAnyName);
+    CPPUNIT_TEST(listWithoutContinuationIsBroken);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void oneChangeAmongManyRoutesIsTold()
+    void oneChangeAmongManyRoutesIsRelayed()
     {
         constexpr std::size_t count = 2'000;
-        small_store store;
+        fake_store store;
         store.put(wire::configKind, wire::configName, configSpec(3, count));
-        const pair_of_instances both(store);
-        CPPUNIT_ASSERT(waitUntil([&] { return both.followedByOthers() >= 2; }));
+        const follower_pair both(store);
+        CPPUNIT_ASSERT(waitUntil([&] { return both.followedByOthersCount() >= 2; }));
         CPPUNIT_ASSERT(haveRoutes(both, 3, count));
         store.put(wire::configKind, wire::configName, changedSpec(5, count, 1'234));
         CPPUNIT_ASSERT(waitUntil([&] { return haveRoutes(both, 5, count); }));
@@ -76,17 +76,17 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, countOf(both, "changes_untold"));
     }
 
-    void tablesThatGrowAndShrinkInASecondAreFollowed()
+    void tablesThatGrowAndShrinkWithinASecondAreFollowed()
     {
-        small_store store;
+        fake_store store;
         store.put(wire::configKind, wire::configName, configSpec(1, fewRoutes));
-        const pair_of_instances both(store);
-        CPPUNIT_ASSERT(waitUntil([&] { return both.followedByOthers() >= 2; }));
+        const follower_pair both(store);
+        CPPUNIT_ASSERT(waitUntil([&] { return both.followedByOthersCount() >= 2; }));
         int version = 1;
-        for (const std::size_t more : {400U, 0U, 400U, 0U}) {
+        for (const std::size_t added : {400U, 0U, 400U, 0U}) {
             version += 3;
             store.put(wire::configKind, wire::configName,
-                      configSpec(version, static_cast<int>(fewRoutes + more)));
+                      configSpec(version, static_cast<int>(fewRoutes + added)));
             std::this_thread::sleep_for(250ms);
         }
         CPPUNIT_ASSERT(waitUntil(
@@ -97,12 +97,12 @@
         CPPUNIT_ASSERT(*tableOf(*both.one) == *tableOf(*both.two));
     }
 
-    void anEntryThatCantBeReadIsNamedAndHurtsNoOther()
+    void unreadableEntryIsLoggedAndDoesNotAffectOthers()
     {
-        small_store store;
+        fake_store store;
         store.put(wire::configKind, wire::configName, configSpec(1, fewRoutes));
-        const pair_of_instances both(store);
-        CPPUNIT_ASSERT(waitUntil([&] { return both.followedByOthers() >= 2; }));
+        const follower_pair both(store);
+        CPPUNIT_ASSERT(waitUntil([&] { return both.followedByOthersCount() >= 2; }));
         json spec = json::parse(configSpec(4, fewRoutes));
         spec[wire::routes][5][wire::routeTimeLimitMs] = -1;
         store.put(wire::configKind, wire::configName, spec.dump());
@@ -123,30 +123,30 @@
     void runnersAreListedInPages()
     {
         for (const std::size_t count : {1U, 499U, 500U, 501U, 3'000U}) {
-            small_store store;
+            fake_store store;
             store.pageSize = 500;
             for (std::size_t i = 0; i < count; ++i)
                 store.put(wire::runnerKind, "i-" + std::to_string(i), runnerSpec("in_service"));
             metrics_registry metrics;
-            store_client client(store.at(), metrics);
+            store_client client(store.address(), metrics);
             const auto listed = client.list(wire::runnerKind, read_mode::Current);
             CPPUNIT_ASSERT_EQUAL(count, valueOf(listed).objects.size());
             CPPUNIT_ASSERT_EQUAL(static_cast<int>((count + 499) / 500), store.pages.load());
         }
     }
 
-    void anyNameMayEndAPage()
+    void pageMayEndWithAnyName()
     {
         scripted_store store({jsonReply(R"({"items":[{"metadata":{"name":"a b&c=%/\u00fc"}}],
                                             "truncated":true,"currentRev":5})"),
                               jsonReply(R"({"items":[],"currentRev":5})")});
         store_client client(store.address, store.metrics);
         CPPUNIT_ASSERT(succeeded(client.list("k", read_mode::Current)));
-        CPPUNIT_ASSERT(store.asked[1].ends_with("k?after=a%20b%26c%3D%25/%C3%BC"));
+        CPPUNIT_ASSERT(store.requests[1].ends_with("k?after=a%20b%26c%3D%25/%C3%BC"));
     }
 
-    /// Each call is paid for.
-    void aListThatDoesNotGoOnEnds()
+    /// Guards against repeated calls, each of which is billed.
+    void listWithoutContinuationIsBroken()
     {
         for (const char *page : {R"({"items":[],"truncated":true,"currentRev":5})",
                                  R"({"items":[{"metadata":7}],"truncated":true,"currentRev":5})"}) {
@@ -154,7 +154,7 @@
             store_client client(store.address, store.metrics);
             CPPUNIT_ASSERT(errorOf(client.list("k", read_mode::Current)).code
                            == error_code::Broken);
-            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store.asked.size());
+            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store.requests.size());
         }
     }
 };
--- a/tests/adapter/turned_away_test.cpp
+++ b/tests/adapter/turned_away_test.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 using namespace std::chrono_literals;
-using test::following_instance;
+using test::follower_fixture;
 using test::jsonReply;
 using test::waitUntil;
 
-/// A clock that stands still between its jumps, so that a busy machine changes nothing.
-class jumping_clock
+/// A clock that advances only on request, so that the load of the machine has no effect.
+class manual_clock
 {
 public:
     clock_source source() const
@@ -27,35 +27,35 @@
         return made;
     }
 
-    mono_time now() const { return mono_time(1h) + milliseconds(ahead.load()); }
-    void jump(milliseconds time) { ahead += time.count(); }
+    mono_time now() const { return mono_time(1h) + milliseconds(offsetMs.load()); }
+    void advance(milliseconds time) { offsetMs += time.count(); }
 
 private:
-    std::atomic<std::int64_t> ahead{0};
+    std::atomic<std::int64_t> offsetMs{0};
 };
 
-/// A store with one runner. It can turn its caller away; the runner leaves meanwhile, and the
-/// store drops its history.
-class forgetful_store
+/// A store with one runner. It can refuse calls; the runner leaves meanwhile, and the store
+/// compacts its history.
+class compacting_store
 {
 public:
-    forgetful_store()
+    compacting_store()
         : server(
                 "store", {"127.0.0.1", 0}, defaultHttpLimits(),
                 [this](const http_request &request, http_sink &) { return answer(request); },
                 metrics),
-          address(valueOf(server.start()))
+          listenAddress(valueOf(server.start()))
     { }
 
-    ~forgetful_store() { server.stop(); }
+    ~compacting_store() { server.stop(); }
 
-    endpoint at() const { return address; }
-    void turnAway() { phase = store_phase::TurnsAway; }
-    void serveWithoutHistory() { phase = store_phase::HasForgotten; }
-    int refusals() const { return refused; }
+    endpoint address() const { return listenAddress; }
+    void refuseCalls() { phase = store_phase::Refusing; }
+    void serveWithoutHistory() { phase = store_phase::Compacted; }
+    int refusals() const { return refusalCount; }
 
 private:
-    enum class store_phase { Serves, TurnsAway, HasForgotten };
+    enum class store_phase { Serving, Refusing, Compacted };
 
     std::optional<http_reply> answer(const http_request &request)
     {
@@ -63,12 +63,12 @@
         if (!request.path.starts_with(std::string(wire::objectsPath) + wire::runnerKind))
             return jsonReply(R"({"items":[],"events":[],"currentRev":5})");
         switch (phase.load()) {
-        case store_phase::TurnsAway:
-            ++refused;
+        case store_phase::Refusing:
+            ++refusalCount;
             return jsonReply("{}", 503);
-        case store_phase::HasForgotten:
+        case store_phase::Compacted:
             return isWatch ? jsonReply("{}", 410) : jsonReply(R"({"items":[],"currentRev":9})");
-        case store_phase::Serves:
+        case store_phase::Serving:
             break;
         }
         return isWatch ? jsonReply(R"({"events":[],"currentRev":5})")
@@ -78,30 +78,31 @@
     }
 
     metrics_registry metrics;
-    std::atomic<store_phase> phase{store_phase::Serves};
-    std::atomic<int> refused{0};
+    std::atomic<store_phase> phase{store_phase::Serving};
+    std::atomic<int> refusalCount{0};
     http_server server;
-    const endpoint address;
+    const endpoint listenAddress;
 };
 
-gateway::gateway_settings settingsFor(const forgetful_store &store)
+gateway::gateway_settings settingsFor(const compacting_store &store)
 {
     gateway::gateway_settings made;
     made.instance.text = "edge-1";
-    made.storeAddress = store.at();
+    made.storeAddress = store.address();
     return made;
 }
 
-/// A watch of an instance that relies on others. It lists the runners once, and then makes no call.
-struct relying_watch
+/// A watch of an instance that relies on a relay. It lists the runners once and then makes no
+/// calls.
+struct relayed_watch
 {
-    relying_watch(const forgetful_store &store, const jumping_clock &clock)
-        : client(store.at(), metrics), events({"test"}, clock.source(), 16),
-          watch(wire::runnerKind, {3s, 2s}, client, handlers(), sources(clock), clock.source(),
+    relayed_watch(const compacting_store &store, const manual_clock &clock)
+        : client(store.address(), metrics), events({"test"}, clock.source(), 16),
+          watch(wire::runnerKind, {3s, 2s}, client, handlers(), callbacks(clock), clock.source(),
                 metrics, events)
     { }
 
-    ~relying_watch()
+    ~relayed_watch()
     {
         client.stop();
         watch.stop();
@@ -113,12 +114,12 @@
         made.onList = [](const std::vector<store_object> &, store_version) {};
         made.onChanges = [](const std::vector<store_change> &, store_span) {};
         made.onAnswer = [](const store_answer &) {};
-        made.onFailure = [this](mono_time askedAt) { failures.push_back(askedAt); };
+        made.onFailure = [this](mono_time sentAt) { failures.push_back(sentAt); };
         made.onOlderCopy = [](mono_time) {};
         return made;
     }
 
-    news_sources sources(const jumping_clock &clock) const
+    news_sources callbacks(const manual_clock &clock) const
     {
         news_sources made;
         made.isShared = true;
@@ -132,7 +133,7 @@
     bool isIdle() const { return !events.events({"store_followed_by_others", {}, {}}).empty(); }
 
     std::atomic<bool> isCovered{true};
-    std::vector<mono_time> failures; ///< As they were told: when the call was sent.
+    std::vector<mono_time> failures; ///< When the failed calls were sent.
     metrics_registry metrics;
     store_client client;
     journal events;
@@ -141,69 +142,71 @@
 
 } // namespace
 
-class turned_away_test : public CppUnit::TestFixture
+class store_refusal_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(turned_away_test);
-    CPPUNIT_TEST(whatLeftMeanwhileIsLeftAloneInTime);
-    CPPUNIT_TEST(theWordOfOthersDoesNotProlongATrouble);
+    CPPUNIT_TEST_SUITE(store_refusal_test);
+    CPPUNIT_TEST(runnerGoneDuringRefusalsIsDroppedInTime);
+    CPPUNIT_TEST(storeLossOfAnotherInstanceDoesNotExtendTheGracePeriod);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Callers were sent to a runner that had left 12 s before, by one instance, and would have
-    /// been cut off at its end. The store had turned that instance away for seconds; the runner
-    /// left, and the store dropped its history before the instance was served again. The store's
-    /// word for that counted as one more call that failed. What is missing right after an outage is
-    /// forgiven for a time that is counted from the last such call, and this one came after the
-    /// trouble.
+    /// Guards against callers that one instance sent to a runner that had left 12 s before, and
+    /// that would have been cut off at its end. The store had refused calls of that instance for
+    /// seconds; the runner left, and the store compacted its history before it served the instance
+    /// again. Its reply 410 counted as one more failed call. Entries missing right after an outage
+    /// have a grace period that is counted from the last failed call, and this call came after the
+    /// outage.
     ///
-    /// What proved it: the late requests were chosen by a list confirmed half a second before, in
-    /// which the runner was kept though missing; the failure from which that time was counted was
-    /// the watch that the store had answered with "forgotten", sent 0.8 s after the trouble's end.
-    void whatLeftMeanwhileIsLeftAloneInTime()
+    /// In the observed failure, the runners of the late requests were chosen from a list confirmed
+    /// half a second before, which retained the missing runner. The grace period was counted from
+    /// the watch with the reply 410, which was sent 0.8 s after the end of the outage.
+    void runnerGoneDuringRefusalsIsDroppedInTime()
     {
-        forgetful_store store;
-        jumping_clock clock;
-        following_instance one(settingsFor(store), clock.source());
+        compacting_store store;
+        manual_clock clock;
+        follower_fixture one(settingsFor(store), clock.source());
         CPPUNIT_ASSERT(succeeded(one.follower.start()));
         CPPUNIT_ASSERT(waitUntil([&] { return one.find("i-1") != nullptr; }));
-        store.turnAway();
+        store.refuseCalls();
         CPPUNIT_ASSERT(waitUntil([&] { return one.hasLogged("store_lost"); }));
-        clock.jump(9s);
+        clock.advance(9s);
         const int before = store.refusals();
         CPPUNIT_ASSERT(waitUntil([&] { return store.refusals() >= before + 2; }));
-        const mono_time backAt = clock.now();
+        const mono_time recoveredAt = clock.now();
         store.serveWithoutHistory();
-        clock.jump(1s);
+        clock.advance(1s);
         CPPUNIT_ASSERT(waitUntil([&] { return one.hasLogged("store_regained"); }));
-        const auto left = one.find("i-1");
+        const auto entry = one.find("i-1");
         const mono_time lastArrival =
-                (left ? left->keptUntil : clock.now()) + config::forgivenMargin;
-        const milliseconds after = std::chrono::duration_cast<milliseconds>(lastArrival - backAt);
-        CPPUNIT_ASSERT_MESSAGE("used for " + std::to_string(after.count()) + " ms after the return",
-                               lastArrival <= backAt + one.choices.settleTime);
+                (entry ? entry->keptUntil : clock.now()) + config::forgivenMargin;
+        const milliseconds after =
+                std::chrono::duration_cast<milliseconds>(lastArrival - recoveredAt);
+        CPPUNIT_ASSERT_MESSAGE("used for " + std::to_string(after.count())
+                                       + " ms after the recovery",
+                               lastArrival <= recoveredAt + one.ownSettings.settleTime);
     }
 
-    /// An instance that relied on the others is cut off for seconds, and a runner leaves. Just as
-    /// it is back, another one says that it has lost the store itself. That is another trouble:
-    /// counted as a failure of the own way to the store, it would keep the runner in use for
-    /// longer, and callers would be cut off at its end.
-    void theWordOfOthersDoesNotProlongATrouble()
+    /// An instance that relies on a relay is disconnected for seconds, and a runner leaves. Just as
+    /// the instance is connected again, another one reports that it has lost the store itself.
+    /// Counted as a failure of the instance's own access to the store, this separate outage would
+    /// keep the runner in use for longer, and callers would be cut off at its end.
+    void storeLossOfAnotherInstanceDoesNotExtendTheGracePeriod()
     {
-        forgetful_store store;
-        jumping_clock clock;
-        relying_watch one(store, clock);
+        compacting_store store;
+        manual_clock clock;
+        relayed_watch one(store, clock);
         one.watch.start();
         CPPUNIT_ASSERT(waitUntil([&] { return one.isIdle(); }));
         one.watch.takeRelayed({5, {0, 6}}, clock.now(), [] { return true; });
-        const mono_time lastHeard = clock.now();
-        clock.jump(9s);
+        const mono_time lastUpdateAt = clock.now();
+        clock.advance(9s);
         one.isCovered = false;
         one.watch.noteLossElsewhere();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, one.failures.size());
-        CPPUNIT_ASSERT(one.failures.front() <= lastHeard);
+        CPPUNIT_ASSERT(one.failures.front() <= lastUpdateAt);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(turned_away_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(store_refusal_test);
 
 } // namespace poplarspool::adapter
