--- a/include/poplarspool/base/bounded_json.h
+++ b/include/poplarspool/base/bounded_json.h
@@ -4,21 +4,21 @@
 
 #include <string_view>
 
-/// JSON that others have written. Values are copied, compared and written by recursion, so that
-/// arrays and objects may not stand in each other deeper than config::maxJsonDepth.
+/// Parsing of JSON from untrusted sources. Values are copied, compared and serialised recursively,
+/// so arrays and objects may be nested no deeper than config::maxJsonDepth.
 namespace poplarspool {
 
 bool isNestedTooDeep(std::string_view text);
 
-/// @returns A discarded value where the text is not valid JSON, or is nested too deep.
+/// @returns A discarded value if the text is not valid JSON or is nested too deeply.
 nlohmann::json parseJson(std::string_view text);
 
-/// The same for callers that report why.
-/// @throws nlohmann::json::exception
+/// Like parseJson(), but reports the reason of a failure.
+/// @throws nlohmann::json::exception if the text is not valid JSON or is nested too deeply.
 nlohmann::json parseJsonOrThrow(std::string_view text);
 
-/// The same for text of many authors: arrays and objects that stand too deep become null, and all
-/// else is kept.
+/// Like parseJson(), but replaces arrays and objects that are nested too deeply by null, so that
+/// one author's part of a text doesn't make the parts of others unreadable.
 nlohmann::json parseJsonCut(std::string_view text);
 
 } // namespace poplarspool
--- a/include/poplarspool/base/clock.h
+++ b/include/poplarspool/base/clock.h
@@ -7,22 +7,22 @@
 
 namespace poplarspool {
 
-/// Monotonic time; counts on while the machine is suspended (CLOCK_BOOTTIME).
+/// Monotonic time that includes the time while the machine is suspended (CLOCK_BOOTTIME).
 using mono_time = std::chrono::time_point<std::chrono::steady_clock, std::chrono::nanoseconds>;
 using wall_time = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
 using milliseconds = std::chrono::milliseconds;
 
-/// Where a component takes time from; tests give their own.
+/// Clocks used by a component. Tests supply their own.
 struct clock_source
 {
     std::function<mono_time()> mono;
     std::function<wall_time()> wall;
 };
 
-/// @returns The machine's clocks.
+/// @returns The system's clocks.
 clock_source systemClock();
 
-/// @returns Whole milliseconds, as a field of a log line.
+/// @returns Whole milliseconds as text, for a field of a log line.
 std::string millisecondsText(std::chrono::nanoseconds time);
 
 } // namespace poplarspool
--- a/include/poplarspool/base/end_signal.h
+++ b/include/poplarspool/base/end_signal.h
@@ -1,22 +1,24 @@
 #pragma once
 
-/// How a process is told to end (SIGTERM or SIGINT) or to read its settings anew (SIGHUP); taken by
-/// one thread.
+/// Signals that request termination (SIGTERM, SIGINT) or a reload of the settings (SIGHUP). They
+/// are blocked in all threads and received synchronously by one.
 namespace poplarspool {
 
 enum class process_signal { End, Reload };
 
-/// Blocks the signals that end a process in this thread and in those it starts later.
-/// @attention Before any other thread starts, else the signal may end the process there.
+/// Blocks SIGTERM and SIGINT in the calling thread and in threads it starts later.
+/// @attention Call it before any other thread starts. A thread that doesn't block the signals may
+///            receive them, which terminates the process.
 void blockEndSignals();
 
-/// As blockEndSignals(), and SIGHUP too: unhandled, it would end the process without a word.
+/// Like blockTerminationSignals(), and also blocks SIGHUP, whose default action terminates the
+/// process without a log line.
 void blockSignals();
 
-/// Waits until a signal to end comes.
+/// Waits for SIGTERM or SIGINT.
 void waitForEndSignal();
 
-/// Waits until any of the signals that blockSignals() has blocked comes.
+/// Waits for any of the signals that blockSignals() blocks.
 process_signal waitForSignal();
 
 } // namespace poplarspool
--- a/include/poplarspool/base/endpoint.h
+++ b/include/poplarspool/base/endpoint.h
@@ -9,7 +9,7 @@
 
 namespace poplarspool {
 
-/// IP address and port. Port 0 is invalid, but where a server may choose its port.
+/// IP address and port. Port 0 is valid only as a bind address, where the system chooses the port.
 struct endpoint
 {
     std::string host;
@@ -20,10 +20,10 @@
     auto operator<=>(const endpoint &) const = default;
 };
 
-/// @param text Such as "127.0.0.1:8080" or "[::1]:8080"; an IP number, never a name.
+/// @param text Such as "127.0.0.1:8080" or "[::1]:8080". Host names are not accepted.
 result<endpoint> parseEndpoint(std::string_view text);
 
-/// @returns What parseEndpoint() reads.
+/// @returns The text form that parseEndpoint() accepts.
 std::string textOf(const endpoint &address);
 
 } // namespace poplarspool
--- a/include/poplarspool/base/error_reply.h
+++ b/include/poplarspool/base/error_reply.h
@@ -3,13 +3,14 @@
 #include "poplarspool/base/http.h"
 #include "poplarspool/base/result.h"
 
-/// The one form in which every HTTP server of the product answers a failure.
+/// Error replies in the format shared by all HTTP servers of the product.
 namespace poplarspool {
 
-/// @returns HTTP status of a failure: 400, 401, 403, 404, 409, 413, 429, 499, 502, 503, 504, 500.
+/// @returns The HTTP status of a failure: 400, 401, 403, 404, 409, 413, 429, 499, 502, 503, 504,
+/// 500.
 int statusOf(const error &failure);
 
-/// @returns `{"error":{…}}` with its status, and Retry-After where another try makes sense.
+/// @returns The reply `{"error":{…}}` with its status, and with Retry-After if the failure has one.
 http_reply replyOf(const error &failure);
 
 } // namespace poplarspool
--- a/include/poplarspool/base/hash.h
+++ b/include/poplarspool/base/hash.h
@@ -7,22 +7,22 @@
 
 namespace poplarspool {
 
-/// XXH3, 64 bits: for spreading, never for secrets.
+/// XXH3, 64 bits. For distributing keys; not cryptographically secure.
 std::uint64_t hashOf(std::string_view bytes, std::uint64_t seed = 0);
 
-/// @returns A hash as a number in [0, 1), as evenly spread.
+/// @returns The hash mapped to a number in [0, 1), with uniform distribution.
 double unitOf(std::uint64_t hash);
 
-/// SHA-256 in lower-case hex: names content and compares keys.
+/// SHA-256 in lower-case hex. Identifies content and compares keys.
 std::string sha256Hex(std::string_view bytes);
 
-/// Half of a SHA-256: names a secret without holding it.
+/// The first half of a SHA-256. Identifies a secret without storing it.
 struct digest_128
 {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
 
-    // The check takes the 0 in a rewritten comparison for a null pointer.
+    // clang-tidy mistakes the 0 in a rewritten comparison for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
     auto operator<=>(const digest_128 &) const = default;
 };
@@ -30,10 +30,11 @@
 /// @returns The first 128 bits of the SHA-256.
 digest_128 digest128Of(std::string_view bytes);
 
-/// Rendezvous weight of `owner` for `key`: the owner with the highest weight has the key.
+/// Weight of `owner` for `key` in rendezvous hashing: the owner with the highest weight owns the
+/// key.
 std::uint64_t rendezvousWeight(std::string_view owner, std::string_view key);
 
-/// @returns 128 random bits in hex from the system's generator.
+/// @returns 128 random bits in hex, from the cryptographic random generator.
 std::string randomHex128();
 
 } // namespace poplarspool
--- a/include/poplarspool/base/ids.h
+++ b/include/poplarspool/base/ids.h
@@ -8,7 +8,7 @@
 
 namespace poplarspool {
 
-/// A name that can't be mixed up with a name of another kind. The empty name is the invalid one.
+/// A name with a type of its own for each kind of object. The empty name is invalid.
 template <class Tag>
 struct name_of
 {
@@ -18,15 +18,15 @@
     auto operator<=>(const name_of &) const = default; // NOLINT(modernize-use-nullptr): false alarm
 };
 
-using instance_id = name_of<struct instance_tag>; ///< One machine's process of ours.
+using instance_id = name_of<struct instance_tag>; ///< One instance: a process of the product.
 using runner_id = name_of<struct runner_tag>; ///< One target: an engine or a plain service.
-using pool_id = name_of<struct pool_tag>; ///< Runners that serve the same purpose.
+using pool_id = name_of<struct pool_tag>; ///< Interchangeable runners.
 using zone_id = name_of<struct zone_tag>; ///< Availability zone.
-using workspace_id = name_of<struct workspace_tag>; ///< Customer.
-using caller_id = name_of<struct caller_tag>; ///< Who sends requests.
-using request_id = name_of<struct request_tag>; ///< One request, unique over all instances.
+using workspace_id = name_of<struct workspace_tag>; ///< A customer.
+using caller_id = name_of<struct caller_tag>; ///< A client that sends requests.
+using request_id = name_of<struct request_tag>; ///< One request; unique across all instances.
 
-/// Place of a runner in one inventory; meaningless in another.
+/// Index of a runner in one inventory; not valid for any other inventory.
 struct runner_handle
 {
     static constexpr std::uint32_t invalid = UINT32_MAX;
@@ -36,7 +36,7 @@
     auto operator<=>(const runner_handle &) const = default;
 };
 
-/// Number of one life of a process: grows with every start. 0 is no life.
+/// Incarnation number of a process: increases with each start. 0 means none.
 using incarnation = std::uint64_t;
 
 } // namespace poplarspool
--- a/include/poplarspool/base/journal.h
+++ b/include/poplarspool/base/journal.h
@@ -14,14 +14,14 @@
 
 namespace poplarspool {
 
-/// Hybrid logical clock: wall time in milliseconds, and a count that orders events within one and
-/// keeps an effect after its cause where wall clocks disagree.
+/// Timestamp of a hybrid logical clock: wall time in milliseconds, and a counter that orders events
+/// of the same millisecond and keeps an effect after its cause where wall clocks differ.
 struct hybrid_time
 {
     std::int64_t wallMs = 0;
     std::uint32_t count = 0;
 
-    // The check takes the 0 in a rewritten comparison for a null pointer.
+    // clang-tidy mistakes the 0 in a rewritten comparison for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
     auto operator<=>(const hybrid_time &) const = default;
 };
@@ -44,7 +44,7 @@
     bool operator==(const event &) const = default;
 };
 
-/// What to take out of a ring; empty members take all.
+/// Selects events of a ring buffer. Empty members match all events.
 struct event_filter
 {
     std::string kind;
@@ -52,35 +52,37 @@
     std::string runner;
 };
 
-/// @returns One line: `at=… instance=… event=… key=value …`; values with blanks are quoted.
+/// @returns One log line: `at=… instance=… event=… key=value …`. Values with blanks are quoted.
 std::string lineOf(const event &entry);
 
 bool matches(const event &entry, const event_filter &filter);
 
-/// Log and time line of one process: every event is one log line and one entry of a bounded ring.
-/// All members may be called from any thread.
+/// Event log of one process: each event is written as one log line and kept in a ring buffer of
+/// fixed size. Thread-safe.
 class journal
 {
 public:
-    /// @param ringSize Events kept; the oldest is dropped first.
+    /// @param ringSize Capacity of the ring buffer in events.
     journal(instance_id self, clock_source clock, std::size_t ringSize);
     ~journal();
 
-    /// Writes one event. Kinds and keys are snake_case words; usual keys are request, runner,
-    /// peer, workspace, verdict, code, version.
+    /// Logs one event. Kinds and keys are in snake_case; common keys are request, runner, peer,
+    /// workspace, verdict, code and version.
+    /// @returns The timestamp of the event.
     hybrid_time emit(std::string_view kind, std::vector<event_field> fields = {});
 
-    /// Writes one event as the process ends: past the ring, and without a lock, which the calling
-    /// thread may hold already.
+    /// Logs one event while the process terminates. It bypasses the ring buffer and takes no lock,
+    /// because the calling thread may already hold it.
     void emitLast(std::string_view kind, std::vector<event_field> fields) const;
 
-    /// Takes note of a time that came with a message, so that what follows it sorts after it.
+    /// Advances the clock to the timestamp of a received message, so that later events are ordered
+    /// after it.
     void observe(hybrid_time remote);
 
-    /// @returns The time of now, for a message that leaves.
+    /// @returns The current timestamp, for an outgoing message.
     hybrid_time stamp();
 
-    /// @returns The ring's matching events, oldest first.
+    /// @returns The matching events of the ring buffer, oldest first.
     std::vector<event> events(const event_filter &filter) const;
 
 private:
@@ -90,7 +92,7 @@
 
 enum class log_stream { Output, Error };
 
-/// Sets up log4cxx for the process: one key=value line per event.
+/// Configures log4cxx for the process: one key=value line per event.
 /// @param level "debug", "info", "warn", "error" or "off".
 void setUpLog(std::string_view level, log_stream stream);
 
--- a/include/poplarspool/base/look_thread.h
+++ b/include/poplarspool/base/look_thread.h
@@ -11,32 +11,33 @@
 
 namespace poplarspool {
 
-/// A thread that looks at something again and again. A look that throws is logged, and the next
-/// one goes on.
+/// A thread that runs a function periodically. An exception ends one iteration and is logged; the
+/// next iteration runs as usual.
 class look_thread
 {
 public:
-    /// @param name Of the thread.
-    /// @param pause Between two looks, and before the first.
-    look_thread(std::string name, milliseconds pause, step_faults faults,
-                std::function<void()> look);
+    /// @param name Name of the thread.
+    /// @param interval Pause between two iterations, and before the first.
+    look_thread(std::string name, milliseconds interval, step_faults faults,
+                std::function<void()> iteration);
     ~look_thread();
     look_thread(const look_thread &) = delete;
     look_thread &operator=(const look_thread &) = delete;
 
     void start();
-    /// Begins no look any more. Doesn't wait: a look may be waiting for a slow answer.
+    /// Prevents further iterations. Doesn't wait for the current one, which may take long.
     void requestStop();
-    /// @attention Waits for the present look.
+    /// Prevents further iterations.
+    /// @attention Waits for the current iteration.
     void stop();
 
 private:
     void run();
 
     const std::string name;
-    const milliseconds pause;
+    const milliseconds interval;
     const step_faults faults;
-    const std::function<void()> look;
+    const std::function<void()> iteration;
     std::mutex guard;
     std::condition_variable stopped;
     bool isStopping = false;
--- a/include/poplarspool/base/metrics.h
+++ b/include/poplarspool/base/metrics.h
@@ -9,7 +9,7 @@
 
 namespace poplarspool {
 
-/// A number that only grows.
+/// A value that only increases.
 struct counter
 {
     std::atomic<std::uint64_t> value{0};
@@ -18,7 +18,7 @@
     std::uint64_t get() const { return value.load(std::memory_order_relaxed); }
 };
 
-/// A number that goes up and down.
+/// A value that can increase and decrease.
 struct gauge
 {
     std::atomic<std::int64_t> value{0};
@@ -28,7 +28,7 @@
     std::int64_t get() const { return value.load(std::memory_order_relaxed); }
 };
 
-/// Distribution of times, on a logarithmic axis from 10 microseconds to 1000 seconds.
+/// Histogram of durations with logarithmic bins from 10 microseconds to 1000 seconds.
 class latency
 {
 public:
@@ -36,8 +36,8 @@
     ~latency();
     void record(std::chrono::nanoseconds elapsed);
     std::uint64_t count() const;
-    /// @param share Such as 0.95.
-    /// @returns Upper edge of the bin that holds that share; 0 where nothing was recorded.
+    /// @param share Quantile, such as 0.95.
+    /// @returns Upper edge of the bin that contains the quantile; 0 if nothing was recorded.
     std::chrono::nanoseconds quantile(double share) const;
 
 private:
@@ -46,8 +46,9 @@
     std::unique_ptr<state> inner;
 };
 
-/// All metrics of one process. References stay valid as long as the registry; asking again for a
-/// name gives the same metric. Look metrics up once, at construction, not on a request's path.
+/// All metrics of one process. A name always refers to the same metric, and references stay valid
+/// for the lifetime of the registry. A look-up takes a lock: do it at construction, not while
+/// serving a request.
 class metrics_registry
 {
 public:
@@ -60,7 +61,7 @@
     gauge &gaugeOf(std::string_view name);
     latency &latencyOf(std::string_view name);
 
-    /// @returns All metrics in Prometheus' text format.
+    /// @returns All metrics in the Prometheus text format.
     std::string text() const;
 
 private:
--- a/include/poplarspool/base/named_thread.h
+++ b/include/poplarspool/base/named_thread.h
@@ -11,31 +11,31 @@
 
 namespace poplarspool {
 
-/// Starts a thread that is known by a name, such as "store_watch_config".
+/// Starts a thread with a name for logs, such as "store_watch_config".
 std::thread startNamed(std::string name, std::function<void()> run);
 
-/// Names the calling thread, where startNamed() has not made it.
+/// Names the calling thread, if it was not started by startNamedThread().
 void nameThisThread(std::string name);
 
-/// @returns The calling thread's name; "unnamed" where it was not given one.
+/// @returns The calling thread's name; "unnamed" if it has none.
 std::string_view threadName();
 
-/// Where steps of long-lived threads that failed are logged and counted.
+/// Log and counter for failed steps of long-lived threads.
 struct step_faults
 {
-    journal *events = nullptr; ///< Null: they are only counted.
+    journal *events = nullptr; ///< If null, failures are only counted.
     counter &failed;
 };
 
-/// @returns One that counts them in poplarspool_steps_failed_total.
+/// @returns A reporter that counts failures in poplarspool_steps_failed_total.
 step_faults stepFaultsOf(journal &events, metrics_registry &metrics);
 
-/// Logs and counts the exception that is being handled: `step_failed thread=… type=… reason=…`.
+/// Logs and counts the currently handled exception: `step_failed thread=… type=… reason=…`.
 void noteFailedStep(const step_faults &faults) noexcept;
 
-/// Runs one step of a long-lived thread. An exception ends the step, and neither the thread nor the
-/// process.
-/// @returns False where it threw. Who tries again does so after config::failedStepPause.
+/// Runs one step of a long-lived thread. An exception is logged and ends only the step, not the
+/// thread or the process.
+/// @returns False if the step threw. Before a retry, wait for config::failedStepPause.
 template <class Step>
 bool contained(const step_faults &faults, Step &&step) noexcept
 {
@@ -48,13 +48,13 @@
     }
 }
 
-/// While it lives, an exception that nobody catches is logged with its thread before it ends the
+/// During its lifetime, an uncaught exception is logged with its thread before it terminates the
 /// process: `uncaught_exception thread=… type=… reason=…`.
-/// @attention One at a time.
+/// @attention Only one object of this class may exist at a time.
 class uncaught_log
 {
 public:
-    /// @param events Must outlive this.
+    /// @param events Must outlive this object.
     explicit uncaught_log(journal &events);
     uncaught_log(const uncaught_log &) = delete;
     uncaught_log &operator=(const uncaught_log &) = delete;
--- a/include/poplarspool/base/percent_text.h
+++ b/include/poplarspool/base/percent_text.h
@@ -5,7 +5,7 @@
 
 namespace poplarspool {
 
-/// @returns The text with every byte but unreserved ones and '/' percent-encoded.
+/// @returns The text with every byte percent-encoded, except for unreserved characters and '/'.
 std::string percentEncoded(std::string_view text);
 
 } // namespace poplarspool
--- a/include/poplarspool/base/published.h
+++ b/include/poplarspool/base/published.h
@@ -7,34 +7,35 @@
 
 namespace poplarspool {
 
-/// One immutable value that many threads read and few replace (read-copy-update). Readers never
-/// wait for a writer, and what they have read stays whole for as long as they hold it.
+/// Holder of an immutable value that is read often and replaced rarely (read-copy-update). Readers
+/// don't wait for writeMutex, and a value stays valid and unchanged for as long as a reader holds
+/// it.
 template <class T>
 class published
 {
 public:
-    explicit published(T first) : now(std::make_shared<const T>(std::move(first))) { }
+    explicit published(T initial) : value(std::make_shared<const T>(std::move(initial))) { }
 
-    std::shared_ptr<const T> current() const { return now.load(std::memory_order_acquire); }
+    std::shared_ptr<const T> current() const { return value.load(std::memory_order_acquire); }
 
-    /// Publishes a changed copy. Writers take turns, so that no change is lost.
-    /// @param change Returns false to leave the value as it is.
-    /// @returns The value that stands afterwards.
+    /// Publishes a modified copy. Writers are serialised, so that no change is lost.
+    /// @param change Modifies the copy; returns false to keep the published value.
+    /// @returns The value published afterwards.
     std::shared_ptr<const T> update(const std::function<bool(T &)> &change)
     {
-        const std::lock_guard lock(writers);
-        std::shared_ptr<const T> before = current();
-        auto next = std::make_shared<T>(*before);
+        const std::lock_guard lock(writeMutex);
+        std::shared_ptr<const T> previous = current();
+        auto next = std::make_shared<T>(*previous);
         if (!change(*next))
-            return before;
+            return previous;
         std::shared_ptr<const T> after = std::move(next);
-        now.store(after, std::memory_order_release);
+        value.store(after, std::memory_order_release);
         return after;
     }
 
 private:
-    std::atomic<std::shared_ptr<const T>> now;
-    std::mutex writers;
+    std::atomic<std::shared_ptr<const T>> value;
+    std::mutex writeMutex;
 };
 
 } // namespace poplarspool
--- a/include/poplarspool/base/result.h
+++ b/include/poplarspool/base/result.h
@@ -9,27 +9,29 @@
 
 namespace poplarspool {
 
-/// Whether a failed request may have run on a target. `NotRun` is a promise: no target has begun it
-/// and none will. Where that can't be proved the verdict is `MayHaveRun`.
+/// Whether a failed request may have been executed by a target. `NotRun` guarantees that no target
+/// has started it or will start it. Where that isn't certain, the verdict is `MayHaveRun`.
 enum class verdict { NotRun, MayHaveRun };
 
-/// What went wrong, from the view of whoever has to react to it.
+/// Kinds of failures, by how the receiver has to react to them.
 enum class error_code {
-    BadRequest, ///< Malformed or not allowed by the protocol.
-    Unauthorized, ///< No or an unknown key.
-    Forbidden, ///< Known, but not allowed this.
+    BadRequest, ///< Malformed, or not allowed by the protocol.
+    Unauthorized, ///< Missing or unknown key.
+    Forbidden, ///< The key is known but doesn't permit the request.
     NotFound, ///< No such model, service, object or route.
-    TooLarge, ///< Above a limit of size.
-    Conflict, ///< Conditional update lost, or idempotency key used with another body.
-    Duplicate, ///< Same idempotency key: the first run's answer is gone; it may have run.
-    Overloaded, ///< Refused early: can't be done in time.
-    Throttled, ///< A budget or rate limit is used up.
-    TimedOut, ///< The time limit has passed.
-    Unavailable, ///< Nobody there to do it now (no runner, store down, connection refused).
-    Broken, ///< The other side answered nonsense, or stopped in the middle.
-    Stale, ///< Old fencing number, incarnation or version.
-    Cancelled, ///< Given up by whoever asked.
-    Internal, ///< A fault of ours.
+    TooLarge, ///< Exceeds a size limit.
+    Conflict, ///< Conditional update failed, or idempotency key reused with another body.
+    /// A request with this idempotency key may already have run, and its answer is no longer
+    /// stored.
+    Duplicate,
+    Overloaded, ///< Rejected early, because it can't be completed in time.
+    Throttled, ///< A budget or rate limit is exhausted.
+    TimedOut, ///< The time limit has expired.
+    Unavailable, ///< Currently not possible: no runner, store down, connection refused.
+    Broken, ///< The peer sent an invalid reply, or ended it too early.
+    Stale, ///< Outdated fencing token, incarnation or version.
+    Cancelled, ///< Cancelled by the sender of the request.
+    Internal, ///< A fault of this process.
 };
 
 /// A failure as a value.
@@ -38,7 +40,7 @@
     error_code code = error_code::Internal;
     std::string message;
     verdict ran = verdict::MayHaveRun;
-    /// When another try makes sense; none where it doesn't.
+    /// Time after which a retry may succeed; none if a retry is pointless.
     std::optional<std::chrono::milliseconds> retryAfter = std::nullopt;
 
     bool operator==(const error &) const = default;
@@ -48,7 +50,7 @@
 template <class T>
 using result = std::variant<T, error>;
 
-/// The value of a success that has nothing to say.
+/// The value of a success without a result.
 struct unit
 {
     bool operator==(const unit &) const = default;
@@ -60,7 +62,7 @@
     return std::holds_alternative<T>(outcome);
 }
 
-/// @attention Only where succeeded() holds; otherwise throws std::bad_variant_access.
+/// @throws std::bad_variant_access if the outcome is a failure.
 template <class T>
 const T &valueOf(const result<T> &outcome)
 {
@@ -73,20 +75,20 @@
     return std::get<T>(outcome);
 }
 
-/// @attention Only where succeeded() does not hold.
+/// @throws std::bad_variant_access if the outcome is a success.
 template <class T>
 const error &errorOf(const result<T> &outcome)
 {
     return std::get<error>(outcome);
 }
 
-/// @returns The name used in answers, logs and metrics, such as "not_run".
+/// @returns The name used in replies, logs and metrics, such as "not_run".
 std::string_view nameOf(verdict ran);
 
-/// @returns The name used in answers, logs and metrics, such as "overloaded".
+/// @returns The name used in replies, logs and metrics, such as "overloaded".
 std::string_view nameOf(error_code code);
 
-/// @returns The code with that name; Internal where there is none.
+/// @returns The code with this name; Internal if there is none.
 error_code errorCodeOf(std::string_view name);
 
 inline error notRun(error_code code, std::string message,
--- a/include/poplarspool/base/settings.h
+++ b/include/poplarspool/base/settings.h
@@ -11,20 +11,21 @@
 
 namespace poplarspool {
 
-/// Settings of one instance, as read and checked from its TOML file; docs/SETTINGS.md has each key.
+/// Settings of one instance, read from its TOML file and validated; docs/SETTINGS.md describes each
+/// key.
 struct settings
 {
     instance_id instance; ///< `instance`
     zone_id zone; ///< `zone`
-    std::string deployment; ///< `deployment`: prefix of all its objects in the store.
+    std::string deployment; ///< `deployment`: prefix of all objects in the store.
 
-    endpoint callerAddress; ///< `caller.address`: where callers connect.
-    endpoint
-            operatorAddress; ///< `operator.address`: status, time line, metrics; never for callers.
-    std::string operatorKeySha256; ///< `operator.key_sha256`: hex; empty lets everyone in.
-    endpoint peerAddress; ///< `peer.address`: UDP gossip and TCP calls, same port.
-    std::string peerKey; ///< `peer.key`: secret of all instances; MAC of every message.
-    std::vector<endpoint> peerSeeds; ///< `peer.seeds`: asked besides the instance list.
+    endpoint callerAddress; ///< `caller.address`: address for callers.
+    /// `operator.address`: status, event timeline and metrics; not meant for callers.
+    endpoint operatorAddress;
+    std::string operatorKeySha256; ///< `operator.key_sha256`: hex; empty: no key needed.
+    endpoint peerAddress; ///< `peer.address`: UDP gossip and TCP calls.
+    std::string peerKey; ///< `peer.key`: shared secret for the message MACs.
+    std::vector<endpoint> peerSeeds; ///< `peer.seeds`: used besides the instance list.
 
     endpoint storeAddress; ///< `platform.store`: object API.
     endpoint instanceListAddress; ///< `platform.instances`
@@ -35,7 +36,8 @@
 
     http_limits callerLimits = defaultHttpLimits(); ///< `caller.limits.*`
     std::uint32_t maxStreams = config::maxCallerConnections; ///< `caller.limits.streams`
-    milliseconds leaveGrace = config::addressKeepTime; ///< `leave.grace_seconds`, at least keep.
+    /// `leave.grace_seconds`; not less than the time for which callers cache addresses.
+    milliseconds leaveGrace = config::addressKeepTime;
     milliseconds leaveBound = config::maxTimeLimit; ///< `leave.bound_seconds`
 
     milliseconds gossipTime = config::gossipTime; ///< `peer.gossip_ms`
--- a/include/poplarspool/base/store_version.h
+++ b/include/poplarspool/base/store_version.h
@@ -5,14 +5,14 @@
 
 namespace poplarspool {
 
-/// A state of the platform's store. The store may come back from an older copy of itself: revisions
-/// go back then and are given out again, so that one alone names no state.
+/// Version of the platform's store. After a store rollback, revisions start again from an older
+/// value and are reused, so a revision alone doesn't identify a state.
 struct store_version
 {
-    std::uint64_t epoch = 0; ///< Rises each time that the store comes back from an older copy.
-    std::uint64_t revision = 0; ///< Rises with each change within an epoch.
+    std::uint64_t epoch = 0; ///< Increases with each store rollback.
+    std::uint64_t revision = 0; ///< Increases with each change within an epoch.
 
-    // The check takes the 0 in a rewritten comparison for a null pointer.
+    // clang-tidy mistakes the 0 in a rewritten comparison for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
     auto operator<=>(const store_version &) const = default;
 };
--- a/include/poplarspool/config.h
+++ b/include/poplarspool/config.h
@@ -4,217 +4,229 @@
 #include <cstddef>
 #include <cstdint>
 
-/// Every limit and default of the product, in one place. Values an operator may change are only the
-/// defaults here; docs/SETTINGS.md lists the keys that override them.
+/// Limits and defaults of the instance. Values that an operator may change have their defaults
+/// here; docs/SETTINGS.md lists the settings keys that override them.
 namespace poplarspool::config {
 
 using namespace std::chrono_literals;
 
-// --- Towards callers ---------------------------------------------------------------------------
+// --- Callers -----------------------------------------------------------------------------------
 
-/// Bytes of one request's headers.
+/// Maximum size of one request's headers, in bytes.
 inline constexpr std::size_t maxHeaderBytes = 16 * 1024;
-/// Bytes of one request's body.
+/// Maximum size of one request's body, in bytes.
 inline constexpr std::size_t maxBodyBytes = 1024 * 1024;
-/// Levels of arrays and objects in each other, in JSON of others: values are copied by recursion,
-/// on stacks of connectionStackBytes.
+/// Maximum nesting depth of JSON received from outside. JSON values are copied and destroyed
+/// recursively, on thread stacks of connectionStackBytes.
 inline constexpr std::size_t maxJsonDepth = 64;
-/// Connections of callers that one instance holds open; one thread each.
+/// Maximum number of open caller connections of one instance. Each takes one thread.
 inline constexpr std::uint32_t maxCallerConnections = 1200;
-/// Time in which a caller must have sent its whole request.
+/// Time limit for receiving a whole request from a caller.
 inline constexpr std::chrono::milliseconds requestReadTime = 10s;
-/// Time that one write towards a caller may block before the caller is given up.
+/// Time for which one write to a caller may block before its connection is closed.
 inline constexpr std::chrono::milliseconds callerWriteTime = 10s;
-/// Idle time after which a kept-alive connection is closed.
+/// Idle time after which the server closes a keep-alive connection.
 inline constexpr std::chrono::milliseconds keepAliveTime = 15s;
-/// Requests served on one kept-alive connection.
+/// Maximum number of requests served on one keep-alive connection.
 inline constexpr std::size_t keepAliveRequests = 10000;
-/// Connections that the kernel holds for a server until it accepts them.
+/// Backlog of a listening socket: connections the kernel queues until the server accepts them.
 inline constexpr int listenBacklog = 4096;
-/// Stack of a thread that serves a connection; only what it touches takes memory.
+/// Stack size of a connection thread. Only the pages it touches take up memory.
 inline constexpr std::size_t connectionStackBytes = 512 * 1024;
-/// Time that a thread without a connection is kept for the next one.
+/// Time for which an idle connection thread waits for another connection before it ends.
 inline constexpr std::chrono::milliseconds idleThreadTime = 2s;
-/// Time that a connection stays half open after an early reply, so that the caller can read it.
+/// Time for which a connection stays half-closed after an early reply, so that the caller can read
+/// the reply before the connection is closed.
 inline constexpr std::chrono::milliseconds closeTime = 1s;
-/// Seconds for which callers may keep the answer of /v1/addresses.
+/// Time for which callers may cache the reply of /v1/addresses, in seconds.
 inline constexpr std::chrono::seconds addressKeepTime = 10s;
-/// Longest time limit that a caller may ask for.
+/// Maximum time limit that a request may set.
 inline constexpr std::chrono::milliseconds maxTimeLimit = 10min;
-/// Time limit of a request that names none.
+/// Time limit of a request that sets none.
 inline constexpr std::chrono::milliseconds defaultTimeLimit = 60s;
-/// Bytes of an idempotency key, request id, workspace or caller name.
+/// Maximum length of an idempotency key, request id, workspace or caller name, in bytes.
 inline constexpr std::size_t maxNameBytes = 128;
-/// Tokens that one completion may ask for.
+/// Maximum number of output tokens that a completion may request.
 inline constexpr std::uint32_t maxOutputTokens = 32768;
-/// Tokens of a completion that names no bound.
+/// Maximum number of output tokens of a completion that sets no limit.
 inline constexpr std::uint32_t defaultOutputTokens = 256;
-/// Bytes of a bearer key.
+/// Maximum length of a bearer key, in bytes.
 inline constexpr std::size_t maxBearerKeyBytes = 1024;
-/// Bytes of an answer that is gathered for a caller who wants it in one piece.
+/// Maximum size of an answer collected for a caller that didn't request streaming, in bytes.
 inline constexpr std::size_t maxGatheredAnswerBytes = 4 * 1024 * 1024;
-/// Tokens of a gathered answer between two looks whether the caller is still there.
+/// Number of tokens of a collected answer between two checks that the caller is still connected.
 inline constexpr std::uint32_t goneLookTokens = 16;
 
-// --- Towards targets ---------------------------------------------------------------------------
+// --- Targets -----------------------------------------------------------------------------------
 
-/// Time to connect to a target or peer.
+/// Time limit for connecting to a target or peer.
 inline constexpr std::chrono::milliseconds connectTime = 500ms;
-/// Idle connections kept per target.
+/// Maximum number of idle pooled connections per target.
 inline constexpr std::size_t maxIdleConnections = 64;
-/// Idle time after which a pooled connection is closed; below our keepAliveTime and the 5 s that
-/// many servers keep, so that a request seldom meets a connection that its server is just closing.
+/// Idle time after which a pooled connection is closed. Shorter than keepAliveTimeout and than the
+/// 5 s that are the default of many servers, so that a request is rarely sent on a connection that
+/// its server is closing.
 inline constexpr std::chrono::milliseconds idleConnectionTime = 4s;
-/// Time between two looks for idle connections that have expired.
+/// Interval at which expired idle connections are closed.
 inline constexpr std::chrono::milliseconds poolSweepTime = 1s;
-/// Bytes of a reply's body that is gathered in memory, and of any reply's headers.
+/// Maximum size of a reply body collected in memory, and of the headers of any reply, in bytes.
 inline constexpr std::size_t maxReplyBytes = 64 * 1024 * 1024;
 inline constexpr std::size_t maxReplyHeaderBytes = 64 * 1024;
-/// Time between two load reports polled from one runner.
+/// Interval at which load reports are polled from a runner.
 inline constexpr std::chrono::milliseconds loadPollTime = 250ms;
-/// Age at which a load report no longer says anything about its runner.
+/// Age above which a load report is ignored.
 inline constexpr std::chrono::milliseconds loadStaleTime = 3s;
-/// Shortest time between two rumors of one runner's load, and of one instance's demand.
+/// Minimum time between two rumors of the same runner's load or of the same instance's demand.
 inline constexpr std::chrono::milliseconds loadSpreadTime = 1s;
-/// Time after which a load that hasn't changed is spread anew.
+/// Time after which an unchanged load is sent again as a rumor.
 inline constexpr std::chrono::milliseconds loadRenewTime = 2s;
-/// Polls in a row that must fail before a runner counts as down.
+/// Number of consecutive failed polls after which a runner is considered down.
 inline constexpr std::uint32_t pollFailuresToDown = 2;
-/// Time for which this instance sends nothing new to a runner that refused its connection.
+/// Time for which a runner is ejected on this instance after it refused a connection: no new
+/// requests are sent to it.
 inline constexpr std::chrono::milliseconds avoidTime = 1s;
-/// Pause before a stream that lost its engine looks for another one again.
+/// Pause before a stream that lost its engine tries again to find another one.
 inline constexpr std::chrono::milliseconds resumePause = 100ms;
-/// Bytes of one line of an engine's stream.
+/// Maximum length of one line of an engine's stream, in bytes.
 inline constexpr std::size_t maxStreamLineBytes = 256 * 1024;
-/// Time for one short call to a target: load, cancel, cache events.
+/// Time limit of a short call to a target: load report, cancellation, cache events.
 inline constexpr std::chrono::milliseconds targetCallTime = 1s;
-/// Time for moving one stream's KV to or from an engine.
+/// Time limit for transferring one stream's KV cache to or from an engine.
 inline constexpr std::chrono::milliseconds kvMoveTime = 10s;
-/// Bytes of a target's error reply that are read.
+/// Maximum number of bytes read of a target's error reply.
 inline constexpr std::size_t maxTargetErrorBytes = 16 * 1024;
 
-// --- Towards the platform ----------------------------------------------------------------------
+// --- Platform ----------------------------------------------------------------------------------
 
-/// Bytes of one object, the platform's own limit.
+/// Maximum size of one object in bytes, as set by the platform.
 inline constexpr std::size_t maxObjectBytes = 1024 * 1024;
-/// Time for one call to the object API.
+/// Time limit of one call to the object API.
 inline constexpr std::chrono::milliseconds storeCallTime = 2s;
-/// Time that one watch waits at the store before it answers that nothing changed.
+/// Time after which the store answers a watch request without a change.
 inline constexpr std::chrono::milliseconds storeWatchTime = 20s;
-/// Calls a second that one instance allows itself, in the long run, and at once.
+/// Rate limit of one instance's store calls: sustained rate in calls per second, and burst size.
 inline constexpr double storeCallsPerSecond = 20.0;
 inline constexpr double storeCallBurst = 40.0;
-/// Back-off between tries of one store call: first, and bound.
+/// Backoff between tries of one store call: initial and maximum.
 inline constexpr std::chrono::milliseconds storeBackoffFirst = 50ms;
 inline constexpr std::chrono::milliseconds storeBackoffMax = 5s;
-/// Longest pause between two tries to reach the store for news of the configuration: with the time
-/// of a watch and of gossip it stays below the 11 s in which a configuration must be in force.
+/// Maximum backoff between tries to read the configuration from the store. Together with the times
+/// of a watch and of gossip it stays below the 11 s within which a configuration must take effect.
 inline constexpr std::chrono::milliseconds syncBackoffMax = 2s;
-/// Time for which one watch of the configuration waits; each confirms the view anew.
+/// Time for which one watch of the configuration waits. Each completed watch confirms the view.
 inline constexpr std::chrono::milliseconds confirmTime = 3s;
-/// Time in which an operator's change must be accepted or refused.
+/// Time limit within which an operator's change is accepted or refused.
 inline constexpr std::chrono::milliseconds applyTime = 8s;
-/// Age of the last confirmation after which a view is no longer fresh.
+/// Age of the last confirmation above which a view is no longer fresh.
 inline constexpr std::chrono::milliseconds freshTime = 10s;
-/// Time for which one look at a majority of the instances keeps a view fresh.
+/// Time for which a view stays fresh after a majority of the instances was found reachable.
 inline constexpr std::chrono::milliseconds reachTime = 1s;
-/// What a confirmation heard from a peer may look younger than it is, and clocks differ in speed.
+/// Margin for a confirmation received from a peer, which may be older than it appears, and for
+/// differences in clock rate.
 inline constexpr std::chrono::milliseconds freshMargin = 2s;
-/// Time for which an instance that gossip lost is remembered.
+/// Time for which an instance is remembered after it has left the gossip membership.
 inline constexpr std::chrono::milliseconds departedTime = 2min;
-/// Instances per availability zone that watch the store; the others learn from them by gossip.
+/// Number of instances per availability zone that watch the store. The others receive changes from
+/// them by gossip.
 inline constexpr std::size_t watchersPerZone = 3;
-/// Time between two polls of the instance list.
+/// Interval at which the instance list is polled.
 inline constexpr std::chrono::milliseconds instanceListPollTime = 5s;
 
 // --- Between instances -------------------------------------------------------------------------
 
-/// Bytes of one datagram, below the usual MTU.
+/// Maximum size of one datagram in bytes, below the usual MTU.
 inline constexpr std::size_t maxDatagramBytes = 1400;
-/// Time between two gossip rounds of one instance.
+/// Interval between two gossip rounds of one instance.
 inline constexpr std::chrono::milliseconds gossipTime = 200ms;
-/// Peers told per gossip round.
+/// Number of peers that an instance sends to in one gossip round.
 inline constexpr std::size_t gossipFanout = 3;
-/// Bytes a second that one instance sends as gossip. It receives as many, and letter 1 allows 17 KB
-/// for all control.
+/// Maximum gossip traffic that one instance sends, in bytes per second. It receives as much again,
+/// and requirement 1 allows 17 KB per second for all control traffic.
 inline constexpr std::size_t gossipBytesPerSecond = 8 * 1024;
-/// Silence after which a member is suspected, and a suspect is taken for dead.
+/// Time without an answer after which a member becomes suspect, and time after which a suspect
+/// member is declared dead.
 inline constexpr std::chrono::milliseconds suspectTime = 1500ms;
 inline constexpr std::chrono::milliseconds deadTime = 4s;
-/// Time between two messages of one instance on what it has sent to runners; and how many it sends
-/// a second to those in its zone and to all others, above which the time grows.
+/// Interval at which an instance sends load updates: what it has sent to runners.
 inline constexpr std::chrono::milliseconds loadNewsTime = 40ms;
-/// In a fleet of 67, prompts waited for each other at engines that seemed idle: with 150 and 100 a
-/// second, the users' calm day is worth 0.576, with 400 and 300 it is 0.660, for 0.002 of bytes.
+/// Maximum number of load updates that an instance sends per second to its own zone and to all
+/// others; above it, loadUpdateInterval grows. At 150 and 100 per second, prompts in a fleet of 67
+/// queued behind each other at engines that seemed idle, and the undisturbed benchmark day scored
+/// 0.576; at 400 and 300 it scores 0.660, of which the extra traffic costs 0.002.
 inline constexpr std::size_t loadNewsPerSecond = 400;
 inline constexpr std::size_t farLoadNewsPerSecond = 300;
-/// Instances from which on the datagrams of the whole fleet stay the same: the work is shared by
-/// more, and each has less to tell. Without this bound, 295 instances send and take 206,000 a
-/// second, 3.4 times what 87 do, and a day of theirs took more processor time than it was given.
+/// Number of instances above which the load updates of the whole fleet no longer grow: each
+/// instance handles a smaller share of the requests and has less to report. Without this limit, 295
+/// instances send and receive 206,000 datagrams per second, 3.4 times as many as 87 do, and a
+/// benchmark day of 295 instances exceeded its CPU time.
 inline constexpr std::size_t loadNewsFleet = 96;
-/// Bounds of one such message, so that it fits into a datagram.
+/// Maximum numbers of entries in one load update, so that it fits into a datagram.
 inline constexpr std::size_t maxLoadItems = 64;
 inline constexpr std::size_t maxCachedNews = 48;
-/// Others that are told of the platform's store from which on two instances follow it for them: one
-/// of the two may die, freeze or be turned away, and nobody has to ask the store for that. Where
-/// they are fewer, the second costs more than what it saves: 235 and 369 calls to the store in
-/// place of 175 and 283, on a calm and a troubled day of a user with 18 instances (534 and 1,233
-/// where each follows it by itself).
+/// Number of other instances from which on two relays watch the platform's store for them. If one
+/// relay dies, freezes or is rejected by the store, the others need not query the store themselves.
+/// With fewer instances, the second relay costs more store calls than it saves: with 18 instances,
+/// 235 calls on an undisturbed and 369 on a disturbed benchmark day instead of 175 and 283 (534 and
+/// 1,233 where each instance watches the store itself).
 inline constexpr std::size_t othersForTwoTellers = 32;
-/// Time between two datagrams of one that has nothing new; and silence after which it is taken for
-/// gone: two of them may be lost.
+/// Interval between two datagrams of a relay without changes, and time without a datagram after
+/// which a relay is considered gone. Two datagrams may be lost.
 inline constexpr std::chrono::milliseconds storeNewsTime = 250ms;
 inline constexpr std::chrono::milliseconds tellerSilence = 700ms;
-/// Time within which an instance stands in for one that has gone silent: ten datagrams' flight, so
-/// that of 50 that notice at once only a few begin.
+/// Maximum delay before an instance takes over from a relay that has gone silent. It is ten times
+/// the transit time of a datagram, so that only a few of 50 instances that notice at the same time
+/// take over.
 inline constexpr std::chrono::milliseconds standInTimeMost = 500ms;
-/// Time for which a silent one is remembered, and by which the clocks and datagrams of two
-/// instances may make a confirmation seem later than it was.
+/// Time for which a silent relay is remembered, and by which clock differences and datagram delays
+/// between two instances may make a confirmation appear newer than it was.
 inline constexpr std::chrono::milliseconds tellerMemory = 2s;
-/// Longest wait for a datagram; only bounds how often the thread looks whether it shall end.
+/// Maximum wait for a datagram. Only determines how often the thread checks whether to stop.
 inline constexpr std::chrono::milliseconds storeNewsIdleTime = 5s;
-/// Time for which a change is told again: four datagrams. Later, whoever still lacks it asks the
-/// store.
+/// Time for which a relayed change is repeated, in four datagrams. An instance that still lacks the
+/// change afterwards reads it from the store.
 inline constexpr std::chrono::milliseconds toldChangeTime = 1s;
-/// Bounds of one datagram: kinds, changes of a kind, bytes of one change, and of all changes.
+/// Limits of one datagram of relayed changes: number of kinds, number of changes of a kind, bytes
+/// of one change, bytes of all changes.
 inline constexpr std::size_t maxToldKinds = 4;
 inline constexpr std::size_t maxToldChanges = 32;
 inline constexpr std::size_t maxChangeBytes = 1150;
 inline constexpr std::size_t maxToldBytes = 1200;
-/// Bytes of one rumor's payload.
+/// Maximum size of one rumor's payload, in bytes.
 inline constexpr std::size_t maxRumorBytes = 512;
-/// Bytes of one call between instances.
+/// Maximum size of one call between instances, in bytes.
 inline constexpr std::size_t maxPeerCallBytes = 2 * 1024 * 1024;
-/// Time for one call between instances.
+/// Time limit of one call between instances.
 inline constexpr std::chrono::milliseconds peerCallTime = 2s;
-/// Members that one instance can know.
+/// Maximum number of members in one instance's membership table.
 inline constexpr std::size_t maxMembers = 1024;
-/// Time between two heartbeats of one instance; longer where so many members would not fit the
-/// byte budget.
+/// Interval between two heartbeats of one instance. It is longer in deployments with so many
+/// members that the heartbeats would exceed the byte budget.
 inline constexpr std::chrono::milliseconds heartbeatTime = 1s;
-/// Members that are asked to probe one that did not answer.
+/// Number of members that are requested to probe a member that did not answer.
 inline constexpr std::size_t indirectProbes = 3;
-/// Time for which a dead member is remembered, so that late news can't bring it back.
+/// Time for which a dead member is remembered, so that a delayed update can't revive it.
 inline constexpr std::chrono::milliseconds deadKeepTime = 10min;
-/// Time between two pages of full state that repair what deltas lost.
+/// Interval between two pages of the full state, which make up for lost deltas.
 inline constexpr std::chrono::milliseconds gossipPageTime = 2s;
-/// Share of the gossip budget that heartbeats may take.
+/// Maximum share of the gossip budget for heartbeats.
 inline constexpr double heartbeatBudgetShare = 0.67;
-/// Share of a datagram's news that rumors have for sure; heartbeats leave them more where they can.
+/// Share of a datagram's updates that is reserved for rumors. They also use the space that
+/// heartbeats leave.
 inline constexpr double rumorShare = 0.25;
-/// Bytes of IP and UDP headers, which count against the budget as well.
+/// Size of the IP and UDP headers in bytes, which also count against the budget.
 inline constexpr std::size_t datagramOverheadBytes = 28;
-/// Datagrams of one sender that may arrive out of order.
+/// Number of datagrams by which those of one sender may arrive out of order.
 inline constexpr std::size_t replayWindowSize = 1024;
-/// Rumors that one instance knows, and the time after which one that is not renewed is forgotten.
+/// Maximum number of rumors that one instance keeps, and time after which a rumor that isn't
+/// refreshed is dropped.
 inline constexpr std::size_t maxRumors = 4096;
 inline constexpr std::chrono::milliseconds rumorKeepTime = 30s;
-/// Connections of peers that one instance serves; one thread each.
+/// Maximum number of peer connections that one instance serves. Each takes one thread.
 inline constexpr std::size_t maxPeerConnections = 256;
-/// Idle connections kept per peer, and the time after which one is closed.
+/// Maximum number of idle connections per peer, and idle time after which one is closed.
 inline constexpr std::size_t maxIdlePeerConnections = 4;
 inline constexpr std::chrono::milliseconds peerIdleTime = 60s;
-/// Bounds of what one message between instances may hold.
+/// Limits of one message between instances.
 inline constexpr std::size_t maxWireObjects = 8192;
 inline constexpr std::size_t maxWireHeaders = 256;
 inline constexpr std::size_t maxWireEvents = 65536;
@@ -223,149 +235,165 @@
 
 // --- Requests ----------------------------------------------------------------------------------
 
-/// Retries as a share of requests, and the retries saved up at most.
+/// Retry budget: retries as a share of requests, and maximum balance of unused retries.
 inline constexpr double retryShare = 0.1;
 inline constexpr double retryBurst = 20.0;
-/// Tries of one repeatable request, the first among them.
+/// Maximum number of tries of one repeatable request, the first included.
 inline constexpr std::uint32_t maxTries = 4;
-/// Time that claims are gathered before one conditional write.
+/// Time for which claims are batched before one conditional write.
 inline constexpr std::chrono::milliseconds claimBatchTime = 3ms;
-/// Claim buckets of a deployment.
+/// Number of claim buckets of a deployment.
 inline constexpr std::uint32_t claimBuckets = 16;
-/// Time for which a claim is remembered.
+/// Time for which a claim is kept.
 inline constexpr std::chrono::milliseconds claimKeepTime = 15min;
-/// Bytes of an answer to a claimed request that are kept for its duplicates.
+/// Maximum size of a claimed request's answer that is stored for its duplicates, in bytes.
 inline constexpr std::size_t maxKeptAnswerBytes = 64 * 1024;
-/// Bytes of all kept answers of one instance, with what is known of their attempts.
+/// Maximum size of all stored answers of one instance, including the records of their attempts, in
+/// bytes.
 inline constexpr std::size_t maxAnswerBookBytes = 8 * 1024 * 1024;
-/// Claims that one conditional write may add.
+/// Maximum number of claims added by one conditional write.
 inline constexpr std::size_t maxClaimBatch = 512;
-/// Longest time that one try to have a claim written may take.
+/// Time limit of one try to write a claim.
 inline constexpr std::chrono::milliseconds claimTryTime = 2s;
-/// Pause of the store's client that a claim waits out; a longer one means that the store is down.
+/// Maximum pause requested by the store client that a claim waits for. On a longer pause the store
+/// is considered down.
 inline constexpr std::chrono::milliseconds claimStorePatience = 250ms;
-/// When to come back to a claim bucket that is full, or whose claim was left undecided.
+/// Retry-After for a claim bucket that is full, and for a claim whose write is undecided.
 inline constexpr std::chrono::milliseconds claimRetryTime = 1s;
 
 // --- Orders and plans --------------------------------------------------------------------------
 
-/// Window, from before the write of an order, in which its writer may send it.
+/// Window in which the writer of an order may send it; it starts before the order is written.
 inline constexpr std::chrono::milliseconds orderWindow = 2s;
-/// What a successor waits beyond the window: clock margin and delivery bound.
+/// Time that a successor waits after the window: clock margin and delivery limit.
 inline constexpr std::chrono::milliseconds orderMargin = 1s;
-/// Time that TCP may go on trying to deliver an order that was sent; well within orderMargin.
+/// Time for which TCP may retransmit a sent order; well below orderMargin.
 inline constexpr std::chrono::milliseconds orderDeliveryTime = 500ms;
-/// Time for which an engine must say that it is idle: its reports lag behind what it runs.
+/// Time for which an engine must report that it is idle, because its reports lag behind its work.
 inline constexpr std::chrono::milliseconds orderIdleTime = 1s;
-/// Time after which an order that shows no effect is sent again, the same under the same number.
+/// Time after which an order without visible effect is sent again, unchanged and under the same
+/// number.
 inline constexpr std::chrono::milliseconds orderResendTime = 5s;
-/// Time for which an engine is left alone after an order to it was withdrawn or could not begin.
+/// Time for which an engine gets no orders after an order to it was withdrawn or could not start.
 inline constexpr std::chrono::milliseconds orderHoldTime = 10s;
-/// Time between two looks of a planner at its pool.
+/// Interval between two iterations of the planner of a pool.
 inline constexpr std::chrono::milliseconds planTime = 500ms;
-/// Time that a drain waits for running streams before they are moved.
+/// Time for which a drain waits for running streams before they are moved to other engines.
 inline constexpr std::chrono::milliseconds drainTime = 60s;
 
 // --- Decisions ---------------------------------------------------------------------------------
 
-/// Output tokens of a stream that nothing is known of, to guess when a slot comes free.
+/// Assumed number of output tokens of a stream without data, to estimate when a slot becomes free.
 inline constexpr double typicalOutputTokens = 256;
-/// Time between two tokens of one stream, however little an engine has to do.
+/// Minimum time between two tokens of one stream, on an engine without other load, in seconds.
 inline constexpr double minTokenSeconds = 0.008;
-/// Candidates that can do a request among which one decision chooses.
+/// Maximum number of candidates able to serve the request that one decision chooses from.
 inline constexpr std::size_t maxScoredRunners = 32;
-/// Requests that each other instance is taken to have open, beyond as many as this one has
-/// (docs/design/routing.md).
+/// Number of open requests that each other instance is assumed to have in addition to as many as
+/// this instance has (docs/design/routing.md).
 inline constexpr double unseenPeerRequests = 0.5;
-/// Time that a plain service takes for a call of which nothing is known.
+/// Assumed duration of a call to a plain service without data, in seconds.
 inline constexpr double typicalServiceSeconds = 0.05;
-/// Share of its concurrency and KV memory that an engine is taken to use while its report is stale.
+/// Assumed use of an engine's concurrency and KV memory while its load report is stale, as a share.
 inline constexpr double unknownLoadShare = 0.5;
-/// Share of its prefill speed with which an engine is taken to work off a reported backlog.
+/// Share of its prefill speed at which an engine is assumed to work off its reported backlog.
 inline constexpr double backlogDrainShare = 0.5;
-/// Speed of an engine at the work that its role is made for, and at the other, as a share of its
-/// speed in mixed role.
+/// Speed of an engine for the work that its role is for, and for other work, as a factor of its
+/// speed in the mixed role.
 inline constexpr double ownRoleSpeed = 1.5;
 inline constexpr double otherRoleSpeed = 0.25;
-/// Candidates that one decision scores, those included that can't do it in time.
+/// Maximum number of candidates that one decision evaluates, including those that can't meet the
+/// time limit.
 inline constexpr std::size_t maxTriedRunners = 96;
-/// What a runner in another zone must be better by: a time and a share of the whole duration.
+/// Minimum advantage of a runner in another zone: a time in seconds, and a share of the total
+/// duration.
 inline constexpr double crossZoneSeconds = 0.015;
 inline constexpr double crossZoneShare = 0.10;
-/// Longest wait that prefix affinity is worth, as a share of the prompt's own prefill time.
+/// Maximum wait accepted for prefix affinity, as a share of the prompt's own prefill time.
 inline constexpr double affinityWaitShare = 0.5;
-/// Requests that a preferred engine may have beside the mean of all, as a factor and a slack.
+/// Maximum requests of an engine preferred by affinity, relative to the mean of all engines: factor
+/// and added constant.
 inline constexpr double affinityLoadFactor = 1.25;
 inline constexpr double affinityLoadSlack = 2;
-/// Bytes of a prompt's head that affinity looks at; a shorter prompt has none.
+/// Number of bytes at the start of a prompt that determine its affinity. A shorter prompt has none.
 inline constexpr std::size_t prefixBytes = 512;
-/// Bytes of text per token, on the careful side.
+/// Bytes of text per token; a conservative estimate.
 inline constexpr std::size_t bytesPerToken = 4;
-/// Bounds of the time after which a refused caller is told to come back.
+/// Minimum and maximum Retry-After for a refused caller.
 inline constexpr std::chrono::milliseconds minRetryAfter = 100ms;
 inline constexpr std::chrono::milliseconds maxRetryAfter = 30s;
-/// The same where all runners are away: a drain or a role change takes seconds.
+/// Retry-After where no runner is available: a drain or a role change takes seconds.
 inline constexpr std::chrono::milliseconds awayRetryAfter = 2s;
-/// Time constant with which a pool's demand is averaged.
+/// Time constant of the moving average of a pool's demand, in seconds.
 inline constexpr double demandSeconds = 10;
-/// Longest time between two looks that counts: a planner that was paused has not seen more.
+/// Maximum time between two planner iterations that is taken into account, in seconds: a planner
+/// that was paused has not observed the demand for longer.
 inline constexpr double maxLookSeconds = 2;
-/// Share of an engine's time that can be used before requests are late.
+/// Utilisation of an engine above which requests become late.
 inline constexpr double usableEngineShare = 0.85;
-/// Time for which a role change takes an engine away, beside its drain.
+/// Time for which an engine is unavailable during a role change, in addition to its drain, in
+/// seconds.
 inline constexpr double roleChangeSeconds = 5;
-/// How many times its price a role change must have been worth where only few changes count.
+/// Factor by which the gain of a role change must exceed its cost at a goodput weight of 0. At a
+/// weight of 1 the factor is 1.
 inline constexpr double mostPriceFactor = 10;
-/// Engine seconds a second, per engine, below which another split is not better.
+/// Minimum gain, in engine seconds per second and engine, for another split to count as better.
 inline constexpr double minPlanGain = 0.01;
-/// Time constant with which gathered regret fades while the present split is the best one.
+/// Time constant of the decay of accumulated regret while the current split is the best one, in
+/// seconds.
 inline constexpr double regretFadeSeconds = 5;
-/// Streams that an instance may have beside the mean of all before callers are sent elsewhere.
+/// Maximum streams of an instance, relative to the mean of all instances, above which callers are
+/// referred to others: factor and added constant.
 inline constexpr double addressLoadFactor = 1.25;
 inline constexpr double addressLoadSlack = 4;
-/// Addresses in one answer, and how many of them are of other zones where there are any.
+/// Maximum number of addresses in one reply, and minimum number of those in other zones, as far as
+/// there are any.
 inline constexpr std::size_t maxRankedAddresses = 16;
 inline constexpr std::size_t minElsewhereAddresses = 4;
 
-// --- Containment -------------------------------------------------------------------------------
+// --- Failed steps ------------------------------------------------------------------------------
 
-/// Pause of a long-lived thread after a step that failed.
+/// Pause of a long-lived thread after a failed step.
 inline constexpr std::chrono::milliseconds failedStepPause = 200ms;
 
-// --- Seeing ------------------------------------------------------------------------------------
+// --- Observability -----------------------------------------------------------------------------
 
-/// Events that one instance's ring keeps.
+/// Number of events in one instance's ring buffer.
 inline constexpr std::size_t eventRingSize = 4096;
-/// Log lines that one process writes in a second; those beyond are counted and left out.
+/// Maximum number of log lines that one process writes per second. Further lines are dropped and
+/// counted.
 inline constexpr std::uint64_t maxLogLinesPerSecond = 500;
-/// Time that the last line of a process, of the exception that ends it, may take to be written.
+/// Time limit for writing the last log line of a process, which reports the exception that ends it.
 inline constexpr std::chrono::milliseconds lastLineTime = 1s;
-/// How far ahead of ours a peer's wall clock may be for its times to move our hybrid clock.
+/// Maximum lead of a peer's wall clock over the local one. Timestamps further ahead don't advance
+/// the local hybrid clock.
 inline constexpr std::chrono::milliseconds maxClockLead = 10min;
 
 // --- Inventory, rules and operators ------------------------------------------------------------
 
-/// Bounds of an inventory.
+/// Limits of an inventory.
 inline constexpr std::size_t maxZones = 64;
 inline constexpr std::size_t maxPools = 64;
 inline constexpr std::size_t maxRunners = 4096;
 inline constexpr std::size_t maxModels = 64;
 inline constexpr std::size_t maxAdapters = 1024;
-/// Bounds of the rules.
+/// Limits of the rules.
 inline constexpr std::size_t maxClasses = 16;
 inline constexpr std::size_t maxCallers = 4096;
 inline constexpr std::size_t maxWorkspaces = 16384;
 inline constexpr std::size_t maxRequestRules = 1024;
-/// Bytes of the secret that instances share.
+/// Minimum and maximum length of the secret that the instances share, in bytes.
 inline constexpr std::size_t minPeerKeyBytes = 16;
 inline constexpr std::size_t maxPeerKeyBytes = 256;
-/// Bytes of one request to the operators' address: two files of maxObjectBytes, escaped.
+/// Maximum size of one request to the operator address, in bytes: two files of maxObjectBytes,
+/// escaped.
 inline constexpr std::size_t maxOperatorBodyBytes = 5 * 1024 * 1024;
-/// Connections to the operators' address.
+/// Maximum number of connections to the operator address.
 inline constexpr std::uint32_t maxOperatorConnections = 32;
-/// Time limit of one call of an operator's command.
+/// Time limit of one call made by an operator command.
 inline constexpr std::chrono::milliseconds operatorCallTime = 10s;
-/// Accepted changes that the configuration's head remembers, to answer a late retry truly.
+/// Number of accepted changes recorded in the configuration's head, so that a late retry gets the
+/// correct answer.
 inline constexpr std::size_t headHistory = 16;
 
 } // namespace poplarspool::config
--- a/src/base/look_thread.cpp
+++ b/src/base/look_thread.cpp
@@ -4,9 +4,9 @@
 
 namespace poplarspool {
 
-look_thread::look_thread(std::string name, milliseconds pause, step_faults faults,
-                         std::function<void()> look)
-    : name(std::move(name)), pause(pause), faults(faults), look(std::move(look))
+look_thread::look_thread(std::string name, milliseconds interval, step_faults faults,
+                         std::function<void()> iteration)
+    : name(std::move(name)), interval(interval), faults(faults), iteration(std::move(iteration))
 { }
 
 look_thread::~look_thread()
@@ -33,13 +33,13 @@
         thread.join();
 }
 
-/// The time between two looks is the pause also after one that failed.
+/// The interval also applies after a failed iteration.
 void look_thread::run()
 {
     std::unique_lock lock(guard);
-    while (!stopped.wait_for(lock, pause, [this] { return isStopping; })) {
+    while (!stopped.wait_for(lock, interval, [this] { return isStopping; })) {
         lock.unlock();
-        contained(faults, look);
+        contained(faults, iteration);
         lock.lock();
     }
 }
