--- a/include/poplarspool/base/http.h
+++ b/include/poplarspool/base/http.h
@@ -120,8 +120,7 @@
 public:
     /// @param idlePerTarget Maximum number of idle connections per server.
     /// @param silence Time after which a server that acknowledges no packets is considered gone,
-    /// also
-    ///                while a call waits for its reply. 0: only the call's time limit applies.
+    ///                even while a call waits for its reply. 0: only the call's time limit applies.
     http_pool(std::size_t idlePerTarget, milliseconds connectTime, metrics_registry &metrics,
               std::chrono::seconds silence = {});
     ~http_pool();
--- a/include/poplarspool/base/settings.h
+++ b/include/poplarspool/base/settings.h
@@ -22,9 +22,10 @@
     endpoint callerAddress; ///< `caller.address`: address for callers.
     /// `operator.address`: status, event timeline and metrics; not meant for callers.
     endpoint operatorAddress;
-    std::string operatorKeySha256; ///< `operator.key_sha256`: hex; empty: no key needed.
-    endpoint peerAddress; ///< `peer.address`: UDP gossip and TCP calls.
-    std::string peerKey; ///< `peer.key`: shared secret for the message MACs.
+    std::string operatorKeySha256; ///< `operator.key_sha256`: hex; empty: no key.
+    endpoint peerAddress; ///< `peer.address`: UDP gossip and TCP calls on the same port.
+    /// `peer.key`: secret shared by all instances, for the MAC of every message.
+    std::string peerKey;
     std::vector<endpoint> peerSeeds; ///< `peer.seeds`: used besides the instance list.
 
     endpoint storeAddress; ///< `platform.store`: object API.
--- a/src/base/bounded_json.cpp
+++ b/src/base/bounded_json.cpp
@@ -10,15 +10,15 @@
 
 using nlohmann::json;
 
-/// Walks over the text of a value and says how deep each byte stands.
+/// Tracks the nesting depth of each byte of a JSON text.
 class depth_counter
 {
 public:
     /// @returns The depth after this byte.
-    std::size_t take(char byte)
+    std::size_t advance(char byte)
     {
         if (isInString)
-            takeOfString(byte);
+            advanceInString(byte);
         else if (byte == '"')
             isInString = true;
         else if (byte == '[' || byte == '{')
@@ -29,7 +29,7 @@
     }
 
 private:
-    void takeOfString(char byte)
+    void advanceInString(char byte)
     {
         if (isEscaped)
             isEscaped = false;
@@ -44,21 +44,21 @@
     bool isEscaped = false;
 };
 
-std::string withoutTooDeep(std::string_view text)
+std::string pruneTooDeep(std::string_view text)
 {
-    std::string kept;
+    std::string pruned;
     depth_counter counter;
-    bool isLeftOut = false;
+    bool isSkipping = false;
     for (const char byte : text) {
-        const bool isTooDeep = counter.take(byte) > config::maxJsonDepth;
-        if (isTooDeep && !isLeftOut)
-            kept += "null";
-        // The byte that ends what is left out stands outside again.
-        if (!isTooDeep && !isLeftOut)
-            kept += byte;
-        isLeftOut = isTooDeep;
+        const bool isTooDeep = counter.advance(byte) > config::maxJsonDepth;
+        if (isTooDeep && !isSkipping)
+            pruned += "null";
+        // The closing byte of a skipped value is already outside it, so it is skipped as well.
+        if (!isTooDeep && !isSkipping)
+            pruned += byte;
+        isSkipping = isTooDeep;
     }
-    return kept;
+    return pruned;
 }
 
 } // namespace
@@ -67,7 +67,7 @@
 {
     depth_counter counter;
     for (const char byte : text) {
-        if (counter.take(byte) > config::maxJsonDepth)
+        if (counter.advance(byte) > config::maxJsonDepth)
             return true;
     }
     return false;
@@ -81,17 +81,18 @@
 
 json parseJsonOrThrow(std::string_view text)
 {
-    constexpr int tooDeep = 416;
+    constexpr int tooDeepErrorId = 416;
     if (isNestedTooDeep(text))
         throw json::out_of_range::create(
-                tooDeep, "nested deeper than " + std::to_string(config::maxJsonDepth), nullptr);
+                tooDeepErrorId, "nested deeper than " + std::to_string(config::maxJsonDepth),
+                nullptr);
     return json::parse(text);
 }
 
 json parseJsonCut(std::string_view text)
 {
     if (isNestedTooDeep(text))
-        return json::parse(withoutTooDeep(text), nullptr, false);
+        return json::parse(pruneTooDeep(text), nullptr, false);
     return json::parse(text, nullptr, false);
 }
 
--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// A lease counted on CLOCK_MONOTONIC stands still while the machine is suspended: the holder wakes
-// and still believes in an authority that lapsed for everyone else. CLOCK_BOOTTIME counts on.
+// CLOCK_MONOTONIC stops while the machine is suspended. With it, the holder of a lease would resume
+// and still rely on a lease that has expired for all others. CLOCK_BOOTTIME includes that time.
 mono_time monoNow()
 {
     timespec now{};
--- a/src/base/connection_pool.cpp
+++ b/src/base/connection_pool.cpp
@@ -22,9 +22,9 @@
 result<descriptor> connection_pool::take(const endpoint &to, socket_deadline deadline,
                                          int interruptFd)
 {
-    descriptor kept = takeIdle(to);
-    if (kept.isOpen())
-        return kept;
+    descriptor pooled = takeIdle(to);
+    if (pooled.isOpen())
+        return pooled;
     return connect(to, deadline, interruptFd);
 }
 
@@ -36,7 +36,8 @@
     return connectTo(to, std::min(deadline, connectEnd), interruptFd);
 }
 
-/// Takes the one used last: the others age, so that a peak's connections are given up after it.
+/// Takes the most recently used connection, so that the surplus connections of a load peak expire
+/// after it.
 descriptor connection_pool::takeIdle(const endpoint &to)
 {
     const std::lock_guard lock(guard);
@@ -45,12 +46,12 @@
     const auto found = idle.find(to);
     if (found == idle.end())
         return descriptor();
-    std::vector<idle_connection> &kept = found->second;
-    while (!kept.empty()) {
-        idle_connection last = std::move(kept.back());
-        kept.pop_back();
+    std::vector<idle_connection> &pooled = found->second;
+    while (!pooled.empty()) {
+        idle_connection last = std::move(pooled.back());
+        pooled.pop_back();
         idleCount.add(-1);
-        // One that the server has closed meanwhile would lose the request.
+        // If the server has closed the connection meanwhile, the request would be lost.
         if (last.expires > now && isIdleAndOpen(last.connection.get())) {
             reuses.add();
             return std::move(last.connection);
@@ -59,19 +60,19 @@
     return descriptor();
 }
 
-void connection_pool::keep(const endpoint &to, descriptor connection, milliseconds time)
+void connection_pool::keep(const endpoint &to, descriptor connection, milliseconds idleTime)
 {
     const std::lock_guard lock(guard);
     const socket_deadline now = socket_clock::now();
     dropExpired(now);
-    std::vector<idle_connection> &kept = idle[to];
-    if (isStopped || kept.size() >= idlePerTarget)
+    std::vector<idle_connection> &pooled = idle[to];
+    if (isStopped || pooled.size() >= idlePerTarget)
         return;
-    kept.push_back({std::move(connection), now + time});
+    pooled.push_back({std::move(connection), now + idleTime});
     idleCount.add(1);
 }
 
-/// Also closes the connections of targets that no one calls any more.
+/// Also closes expired connections to targets that are no longer called.
 void connection_pool::dropExpired(socket_deadline now)
 {
     if (now < nextSweep)
--- a/src/base/connection_pool.h
+++ b/src/base/connection_pool.h
@@ -10,25 +10,26 @@
 
 namespace poplarspool {
 
-/// Connections to any number of servers, kept open between calls. May be used from any thread.
+/// Pool of idle connections to any number of servers. Thread-safe.
 class connection_pool
 {
 public:
-    /// @param idlePerTarget Connections kept open per server between calls.
+    /// @param idlePerTarget Maximum number of idle connections per server.
     connection_pool(std::size_t idlePerTarget, milliseconds connectTime, metrics_registry &metrics);
     ~connection_pool();
 
-    /// @returns A kept connection, or a new one.
+    /// @returns An idle connection of the pool, or a new one.
     result<descriptor> take(const endpoint &to, socket_deadline deadline, int interruptFd);
     /// @returns A new connection.
     result<descriptor> connect(const endpoint &to, socket_deadline deadline, int interruptFd);
-    /// @returns The kept connection that was used last; none where no usable one is kept.
+    /// @returns The most recently used idle connection; a closed descriptor if none is usable.
     descriptor takeIdle(const endpoint &to);
 
-    /// Keeps a connection whose last reply was whole, for at most `time`.
-    void keep(const endpoint &to, descriptor connection, milliseconds time);
+    /// Returns a connection to the pool, whose last reply must be complete.
+    /// @param idleTime Time after which the pool closes it.
+    void keep(const endpoint &to, descriptor connection, milliseconds idleTime);
 
-    /// Closes what is idle, and keeps nothing more.
+    /// Closes the idle connections. Connections returned later are closed.
     void stop();
 
 private:
@@ -46,7 +47,7 @@
     counter &reuses;
     gauge &idleCount;
     std::mutex guard;
-    std::map<endpoint, std::vector<idle_connection>> idle; ///< Latest used last.
+    std::map<endpoint, std::vector<idle_connection>> idle; ///< Most recently used last.
     socket_deadline nextSweep{};
     bool isStopped = false;
 };
--- a/src/base/connection_threads.cpp
+++ b/src/base/connection_threads.cpp
@@ -16,34 +16,34 @@
     { }
 
     void work(std::function<void()> job);
-    bool takeJob(std::function<void()> &job);
+    bool waitForJob(std::function<void()> &job);
 
     const std::string name;
     const std::uint32_t limit;
     const step_faults faults;
     std::mutex guard;
-    std::condition_variable jobGiven;
+    std::condition_variable jobAvailable;
     std::condition_variable threadEnded;
-    std::deque<std::function<void()>> handedOver; ///< Each has its idle thread already.
+    std::deque<std::function<void()>> pendingJobs; ///< Each already has an idle thread.
     std::uint32_t busy = 0;
-    std::uint32_t waiting = 0; ///< Idle threads that no job was handed to.
+    std::uint32_t idle = 0; ///< Idle threads without a pending job.
     std::uint32_t threads = 0;
-    bool isEnding = false;
+    bool isStopping = false;
 };
 
-/// Waits for a job; false where this thread shall end.
-bool connection_threads::state::takeJob(std::function<void()> &job)
+/// Waits for a job. Returns false if this thread is to end.
+bool connection_threads::state::waitForJob(std::function<void()> &job)
 {
     std::unique_lock lock(guard);
-    ++waiting;
-    jobGiven.wait_for(lock, config::idleThreadTime,
-                      [this] { return !handedOver.empty() || isEnding; });
-    if (handedOver.empty()) {
-        --waiting;
+    ++idle;
+    jobAvailable.wait_for(lock, config::idleThreadTime,
+                          [this] { return !pendingJobs.empty() || isStopping; });
+    if (pendingJobs.empty()) {
+        --idle;
         return false;
     }
-    job = std::move(handedOver.front());
-    handedOver.pop_front();
+    job = std::move(pendingJobs.front());
+    pendingJobs.pop_front();
     return true;
 }
 
@@ -55,7 +55,7 @@
         job = nullptr;
         const std::lock_guard lock(guard);
         --busy;
-    } while (takeJob(job));
+    } while (waitForJob(job));
     const std::lock_guard lock(guard);
     --threads;
     threadEnded.notify_all();
@@ -63,7 +63,7 @@
 
 namespace {
 
-/// Each thread keeps the shared state alive until it has ended.
+/// Body of a thread, which keeps the shared state alive until it has ended.
 using thread_start = std::function<void()>;
 
 void *runThread(void *argument)
@@ -102,12 +102,12 @@
 bool connection_threads::run(std::function<void()> job)
 {
     const std::lock_guard lock(inner->guard);
-    if (inner->busy >= inner->limit || inner->isEnding)
+    if (inner->busy >= inner->limit || inner->isStopping)
         return false;
-    if (inner->waiting > 0) {
-        inner->handedOver.push_back(std::move(job));
-        --inner->waiting;
-        inner->jobGiven.notify_one();
+    if (inner->idle > 0) {
+        inner->pendingJobs.push_back(std::move(job));
+        --inner->idle;
+        inner->jobAvailable.notify_one();
     } else {
         if (!startDetached([shared = inner, job] { shared->work(job); }))
             return false;
@@ -120,8 +120,8 @@
 void connection_threads::join()
 {
     std::unique_lock lock(inner->guard);
-    inner->isEnding = true;
-    inner->jobGiven.notify_all();
+    inner->isStopping = true;
+    inner->jobAvailable.notify_all();
     inner->threadEnded.wait(lock, [this] { return inner->threads == 0; });
 }
 
--- a/src/base/connection_threads.h
+++ b/src/base/connection_threads.h
@@ -10,21 +10,21 @@
 
 namespace poplarspool {
 
-/// Threads made on demand up to a limit, with small stacks; idle ones end soon, so that a server at
-/// rest has few. A job starts at once or is refused: none waits unseen in a queue. One that throws
-/// is given up, and its thread goes on.
+/// Thread pool that creates threads on demand up to a limit, with small stacks. Idle threads end
+/// after config::idleThreadTimeout, so that an idle server has few. A job starts immediately or is
+/// rejected; none waits in a queue. An exception ends the job but not its thread.
 class connection_threads
 {
 public:
-    /// @param name Of each of its threads.
-    /// @param limit Jobs that run at once.
+    /// @param name Name of each thread of the pool.
+    /// @param limit Maximum number of concurrent jobs.
     connection_threads(std::string name, std::uint32_t limit, step_faults faults);
     ~connection_threads();
 
-    /// @returns False where the limit is reached or the system gives no thread.
+    /// @returns False if the limit is reached or the system can't create a thread.
     bool run(std::function<void()> job);
 
-    /// Waits until no job runs and all threads have ended.
+    /// Rejects further jobs and waits until all threads have ended.
     void join();
 
 private:
--- a/src/base/end_signal.cpp
+++ b/src/base/end_signal.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-sigset_t endSignals()
+sigset_t terminationSignals()
 {
     sigset_t signals;
     sigemptyset(&signals);
@@ -17,12 +17,12 @@
 
 sigset_t allSignals()
 {
-    sigset_t signals = endSignals();
+    sigset_t signals = terminationSignals();
     sigaddset(&signals, SIGHUP);
     return signals;
 }
 
-int waitForOne(const sigset_t &signals)
+int waitForAny(const sigset_t &signals)
 {
     int signal = 0;
     sigwait(&signals, &signal);
@@ -33,7 +33,7 @@
 
 void blockEndSignals()
 {
-    const sigset_t signals = endSignals();
+    const sigset_t signals = terminationSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
@@ -45,12 +45,12 @@
 
 void waitForEndSignal()
 {
-    waitForOne(endSignals());
+    waitForAny(terminationSignals());
 }
 
 process_signal waitForSignal()
 {
-    return waitForOne(allSignals()) == SIGHUP ? process_signal::Reload : process_signal::End;
+    return waitForAny(allSignals()) == SIGHUP ? process_signal::Reload : process_signal::End;
 }
 
 } // namespace poplarspool
--- a/src/base/endpoint.cpp
+++ b/src/base/endpoint.cpp
@@ -11,7 +11,7 @@
 bool isAddress(int family, const std::string &host)
 {
     unsigned char bytes[sizeof(in6_addr)];
-    // The library reads up to the first zero byte.
+    // inet_pton() reads only up to the first zero byte.
     return host.find('\0') == std::string::npos && inet_pton(family, host.c_str(), bytes) == 1;
 }
 
@@ -28,7 +28,7 @@
 error malformed(std::string_view text)
 {
     return notRun(error_code::BadRequest,
-                  "not an IP number and port such as 127.0.0.1:8080 or [::1]:8080: "
+                  "not an IP address and port such as 127.0.0.1:8080 or [::1]:8080: "
                           + std::string(text));
 }
 
--- a/src/base/error_reply.cpp
+++ b/src/base/error_reply.cpp
@@ -45,8 +45,8 @@
 {
     http_reply reply = errorReply(statusOf(failure), failure.code, failure.ran, failure.message);
     if (failure.retryAfter) {
-        // The header has whole seconds: rounded up, as a caller that comes too early is refused
-        // again, and never 0, which many clients take for "at once".
+        // The header is in whole seconds. Rounded up, because a caller that retries too early is
+        // rejected again; at least 1, because many clients retry immediately on 0.
         const auto seconds = std::chrono::ceil<std::chrono::seconds>(*failure.retryAfter);
         const auto told = std::max(seconds, std::chrono::seconds(1));
         reply.headers.emplace_back("Retry-After", std::to_string(told.count()));
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -29,7 +29,7 @@
 
 sha256_bytes sha256Of(std::string_view bytes)
 {
-    // Looked up once: each call would look for the algorithm anew.
+    // Fetched once: EVP_Digest() with EVP_sha256() looks the algorithm up on each call.
     static const EVP_MD *const algorithm = EVP_MD_fetch(nullptr, "SHA256", nullptr);
     sha256_bytes digest{};
     unsigned int size = 0;
@@ -75,7 +75,7 @@
 std::string randomHex128()
 {
     std::array<unsigned char, 16> bytes{};
-    // Names from a failed generator would repeat, and two requests would be taken for one.
+    // Without random bytes, ids could repeat, and two requests would be treated as one.
     if (RAND_bytes(bytes.data(), static_cast<int>(bytes.size())) != 1)
         throw std::runtime_error("the system's random generator failed");
     return hexOf(bytes);
--- a/src/base/http_listener.cpp
+++ b/src/base/http_listener.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-/// Time before a listening socket that was lost is bound again.
-constexpr std::chrono::milliseconds rebindTime{50};
+/// Pause between two attempts to bind the address again after the listening socket was lost.
+constexpr std::chrono::milliseconds rebindPause{50};
 
-/// Runs each task on the accepting thread: the server has its own threads, which refuse at once
-/// what the library's queue would let wait unseen.
-class direct_queue : public httplib::TaskQueue
+/// Runs each task on the accepting thread. The server has its own threads, which reject a
+/// connection above the limit immediately, while the library would queue it without a limit.
+class inline_task_queue : public httplib::TaskQueue
 {
 public:
     void enqueue(std::function<void()> task) override { task(); }
     void shutdown() override { }
 };
 
-/// The library's default is SO_REUSEPORT, which lets a second process take the same port and half
-/// of its connections without any error.
-void allowQuickRestart(int fd)
+/// Replaces the library's default SO_REUSEPORT, with which a second process could bind the same
+/// port and receive half of its connections without an error.
+void enableAddressReuse(int fd)
 {
     const int on = 1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -33,10 +33,11 @@
 
 } // namespace
 
-http_listener::http_listener(connection_taker take) : take(std::move(take))
+http_listener::http_listener(connection_handler onConnection)
+    : onConnection(std::move(onConnection))
 {
-    new_task_queue = [] { return new direct_queue; };
-    set_socket_options(allowQuickRestart);
+    new_task_queue = [] { return new inline_task_queue; };
+    set_socket_options(enableAddressReuse);
 }
 
 http_listener::~http_listener()
@@ -54,16 +55,16 @@
     } else if (!bind_to_port(bind.host, bind.port)) {
         bound.port = 0;
     }
-    // The library's backlog is 5: in a burst, most connections would wait for seconds.
+    // The library's backlog is 5: in a burst, most connections would be delayed by seconds.
     if (bound.port == 0 || ::listen(svr_sock_, config::listenBacklog) != 0)
         return notRun(error_code::Unavailable, "can't listen on " + textOf(bind));
     acceptor = startNamed("http_accept", [this, bound] { acceptUntilStopped(bound); });
     return bound;
 }
 
-/// The library stops listening for good at any error of accept() that it doesn't know, among them
-/// network errors of a connection that is already lost again (ECONNABORTED, ENETDOWN). The instance
-/// would live on without being reachable; so the address is bound again.
+/// The library stops listening permanently on any error of accept() that it doesn't handle, such as
+/// network errors of a connection that was already lost (ECONNABORTED, ENETDOWN). The instance
+/// would continue to run without being reachable, so the address is bound again.
 void http_listener::acceptUntilStopped(const endpoint &address)
 {
     while (true) {
@@ -72,7 +73,7 @@
         svr_sock_ = INVALID_SOCKET;
         while (!isStopped && !bindTo(address)) {
             lock.unlock();
-            std::this_thread::sleep_for(rebindTime);
+            std::this_thread::sleep_for(rebindPause);
             lock.lock();
         }
         if (isStopped)
@@ -88,7 +89,7 @@
 
 bool http_listener::process_and_close_socket(socket_t fd)
 {
-    take(fd);
+    onConnection(fd);
     return true;
 }
 
--- a/src/base/http_listener.h
+++ b/src/base/http_listener.h
@@ -11,18 +11,18 @@
 
 namespace poplarspool {
 
-/// Accepts connections by cpp-httplib and hands each to a function.
+/// Accepts connections with cpp-httplib and passes each to a handler.
 class http_listener : private httplib::Server
 {
 public:
-    using connection_taker = std::function<void(int fd)>;
+    using connection_handler = std::function<void(int fd)>;
 
-    /// @param take Becomes the owner of the descriptor; runs on the accepting thread.
-    explicit http_listener(connection_taker take);
+    /// @param onConnection Takes ownership of the descriptor. Runs on the accepting thread.
+    explicit http_listener(connection_handler onConnection);
     ~http_listener() override;
 
     result<endpoint> start(const endpoint &bind);
-    /// No connection is handed on afterwards.
+    /// Stops accepting. No connection is passed to the handler afterwards.
     void stop();
 
 private:
@@ -30,8 +30,8 @@
     bool bindTo(const endpoint &address);
     void acceptUntilStopped(const endpoint &address);
 
-    const connection_taker take;
-    std::mutex guard; ///< Of binding against stopping.
+    const connection_handler onConnection;
+    std::mutex guard; ///< Serialises binding and stopping.
     bool isStopped = false;
     std::thread acceptor;
 };
--- a/src/base/http_pool.cpp
+++ b/src/base/http_pool.cpp
@@ -10,21 +10,22 @@
 
 namespace {
 
-error stopped()
+error stoppedError()
 {
     return notRun(error_code::Unavailable, "stopped");
 }
 
 std::optional<error> checkRequest(const http_request &request)
 {
-    // A line break in a header that is passed on would let a caller add headers, or a request.
-    const bool isSafe = std::ranges::all_of(request.headers, [](const auto &header) {
+    // A line break in a forwarded header would allow a caller to inject headers or a request.
+    const bool areHeadersSafe = std::ranges::all_of(request.headers, [](const auto &header) {
         return isSafeHeader(header.first, header.second);
     });
-    if (!isSafe || !isSafeHeader(request.method, request.path)
+    if (!areHeadersSafe || !isSafeHeader(request.method, request.path)
         || !isSafeHeader("content-type", request.contentType) || !request.path.starts_with('/')
         || request.path.find(' ') != std::string::npos)
-        return notRun(error_code::BadRequest, "the request can't be written as HTTP");
+        return notRun(error_code::BadRequest,
+                      "request contains characters that HTTP doesn't allow");
     return std::nullopt;
 }
 
@@ -57,16 +58,16 @@
 {
     std::string body;
     bool isTooLarge = false;
-    const auto gather = [&](std::string_view piece) {
+    const auto collect = [&](std::string_view piece) {
         isTooLarge = body.size() + piece.size() > config::maxReplyBytes;
         if (!isTooLarge)
             body.append(piece);
         return !isTooLarge;
     };
     const auto acceptHead = [](const http_reply &) { return true; };
-    result<http_reply> outcome = stream(to, request, timeLimit, acceptHead, gather);
+    result<http_reply> outcome = stream(to, request, timeLimit, acceptHead, collect);
     if (isTooLarge)
-        return mayHaveRun(error_code::TooLarge, "the reply is too large");
+        return mayHaveRun(error_code::TooLarge, "reply body exceeds the size limit");
     if (succeeded(outcome))
         valueOf(outcome).body = std::move(body);
     return outcome;
@@ -78,7 +79,7 @@
 {
     const socket_deadline deadline = socket_clock::now() + timeLimit;
     if (inner->stopping.isRaised())
-        return stopped();
+        return stoppedError();
     if (auto fault = checkRequest(request))
         return *fault;
     result<descriptor> connection =
--- a/src/base/http_server.cpp
+++ b/src/base/http_server.cpp
@@ -13,15 +13,16 @@
 
 namespace {
 
-/// Refused connections that are closed gently at one time; those beyond are closed at once.
-constexpr std::uint32_t maxLingering = 32;
+/// Maximum number of rejected connections that are half-closed at the same time so that the peer
+/// can read the reply. Others are closed immediately.
+constexpr std::uint32_t maxLingeringConnections = 32;
 
-std::string labelled(std::string_view metric, const std::string &server)
+std::string metricName(std::string_view metric, const std::string &server)
 {
     return "poplarspool_http_" + std::string(metric) + "{server=\"" + server + "\"}";
 }
 
-http_reply refusal()
+http_reply tooManyConnectionsReply()
 {
     http_reply reply =
             errorReply(503, error_code::Overloaded, verdict::NotRun, "too many connections");
@@ -29,7 +30,7 @@
     return reply;
 }
 
-error_code codeOf(int status)
+error_code errorCodeForStatus(int status)
 {
     switch (status) {
     case 408:
@@ -49,25 +50,27 @@
     state(const std::string &name, const endpoint &bind, http_limits limits, http_handler handler,
           metrics_registry &metrics, journal *events)
         : bind(bind), limits(std::make_shared<const http_limits>(limits)),
-          handler(std::move(handler)), connections(metrics.gaugeOf(labelled("connections", name))),
-          refused(metrics.counterOf(labelled("refused_total", name))),
-          timeouts(metrics.counterOf(labelled("timeouts_total", name))),
-          badRequests(metrics.counterOf(labelled("bad_requests_total", name))),
-          faults{events, metrics.counterOf(labelled("faults_total", name))},
+          handler(std::move(handler)),
+          connections(metrics.gaugeOf(metricName("connections", name))),
+          refused(metrics.counterOf(metricName("refused_total", name))),
+          timeouts(metrics.counterOf(metricName("timeouts_total", name))),
+          badRequests(metrics.counterOf(metricName("bad_requests_total", name))),
+          faults{events, metrics.counterOf(metricName("faults_total", name))},
           serving("http_" + name, limits.connections, faults),
-          lingering("http_refused_" + name, maxLingering, faults), listener([this](int fd) {
+          lingering("http_refused_" + name, maxLingeringConnections, faults),
+          listener([this](int fd) {
               descriptor arrived(fd);
               contained(faults, [&] { accept(std::move(arrived)); });
           })
     { }
 
-    struct connection_end;
+    struct connection_closer;
 
     void accept(descriptor arrived);
     void refuse(const std::shared_ptr<descriptor> &connection);
     void serve(descriptor &connection);
     bool answer(int fd, const arrived_request &arrived, milliseconds writeTime, bool closes);
-    void rejectBad(descriptor &connection, milliseconds writeTime, const bad_request &bad);
+    void rejectRequest(descriptor &connection, milliseconds writeTime, const bad_request &bad);
 
     const endpoint bind;
     std::atomic<std::shared_ptr<const http_limits>> limits;
@@ -76,23 +79,24 @@
     counter &refused;
     counter &timeouts;
     counter &badRequests;
-    const step_faults faults; ///< Of the handler, or of what reads and refuses.
+    const step_faults faults; ///< For exceptions in the handler and in connection threads.
     std::atomic<std::uint32_t> open{0};
-    std::atomic<bool> isEnding{false};
+    std::atomic<bool> isShuttingDown{false};
     raised_flag stopping;
     connection_threads serving;
     connection_threads lingering;
     http_listener listener;
 };
 
-/// Closes a connection and then counts it as ended, also where serving it threw. The thread's own
-/// copy of the job lives longer than the server.
-struct http_server::state::connection_end
+/// Closes a connection and then updates the counts, also if serving it threw. The connection is
+/// closed explicitly because the thread's copy of the job may outlive the server.
+struct http_server::state::connection_closer
 {
-    connection_end(state &owner, descriptor &connection) : owner(owner), connection(connection) { }
-    connection_end(const connection_end &) = delete;
-    connection_end &operator=(const connection_end &) = delete;
-    ~connection_end()
+    connection_closer(state &owner, descriptor &connection) : owner(owner), connection(connection)
+    { }
+    connection_closer(const connection_closer &) = delete;
+    connection_closer &operator=(const connection_closer &) = delete;
+    ~connection_closer()
     {
         connection.reset();
         owner.open.fetch_sub(1);
@@ -103,7 +107,7 @@
     descriptor &connection;
 };
 
-/// Runs on the accepting thread, so it may not wait for anything.
+/// Runs on the accepting thread, so it must not block.
 void http_server::state::accept(descriptor arrived)
 {
     const auto connection = std::make_shared<descriptor>(std::move(arrived));
@@ -111,7 +115,7 @@
     connections.add(1);
     open.fetch_add(1);
     const bool started = serving.run([this, connection] {
-        const connection_end end(*this, *connection);
+        const connection_closer end(*this, *connection);
         serve(*connection);
     });
     if (started)
@@ -125,7 +129,7 @@
 {
     refused.add();
     reply_writer writer(connection->get(), milliseconds(0), {.closes = true});
-    writer.writeWhole(refusal());
+    writer.writeReply(tooManyConnectionsReply());
     lingering.run([this, connection] {
         closeAfterReply(std::move(*connection), socket_clock::now() + config::closeTime,
                         stopping.descriptorNumber());
@@ -143,43 +147,44 @@
         if (std::holds_alternative<no_request>(outcome))
             return;
         if (const auto *bad = std::get_if<bad_request>(&outcome))
-            return rejectBad(connection, bounds->writeTime, *bad);
+            return rejectRequest(connection, bounds->writeTime, *bad);
         const auto &arrived = std::get<arrived_request>(outcome);
         ++served;
         const bool closes = !arrived.keepsAlive || served >= bounds->keepAliveRequests
-                || isEnding.load() || stopping.isRaised();
+                || isShuttingDown.load() || stopping.isRaised();
         if (!answer(connection.get(), arrived, bounds->writeTime, closes))
             return;
         idleTime = bounds->keepAliveTime;
     }
 }
 
-/// @returns Whether the connection can serve another request.
+/// @returns Whether the connection can be used for another request.
 bool http_server::state::answer(int fd, const arrived_request &arrived, milliseconds writeTime,
                                 bool closes)
 {
     const http_request &request = arrived.request;
-    reply_writer writer(fd, writeTime, {request.method == "HEAD", arrived.takesChunks, closes});
+    reply_writer writer(fd, writeTime, {request.method == "HEAD", arrived.supportsChunks, closes});
     std::optional<http_reply> reply;
     try {
         reply = handler(request, writer);
     } catch (...) {
         noteFailedStep(faults);
-        // Begun replies are cut; the caller sees that they are not whole.
-        reply = errorReply(500, error_code::Internal, verdict::MayHaveRun, "internal fault");
+        // A reply already started is aborted, so that the caller sees that it is incomplete.
+        reply = errorReply(500, error_code::Internal, verdict::MayHaveRun, "internal error");
     }
     if (reply)
-        writer.writeWhole(*reply);
-    return writer.isWhole() && !writer.closes();
+        writer.writeReply(*reply);
+    return writer.isComplete() && !writer.closes();
 }
 
-void http_server::state::rejectBad(descriptor &connection, milliseconds writeTime,
-                                   const bad_request &bad)
+void http_server::state::rejectRequest(descriptor &connection, milliseconds writeTime,
+                                       const bad_request &bad)
 {
     counter &kind = bad.status == 408 ? timeouts : badRequests;
     kind.add();
     reply_writer writer(connection.get(), writeTime, {.closes = true});
-    writer.writeWhole(errorReply(bad.status, codeOf(bad.status), verdict::NotRun, bad.message));
+    writer.writeReply(
+            errorReply(bad.status, errorCodeForStatus(bad.status), verdict::NotRun, bad.message));
     closeAfterReply(std::move(connection), socket_clock::now() + config::closeTime,
                     stopping.descriptorNumber());
 }
@@ -206,7 +211,7 @@
 
 void http_server::announceEnd()
 {
-    inner->isEnding.store(true);
+    inner->isShuttingDown.store(true);
 }
 
 void http_server::stop()
--- a/src/base/http_text.cpp
+++ b/src/base/http_text.cpp
@@ -13,18 +13,18 @@
 
 constexpr std::string_view lineEnd = "\r\n";
 
-constexpr std::array<std::string_view, 9> hopHeaders{
+constexpr std::array<std::string_view, 9> hopByHopHeaders{
         "connection",       "content-length", "expect",  "keep-alive",       "te",
         "proxy-connection", "trailer",        "upgrade", "transfer-encoding"};
 
-char lowerOf(char letter)
+char toLower(char letter)
 {
     return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
 }
 
-bool isTokenLetter(char letter)
+bool isTokenChar(char letter)
 {
-    const bool isLetter = lowerOf(letter) >= 'a' && lowerOf(letter) <= 'z';
+    const bool isLetter = toLower(letter) >= 'a' && toLower(letter) <= 'z';
     const bool isDigit = letter >= '0' && letter <= '9';
     return isLetter || isDigit
             || std::string_view("!#$%&'*+-.^_`|~").find(letter) != std::string_view::npos;
@@ -32,7 +32,7 @@
 
 bool isToken(std::string_view text)
 {
-    return !text.empty() && std::ranges::all_of(text, isTokenLetter);
+    return !text.empty() && std::ranges::all_of(text, isTokenChar);
 }
 
 bool isFieldByte(char byte)
@@ -47,7 +47,7 @@
     return value > ' ' && value != 0x7f;
 }
 
-/// Takes the next line off the text; none where it has no proper end.
+/// Removes the next line from the text and returns it; none if it doesn't end with CR LF.
 std::optional<std::string_view> takeLine(std::string_view &text)
 {
     const std::size_t end = text.find(lineEnd);
@@ -59,7 +59,7 @@
 }
 
 template <int Base>
-std::optional<std::size_t> numberOf(std::string_view digits)
+std::optional<std::size_t> parseNumber(std::string_view digits)
 {
     std::size_t number = 0;
     const char *end = digits.data() + digits.size();
@@ -75,8 +75,8 @@
             headers, [&](const auto &header) { return equalsIgnoringCase(header.first, name); }));
 }
 
-/// Whether a comma-separated list holds the word.
-bool listHas(std::string_view list, std::string_view word)
+/// @returns Whether a comma-separated list contains the word.
+bool listContains(std::string_view list, std::string_view word)
 {
     while (!list.empty()) {
         const std::size_t comma = std::min(list.find(','), list.size());
@@ -87,7 +87,7 @@
     return false;
 }
 
-std::optional<bad_request> readRequestLine(std::string_view line, request_head &head)
+std::optional<bad_request> parseRequestLine(std::string_view line, request_head &head)
 {
     const std::size_t first = line.find(' ');
     const std::size_t last = line.rfind(' ');
@@ -100,12 +100,12 @@
         || !std::ranges::all_of(head.path, isPathByte))
         return bad_request{400, "malformed request line"};
     if (version != "HTTP/1.1" && version != "HTTP/1.0")
-        return bad_request{505, "only HTTP/1.1 and HTTP/1.0 are served"};
-    head.takesChunks = version == "HTTP/1.1";
+        return bad_request{505, "only HTTP/1.1 and HTTP/1.0 are supported"};
+    head.supportsChunks = version == "HTTP/1.1";
     return std::nullopt;
 }
 
-std::optional<bad_request> readHeaderLine(std::string_view line, http_headers &headers)
+std::optional<bad_request> parseHeaderLine(std::string_view line, http_headers &headers)
 {
     const std::size_t colon = line.find(':');
     if (colon == std::string_view::npos || !isToken(line.substr(0, colon)))
@@ -117,8 +117,8 @@
     return std::nullopt;
 }
 
-/// Reads all headers up to and with the empty line.
-std::optional<bad_request> readHeaders(std::string_view text, http_headers &headers)
+/// Parses all headers up to and including the empty line.
+std::optional<bad_request> parseHeaders(std::string_view text, http_headers &headers)
 {
     while (true) {
         const std::optional<std::string_view> line = takeLine(text);
@@ -126,7 +126,7 @@
             return bad_request{400, "malformed header"};
         if (line->empty())
             return std::nullopt;
-        if (auto fault = readHeaderLine(*line, headers))
+        if (auto fault = parseHeaderLine(*line, headers))
             return fault;
     }
 }
@@ -137,14 +137,14 @@
     std::optional<std::size_t> bodyBytes;
 };
 
-/// A message whose end could be read in two ways is refused: whatever follows it on the connection
-/// would be taken for another message by one side and for its body by the other.
+/// Rejects a message with ambiguous framing, because the two sides could disagree on whether the
+/// following bytes belong to its body or to the next message (request smuggling).
 std::variant<body_framing, bad_request> framingOf(const http_headers &headers)
 {
     const std::size_t lengths = countOf(headers, "content-length");
     const std::size_t codings = countOf(headers, "transfer-encoding");
     if (lengths + codings > 1)
-        return bad_request{400, "more than one length of the body"};
+        return bad_request{400, "more than one Content-Length or Transfer-Encoding header"};
     body_framing framing;
     if (codings == 1) {
         if (!equalsIgnoringCase(headerOf(headers, "transfer-encoding"), "chunked"))
@@ -152,7 +152,7 @@
         framing.isChunked = true;
     }
     if (lengths == 1) {
-        framing.bodyBytes = numberOf<10>(headerOf(headers, "content-length"));
+        framing.bodyBytes = parseNumber<10>(headerOf(headers, "content-length"));
         if (!framing.bodyBytes)
             return bad_request{400, "malformed Content-Length"};
     }
@@ -162,16 +162,17 @@
 bool keepsAlive(const http_headers &headers, bool isLatestVersion)
 {
     const std::string_view connection = headerOf(headers, "connection");
-    return isLatestVersion ? !listHas(connection, "close") : listHas(connection, "keep-alive");
+    return isLatestVersion ? !listContains(connection, "close")
+                           : listContains(connection, "keep-alive");
 }
 
-struct named_status
+struct reason_phrase
 {
     int status;
     std::string_view reason;
 };
 
-constexpr std::array<named_status, 21> namedStatuses{{
+constexpr std::array<reason_phrase, 21> reasonPhrases{{
         {200, "OK"},
         {201, "Created"},
         {202, "Accepted"},
@@ -195,17 +196,17 @@
         {504, "Gateway Timeout"},
 }};
 
-std::string_view reasonOf(int status)
+std::string_view reasonPhraseOf(int status)
 {
-    const auto *found = std::ranges::find(namedStatuses, status, &named_status::status);
-    return found == namedStatuses.end() ? std::string_view() : found->reason;
+    const auto *found = std::ranges::find(reasonPhrases, status, &reason_phrase::status);
+    return found == reasonPhrases.end() ? std::string_view() : found->reason;
 }
 
 } // namespace
 
 bool equalsIgnoringCase(std::string_view left, std::string_view right)
 {
-    return std::ranges::equal(left, right, [](char a, char b) { return lowerOf(a) == lowerOf(b); });
+    return std::ranges::equal(left, right, [](char a, char b) { return toLower(a) == toLower(b); });
 }
 
 std::string_view trimmed(std::string_view text)
@@ -243,18 +244,18 @@
     const std::optional<std::string_view> requestLine = takeLine(head);
     if (!requestLine)
         return bad_request{400, "malformed request line"};
-    if (auto fault = readRequestLine(*requestLine, parsed))
+    if (auto fault = parseRequestLine(*requestLine, parsed))
         return *fault;
-    if (auto fault = readHeaders(head, parsed.headers))
+    if (auto fault = parseHeaders(head, parsed.headers))
         return *fault;
     const auto framing = framingOf(parsed.headers);
     if (const auto *fault = std::get_if<bad_request>(&framing))
         return *fault;
     parsed.isChunked = std::get<body_framing>(framing).isChunked;
     parsed.bodyBytes = std::get<body_framing>(framing).bodyBytes.value_or(0);
-    if (parsed.isChunked && !parsed.takesChunks)
-        return bad_request{400, "HTTP/1.0 has no chunks"};
-    parsed.keepsAlive = keepsAlive(parsed.headers, parsed.takesChunks);
+    if (parsed.isChunked && !parsed.supportsChunks)
+        return bad_request{400, "chunked encoding needs HTTP/1.1"};
+    parsed.keepsAlive = keepsAlive(parsed.headers, parsed.supportsChunks);
     parsed.expectsContinue = equalsIgnoringCase(headerOf(parsed.headers, "expect"), "100-continue");
     return parsed;
 }
@@ -267,14 +268,14 @@
     if (!line || line->size() < versionBytes + 1 + statusDigits)
         return std::nullopt;
     const std::string_view version = line->substr(0, versionBytes);
-    const auto status = numberOf<10>(line->substr(versionBytes + 1, statusDigits));
+    const auto status = parseNumber<10>(line->substr(versionBytes + 1, statusDigits));
     const std::string_view reason = line->substr(versionBytes + 1 + statusDigits);
     if ((version != "HTTP/1.1" && version != "HTTP/1.0") || (*line)[versionBytes] != ' ' || !status
         || *status < 100 || (!reason.empty() && reason.front() != ' '))
         return std::nullopt;
     reply_head parsed;
     parsed.status = static_cast<int>(*status);
-    if (readHeaders(head, parsed.headers))
+    if (parseHeaders(head, parsed.headers))
         return std::nullopt;
     const auto framing = framingOf(parsed.headers);
     if (std::holds_alternative<bad_request>(framing))
@@ -287,7 +288,7 @@
 
 std::optional<std::size_t> chunkSizeOf(std::string_view line)
 {
-    return numberOf<16>(trimmed(line.substr(0, line.find(';'))));
+    return parseNumber<16>(trimmed(line.substr(0, line.find(';'))));
 }
 
 bool mayHaveBody(int status)
@@ -302,18 +303,19 @@
 
 bool isHopHeader(std::string_view name)
 {
-    return std::ranges::any_of(
-            hopHeaders, [name](std::string_view hop) { return equalsIgnoringCase(name, hop); });
+    return std::ranges::any_of(hopByHopHeaders, [name](std::string_view hop) {
+        return equalsIgnoringCase(name, hop);
+    });
 }
 
 std::string replyHeadText(int status, const http_headers &headers, std::string_view contentType,
                           const reply_framing &framing)
 {
     std::string text = "HTTP/1.1 " + std::to_string(status) + " ";
-    text.append(reasonOf(status)).append(lineEnd);
+    text.append(reasonPhraseOf(status)).append(lineEnd);
     for (const auto &[name, value] : headers) {
-        const bool isDoubled = !contentType.empty() && equalsIgnoringCase(name, "content-type");
-        if (!isHopHeader(name) && !isDoubled && isSafeHeader(name, value))
+        const bool isDuplicate = !contentType.empty() && equalsIgnoringCase(name, "content-type");
+        if (!isHopHeader(name) && !isDuplicate && isSafeHeader(name, value))
             appendHeader(text, name, value);
     }
     if (!contentType.empty() && isSafeHeader("Content-Type", contentType))
@@ -326,7 +328,7 @@
     return text.append(lineEnd);
 }
 
-std::string chunkText(std::string_view piece)
+std::string encodeChunk(std::string_view piece)
 {
     std::array<char, 2 * sizeof(std::size_t)> digits{};
     const auto end = std::to_chars(digits.begin(), digits.end(), piece.size(), 16).ptr;
--- a/src/base/http_text.h
+++ b/src/base/http_text.h
@@ -7,13 +7,13 @@
 #include <string_view>
 #include <variant>
 
-/// HTTP/1.1 as text: what a server reads and writes, without sockets.
+/// Parsing and formatting of HTTP/1.1 messages, without sockets.
 ///
-/// The request reader is ours, because the one of cpp-httplib 0.11 can't be bounded or made to pass
-/// requests on unchanged: it decodes %xx in header values (so a caller can smuggle a line break
-/// into a header that is passed on), unpacks compressed bodies and reads chunked ones without a
-/// limit, takes forms apart, applies Range to any reply, and leaves the body of a GET to be read as
-/// the next request.
+/// The request parser of cpp-httplib 0.11 is not used because it can't be limited and doesn't
+/// preserve requests that are forwarded: it decodes %xx in header values (so that a caller can
+/// smuggle a line break into a forwarded header), decompresses bodies and reads chunked ones
+/// without a limit, parses forms, applies Range to any reply, and reads the body of a GET as the
+/// next request.
 namespace poplarspool {
 
 /// The head of a well-formed request, and how its body is framed.
@@ -25,18 +25,18 @@
     std::size_t bodyBytes = 0;
     bool isChunked = false;
     bool keepsAlive = true;
-    bool takesChunks = true; ///< False for HTTP/1.0.
+    bool supportsChunks = true; ///< False for HTTP/1.0.
     bool expectsContinue = false;
 };
 
-/// A request that can't be served.
+/// Error reply for a request that can't be served.
 struct bad_request
 {
     int status = 400;
     std::string message;
 };
 
-/// @param head From the request line up to and with the empty line.
+/// @param head From the request line up to and including the empty line.
 std::variant<request_head, bad_request> parseRequestHead(std::string_view head);
 
 /// The head of a well-formed reply, and how its body is framed.
@@ -49,33 +49,33 @@
     bool keepsAlive = true;
 };
 
-/// @param head From the status line up to and with the empty line.
-/// @returns None where the reply is malformed.
+/// @param head From the status line up to and including the empty line.
+/// @returns The head; none if it is malformed.
 std::optional<reply_head> parseReplyHead(std::string_view head);
 
-/// @returns The size that a chunk's first line announces; none where it is malformed.
+/// @returns The size given in the first line of a chunk; none if the line is malformed.
 std::optional<std::size_t> chunkSizeOf(std::string_view line);
 
-/// @returns Whether a reply with this status has a body, if only an empty one.
+/// @returns Whether a reply with this status has a body, which may be empty.
 bool mayHaveBody(int status);
 
-/// @returns Whether a header can be sent without changing the message around it.
+/// @returns Whether a header can be sent without altering the rest of the message: it contains no
+///          line break or other invalid byte.
 bool isSafeHeader(std::string_view name, std::string_view value);
 
-/// @returns Whether a header belongs to one connection and not to the message: it is never passed
-/// on,
-///          because each side frames its own messages.
+/// @returns Whether a header is hop-by-hop or frames the message. Such headers are not forwarded,
+///          because each connection has its own framing.
 bool isHopHeader(std::string_view name);
 
 bool equalsIgnoringCase(std::string_view left, std::string_view right);
 
-/// @returns The text without blanks and tabs at its ends.
+/// @returns The text without leading and trailing blanks and tabs.
 std::string_view trimmed(std::string_view text);
 
-/// Adds a header's line.
+/// Appends a header line.
 void appendHeader(std::string &text, std::string_view name, std::string_view value);
 
-/// How a reply goes on the wire.
+/// Framing of a reply.
 struct reply_framing
 {
     bool isChunked = false;
@@ -86,9 +86,9 @@
 std::string replyHeadText(int status, const http_headers &headers, std::string_view contentType,
                           const reply_framing &framing);
 
-std::string chunkText(std::string_view piece);
+std::string encodeChunk(std::string_view piece);
 
-/// @returns A reply in the form that all our errors have.
+/// @returns An error reply in the format shared by all HTTP servers of the product.
 http_reply errorReply(int status, error_code code, verdict ran, std::string_view message);
 
 } // namespace poplarspool
--- a/src/base/journal.cpp
+++ b/src/base/journal.cpp
@@ -23,8 +23,9 @@
 
 namespace {
 
-// Looked at before a line is made, so that a level that is off costs one load per event. Off until
-// setUpLog(): log4cxx would otherwise look for a configuration file and complain of having none.
+// Checked before a line is formatted, so that a disabled level costs one atomic load per event. Off
+// until setUpLog(), because log4cxx would otherwise search for a configuration file and print a
+// warning if there is none.
 std::atomic<int> logThreshold{log4cxx::Level::OFF_INT};
 
 const log4cxx::LoggerPtr &eventLogger()
@@ -35,14 +36,16 @@
 
 std::atomic<int> logDescriptor{-1};
 
-/// Past log4cxx, which has locks. What the log doesn't take in time is lost.
-void writeAtOnce(std::string_view line)
+/// Writes without log4cxx, which takes locks. The rest of a line that can't be written within
+/// config::finalLogLineTimeout is lost.
+void writeDirectly(std::string_view line)
 {
     const int fd = logDescriptor;
     if (fd < 0 || logThreshold.load(std::memory_order_relaxed) == log4cxx::Level::OFF_INT)
         return;
-    pollfd room{fd, POLLOUT, 0};
-    while (!line.empty() && poll(&room, 1, static_cast<int>(config::lastLineTime.count())) == 1) {
+    pollfd writable{fd, POLLOUT, 0};
+    while (!line.empty()
+           && poll(&writable, 1, static_cast<int>(config::lastLineTime.count())) == 1) {
         const ssize_t written = write(fd, line.data(), line.size());
         if (written <= 0)
             return;
@@ -55,7 +58,7 @@
     return std::ranges::any_of(entry.fields, [key](const auto &field) { return field.key == key; });
 }
 
-/// Events that name an error code tell of a failure.
+/// Events with an error code report a failure.
 log4cxx::LevelPtr levelOf(const event &entry)
 {
     return hasField(entry, "code") ? log4cxx::Level::getWarn() : log4cxx::Level::getInfo();
@@ -70,19 +73,22 @@
     const log4cxx::LevelPtr level = levelOf(entry);
     if (level->toInt() < threshold)
         return;
-    std::uint64_t leftOut = 0;
-    if (!budget.take(entry.at.wallMs / 1000, leftOut))
+    std::uint64_t droppedLines = 0;
+    if (!budget.tryAcquire(entry.at.wallMs / 1000, droppedLines))
         return;
-    if (leftOut > 0) {
-        const event note{
-                entry.at, entry.instance, "log_left_out", {{"lines", std::to_string(leftOut)}}};
-        eventLogger()->forcedLog(log4cxx::Level::getWarn(), lineOf(note));
+    if (droppedLines > 0) {
+        const event droppedNotice{entry.at,
+                                  entry.instance,
+                                  "log_left_out",
+                                  {{"lines", std::to_string(droppedLines)}}};
+        eventLogger()->forcedLog(log4cxx::Level::getWarn(), lineOf(droppedNotice));
     }
     eventLogger()->forcedLog(level, lineOf(entry));
 }
 
-/// A reader of the log that stalls must cost lines, not requests.
-void neverBlock(int fd)
+/// Makes the log descriptor non-blocking: if the reader of the log stalls, lines are lost, but
+/// requests are not delayed.
+void setNonBlocking(int fd)
 {
     const int flags = fcntl(fd, F_GETFL);
     if (flags >= 0)
@@ -126,8 +132,7 @@
     line += code.data();
 }
 
-// A caller's text goes into these lines: an unescaped line break would let it write log lines that
-// look like ours.
+// Values may contain text of callers. With an unescaped line break, a caller could forge log lines.
 void appendValue(std::string &line, std::string_view value)
 {
     if (!needsQuotes(value)) {
@@ -148,7 +153,7 @@
     appendValue(line, value);
 }
 
-/// @returns UTC in ISO form and the count, such as "2026-01-31T08:15:00.250Z/3".
+/// @returns UTC in ISO 8601 format and the counter, such as "2026-01-31T08:15:00.250Z/3".
 std::string textOf(hybrid_time at)
 {
     const std::time_t seconds = at.wallMs / 1000;
@@ -200,7 +205,7 @@
     hybrid_time last;
     std::deque<event> ring;
 
-    /// @attention With the mutex held.
+    /// @attention Call with the mutex locked.
     hybrid_time next()
     {
         const std::int64_t now = clock.wall().time_since_epoch().count();
@@ -213,8 +218,8 @@
         return last;
     }
 
-    /// @attention With the mutex held.
-    void keep(const event &entry)
+    /// @attention Call with the mutex locked.
+    void append(const event &entry)
     {
         if (ringSize == 0)
             return;
@@ -240,7 +245,7 @@
     {
         const std::lock_guard lock(inner->mutex);
         entry.at = inner->next();
-        inner->keep(entry);
+        inner->append(entry);
     }
     writeLine(entry);
     return entry.at;
@@ -249,14 +254,15 @@
 void journal::emitLast(std::string_view kind, std::vector<event_field> fields) const
 {
     const hybrid_time at{systemClock().wall().time_since_epoch().count(), 0};
-    writeAtOnce(lineOf({at, inner->self, std::string(kind), std::move(fields)}) + '\n');
+    writeDirectly(lineOf({at, inner->self, std::string(kind), std::move(fields)}) + '\n');
 }
 
 void journal::observe(hybrid_time remote)
 {
     const std::lock_guard lock(inner->mutex);
-    // One peer whose wall clock is years ahead would drag every instance's time line there for
-    // good. Beyond the bound its times are left aside: only its own events sort wrongly then.
+    // A peer whose wall clock is years ahead would permanently advance the clocks of all instances.
+    // Timestamps beyond config::maxClockLead are ignored, so that only this peer's own events are
+    // ordered wrongly.
     const std::int64_t now = inner->clock.wall().time_since_epoch().count();
     if (remote.wallMs > now + config::maxClockLead.count())
         return;
@@ -284,7 +290,7 @@
 {
     const int threshold = thresholdOf(level);
     const int fd = stream == log_stream::Output ? STDOUT_FILENO : STDERR_FILENO;
-    neverBlock(fd);
+    setNonBlocking(fd);
     logDescriptor = fd;
     const auto layout = std::make_shared<log4cxx::PatternLayout>("%m%n");
     const auto appender = std::make_shared<log4cxx::ConsoleAppender>(
--- a/src/base/line_budget.h
+++ b/src/base/line_budget.h
@@ -6,25 +6,26 @@
 
 namespace poplarspool {
 
-/// Bounds the lines of each second: in a storm of failures, writing about them must not take the
-/// time that serving needs. What is left out is counted, and the next second begins by saying so.
+/// Limits the number of log lines per second, so that logging many failures doesn't take the time
+/// needed to serve requests. Dropped lines are counted, and the count is reported with the first
+/// line of a later second.
 class line_budget
 {
 public:
-    explicit line_budget(std::uint64_t most) : most(most) { }
+    explicit line_budget(std::uint64_t maxLines) : maxLines(maxLines) { }
 
-    /// @param leftOut Becomes the number of lines left out in seconds that are over.
+    /// @param droppedBefore Set to the number of unreported lines of earlier seconds.
     /// @returns Whether a line may be written.
-    bool take(std::int64_t second, std::uint64_t &leftOut)
+    bool tryAcquire(std::int64_t second, std::uint64_t &droppedBefore)
     {
         const std::lock_guard lock(guard);
-        leftOut = 0;
-        if (second != present) {
-            present = second;
+        droppedBefore = 0;
+        if (second != currentSecond) {
+            currentSecond = second;
             written = 0;
-            leftOut = std::exchange(dropped, 0);
+            droppedBefore = std::exchange(dropped, 0);
         }
-        if (written >= most) {
+        if (written >= maxLines) {
             ++dropped;
             return false;
         }
@@ -33,9 +34,9 @@
     }
 
 private:
-    const std::uint64_t most; ///< Lines in one second.
+    const std::uint64_t maxLines; ///< Per second.
     std::mutex guard;
-    std::int64_t present = 0;
+    std::int64_t currentSecond = 0;
     std::uint64_t written = 0;
     std::uint64_t dropped = 0;
 };
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -20,11 +20,11 @@
 constexpr double highestSeconds = 1e3;
 constexpr int decades = 8;
 constexpr int binsPerDecade = 20;
-/// Bins that one bucket of the text format takes together: 5 buckets a decade.
+/// Number of histogram bins per bucket of the text format, which has 5 buckets per decade.
 constexpr int binsPerBucket = 4;
 
 using log_axis = bh::axis::regular<double, bh::axis::transform::log>;
-// Atomic counts on an axis that never grows: a request's thread records without a lock.
+// Atomic counters on an axis of fixed size, so that threads record without a lock.
 using atomic_storage = bh::dense_storage<bh::accumulators::thread_safe<std::uint64_t>>;
 using time_histogram = bh::histogram<std::tuple<log_axis>, atomic_storage>;
 
@@ -35,19 +35,20 @@
     return text.data();
 }
 
-/// @param labels Without braces; may be empty.
+/// @param labels Labels without braces; may be empty.
+/// @param extraLabel Another label, such as `le="0.1"`; may be empty.
 std::string seriesName(std::string_view family, std::string_view suffix, std::string_view labels,
-                       std::string_view more = {})
+                       std::string_view extraLabel = {})
 {
     std::string name(family);
     name += suffix;
-    if (labels.empty() && more.empty())
+    if (labels.empty() && extraLabel.empty())
         return name;
     name += '{';
     name += labels;
-    if (!labels.empty() && !more.empty())
+    if (!labels.empty() && !extraLabel.empty())
         name += ',';
-    name += more;
+    name += extraLabel;
     name += '}';
     return name;
 }
@@ -69,16 +70,16 @@
     return {name.substr(0, brace), labels};
 }
 
-/// Families with their series, each kept at one address for ever.
+/// Metric families with their series. The address of a metric never changes.
 template <class Metric>
 using families = std::map<std::string, std::map<std::string, std::unique_ptr<Metric>, std::less<>>,
                           std::less<>>;
 
 template <class Metric>
-Metric &metricIn(families<Metric> &all, std::string_view name)
+Metric &findOrCreate(families<Metric> &all, std::string_view name)
 {
-    const metric_name parts = split(name);
-    std::unique_ptr<Metric> &slot = all[std::string(parts.family)][std::string(parts.labels)];
+    const metric_name parsed = split(name);
+    std::unique_ptr<Metric> &slot = all[std::string(parsed.family)][std::string(parsed.labels)];
     if (!slot)
         slot = std::make_unique<Metric>();
     return *slot;
@@ -129,7 +130,8 @@
 
     void appendText(std::string &text, std::string_view family, std::string_view labels) const
     {
-        // Read once from below: cumulative buckets never shrink, though records come meanwhile.
+        // Each bin is read once, in ascending order, so that the cumulative counts never decrease
+        // even if other threads record meanwhile.
         std::uint64_t sum = bins.at(-1);
         for (int bin = 0; bin < bins.axis().size(); ++bin) {
             sum += bins.at(bin);
@@ -168,13 +170,13 @@
     const std::uint64_t total = inner->total();
     if (total == 0)
         return std::chrono::nanoseconds(0);
-    const double wanted = std::max(1.0, std::ceil(share * static_cast<double>(total)));
+    const double rank = std::max(1.0, std::ceil(share * static_cast<double>(total)));
     const log_axis &axis = inner->bins.axis();
     std::uint64_t sum = 0;
     int bin = -1;
     for (; bin < axis.size(); ++bin) {
         sum += inner->bins.at(bin);
-        if (static_cast<double>(sum) >= wanted)
+        if (static_cast<double>(sum) >= rank)
             break;
     }
     const double edge = axis.value(std::min(bin + 1, axis.size()));
@@ -196,19 +198,19 @@
 counter &metrics_registry::counterOf(std::string_view name)
 {
     const std::lock_guard lock(inner->mutex);
-    return metricIn(inner->counters, name);
+    return findOrCreate(inner->counters, name);
 }
 
 gauge &metrics_registry::gaugeOf(std::string_view name)
 {
     const std::lock_guard lock(inner->mutex);
-    return metricIn(inner->gauges, name);
+    return findOrCreate(inner->gauges, name);
 }
 
 latency &metrics_registry::latencyOf(std::string_view name)
 {
     const std::lock_guard lock(inner->mutex);
-    return metricIn(inner->latencies, name);
+    return findOrCreate(inner->latencies, name);
 }
 
 std::string metrics_registry::text() const
--- a/src/base/named_thread.cpp
+++ b/src/base/named_thread.cpp
@@ -16,16 +16,16 @@
 namespace {
 
 constexpr std::string_view unnamed = "unnamed";
-constexpr std::chrono::milliseconds lineLookTime{5};
+constexpr std::chrono::milliseconds linePollInterval{5};
 
-thread_local std::string ownName;
+thread_local std::string currentThreadName;
 
-std::atomic<const journal *> uncaughtTo{nullptr};
+std::atomic<const journal *> uncaughtLog{nullptr};
 std::atomic<bool> isLineWritten{false};
-thread_local bool isWritingLine = false; ///< Also where that ends by an exception itself.
-std::atomic<std::terminate_handler> handlerBefore{std::abort};
+thread_local bool isWritingLine = false; ///< Stays true if writing the line throws.
+std::atomic<std::terminate_handler> previousHandler{std::abort};
 
-std::string readable(const char *mangled)
+std::string demangle(const char *mangled)
 {
     int status = 0;
     const std::unique_ptr<char, void (*)(void *)> name(
@@ -37,51 +37,51 @@
 {
     try {
         std::rethrow_exception(thrown);
-    } catch (const std::exception &known) {
-        return known.what();
+    } catch (const std::exception &error) {
+        return error.what();
     } catch (...) {
         return "not a standard exception";
     }
 }
 
-/// Of the exception that is being handled.
-std::vector<event_field> fieldsOfException()
+/// @returns The log fields of the currently handled exception.
+std::vector<event_field> currentExceptionFields()
 {
     const std::type_info *type = abi::__cxa_current_exception_type();
     return {{"thread", std::string(threadName())},
-            {"type", type == nullptr ? "" : readable(type->name())},
+            {"type", type == nullptr ? "" : demangle(type->name())},
             {"reason", reasonOf(std::current_exception())}};
 }
 
 void logUncaught(const journal &events)
 {
     if (std::current_exception())
-        events.emitLast("uncaught_exception", fieldsOfException());
+        events.emitLast("uncaught_exception", currentExceptionFields());
 }
 
-/// Another thread is about to end the process: ended by this one, its line would be lost.
-void awaitLine()
+/// Waits while another thread writes the final log line. Terminating the process now would lose it.
+void waitForFinalLine()
 {
     const auto end = std::chrono::steady_clock::now() + config::lastLineTime;
     while (!isLineWritten && std::chrono::steady_clock::now() < end)
-        std::this_thread::sleep_for(lineLookTime);
+        std::this_thread::sleep_for(linePollInterval);
 }
 
-void logAndEnd()
+void logAndTerminate()
 {
-    const journal *events = uncaughtTo.exchange(nullptr);
+    const journal *events = uncaughtLog.exchange(nullptr);
     if (events != nullptr) {
         isWritingLine = true;
         try {
             logUncaught(*events);
         } catch (...) {
-            // The process ends all the same.
+            // The process terminates anyway.
         }
         isLineWritten = true;
     } else if (!isWritingLine) {
-        awaitLine();
+        waitForFinalLine();
     }
-    handlerBefore.load()();
+    previousHandler.load()();
 }
 
 } // namespace
@@ -96,12 +96,12 @@
 
 void nameThisThread(std::string name)
 {
-    ownName = std::move(name);
+    currentThreadName = std::move(name);
 }
 
 std::string_view threadName()
 {
-    return ownName.empty() ? unnamed : std::string_view(ownName);
+    return currentThreadName.empty() ? unnamed : std::string_view(currentThreadName);
 }
 
 step_faults stepFaultsOf(journal &events, metrics_registry &metrics)
@@ -114,24 +114,24 @@
     faults.failed.add();
     try {
         if (faults.events != nullptr)
-            faults.events->emit("step_failed", fieldsOfException());
+            faults.events->emit("step_failed", currentExceptionFields());
     } catch (...) { // NOLINT(bugprone-empty-catch): out of memory; the step is counted.
     }
 }
 
 uncaught_log::uncaught_log(journal &events)
 {
-    uncaughtTo = &events;
-    // With two of these, the handler would else call itself for ever.
-    const std::terminate_handler before = std::set_terminate(logAndEnd);
-    if (before != logAndEnd)
-        handlerBefore = before;
+    uncaughtLog = &events;
+    // With two objects, the handler would otherwise call itself without end.
+    const std::terminate_handler current = std::set_terminate(logAndTerminate);
+    if (current != logAndTerminate)
+        previousHandler = current;
 }
 
 uncaught_log::~uncaught_log()
 {
-    std::set_terminate(handlerBefore);
-    uncaughtTo = nullptr;
+    std::set_terminate(previousHandler);
+    uncaughtLog = nullptr;
 }
 
 } // namespace poplarspool
--- a/src/base/pooled_call.cpp
+++ b/src/base/pooled_call.cpp
@@ -10,14 +10,15 @@
 namespace {
 
 constexpr std::size_t receiveBytes = 16 * 1024;
-/// Replies below it only announce another one.
+/// Replies with a lower status are interim (1xx) and followed by the final one.
 constexpr int firstFinalStatus = 200;
 constexpr std::string_view headEnd = "\r\n\r\n";
 
-/// The head as the library gets to see it: a plain status line and the framing, no more. It would
-/// take a malformed length for 0, so that a broken reply looked whole, and match the status line
-/// with a recursive regular expression, which a long reason lets run out of stack.
-std::string plainHeadOf(const reply_head &head)
+/// The head that is passed to the library: only a plain status line and the framing. The library
+/// takes a malformed length for 0, so that a broken reply would appear complete, and matches the
+/// status line with a recursive regular expression, which overflows the stack on a long reason
+/// phrase.
+std::string sanitisedHeadOf(const reply_head &head)
 {
     std::string text = "HTTP/1.1 " + std::to_string(head.status) + " \r\n";
     if (head.isChunked && mayHaveBody(head.status))
@@ -30,7 +31,7 @@
 
 } // namespace
 
-/// The connection as the library sees it during one call.
+/// Stream through which the library uses the connection during one call.
 class pooled_call::reply_stream : public httplib::Stream
 {
 public:
@@ -53,7 +54,7 @@
 
     pooled_call &call;
     const int fd;
-    std::string request; ///< Gathered, so that it goes out in as few segments as it can.
+    std::string request; ///< Buffered, so that it is sent in as few segments as possible.
     std::string buffer;
     std::size_t position = 0;
     bool isHeadDone = false;
@@ -77,13 +78,13 @@
     return static_cast<ssize_t>(count);
 }
 
-/// A server may answer before it has read the request, and close (too many connections, body too
-/// large). Where sending fails, such an answer is still read.
+/// A server may reply and close the connection before it has read the whole request (too many
+/// connections, body too large). If sending fails for that reason, the reply is still read.
 bool pooled_call::reply_stream::sendRequest()
 {
     const sent outcome = sendAll(fd, request, call.deadline, call.stopping.descriptorNumber());
     call.bytesSent += outcome.bytes;
-    call.isSentWhole = outcome.fault == socket_fault::None;
+    call.isRequestSent = outcome.fault == socket_fault::None;
     request.clear();
     request.shrink_to_fit();
     if (outcome.fault == socket_fault::None || outcome.fault == socket_fault::Closed)
@@ -111,12 +112,12 @@
         if (call.head->status >= firstFinalStatus)
             break;
     }
-    buffer.insert(0, plainHeadOf(*call.head));
+    buffer.insert(0, sanitisedHeadOf(*call.head));
     isHeadDone = true;
     return true;
 }
 
-/// @returns False at the end of the connection, and on a fault.
+/// @returns False at the end of the connection and on an error.
 bool pooled_call::reply_stream::fill()
 {
     if (isDrained()) {
@@ -156,38 +157,39 @@
                                  std::function<bool(httplib::Stream &)> callback)
 {
     reply_stream stream(*this, socket.sock);
-    const bool isWhole = callback(stream);
-    // Bytes beyond the reply would be taken for the next call's: a crossed answer.
-    isReusable = isWhole && isSentWhole && stream.isDrained() && head && head->keepsAlive
+    const bool isComplete = callback(stream);
+    // Bytes after the reply would be read as the reply of the next call.
+    isReusable = isComplete && isRequestSent && stream.isDrained() && head && head->keepsAlive
             && isDelimited();
-    // An orderly end would look to the server like a caller that has sent its request and still
-    // reads; a reset tells it at once that its work is no longer wanted.
-    if (!isWhole)
+    // After a graceful close, the server could take this side for a client that has finished
+    // sending and still reads. A reset shows it immediately that the reply is no longer needed.
+    if (!isComplete)
         abortOnClose(socket.sock);
-    return isWhole;
+    return isComplete;
 }
 
 httplib::Request pooled_call::libraryRequestOf(const http_request &request,
                                                const call_receivers &receivers)
 {
-    httplib::Request made;
-    made.method = request.method;
-    made.path = request.path;
-    made.body = request.body;
+    httplib::Request converted;
+    converted.method = request.method;
+    converted.path = request.path;
+    converted.body = request.body;
     for (const auto &[name, value] : request.headers) {
         if (!isHopHeader(name))
-            made.headers.emplace(name, value);
+            converted.headers.emplace(name, value);
     }
-    if (!request.contentType.empty() && !made.has_header("Content-Type"))
-        made.headers.emplace("Content-Type", request.contentType);
-    made.response_handler = [this, &receivers](const httplib::Response &) {
-        return handOnHead(receivers);
+    if (!request.contentType.empty() && !converted.has_header("Content-Type"))
+        converted.headers.emplace("Content-Type", request.contentType);
+    converted.response_handler = [this, &receivers](const httplib::Response &) {
+        return passHead(receivers);
     };
-    made.content_receiver = [this, &receivers](const char *piece, size_t size, uint64_t, uint64_t) {
+    converted.content_receiver = [this, &receivers](const char *piece, size_t size, uint64_t,
+                                                    uint64_t) {
         isCancelled = !receivers.onPiece(std::string_view(piece, size));
         return !isCancelled;
     };
-    return made;
+    return converted;
 }
 
 http_reply pooled_call::replyOfHead() const
@@ -205,9 +207,9 @@
     return head->isChunked || head->bodyBytes || !mayHaveBody(head->status) || !expectsBody;
 }
 
-bool pooled_call::handOnHead(const call_receivers &receivers)
+bool pooled_call::passHead(const call_receivers &receivers)
 {
-    isHeadHandedOn = true;
+    isHeadPassed = true;
     isCancelled = !receivers.onHead(replyOfHead());
     return !isCancelled;
 }
@@ -215,29 +217,29 @@
 result<http_reply> pooled_call::run(const http_request &request, const call_receivers &receivers)
 {
     expectsBody = request.method != "HEAD";
-    httplib::Request made = libraryRequestOf(request, receivers);
+    httplib::Request converted = libraryRequestOf(request, receivers);
     httplib::Response ignored;
     httplib::Error failed = httplib::Error::Success;
-    if (!send(made, ignored, failed) || !head)
+    if (!send(converted, ignored, failed) || !head)
         return failure();
-    if (!isHeadHandedOn && !handOnHead(receivers))
+    if (!isHeadPassed && !passHead(receivers))
         return failure();
     return replyOfHead();
 }
 
 error pooled_call::failure() const
 {
-    // Only a request of which the kernel took no byte can't have reached the server.
+    // Only if the kernel accepted no byte of the request, it can't have reached the server.
     const verdict ran = bytesSent == 0 ? verdict::NotRun : verdict::MayHaveRun;
     if (isCancelled)
-        return {error_code::Cancelled, "cancelled by the receiver", ran};
+        return {error_code::Cancelled, "call cancelled by its receiver", ran};
     if (fault == socket_fault::TimedOut)
-        return {error_code::TimedOut, "no whole reply within the time limit", ran};
+        return {error_code::TimedOut, "no complete reply within the time limit", ran};
     if (fault == socket_fault::Interrupted)
         return {error_code::Unavailable, "stopped", ran};
     if (bytesSent == 0)
-        return {error_code::Unavailable, "the connection was closed", ran};
-    return {error_code::Broken, "the reply is malformed or ended too early", ran};
+        return {error_code::Unavailable, "connection closed before the request was sent", ran};
+    return {error_code::Broken, "reply malformed or truncated", ran};
 }
 
 descriptor pooled_call::takeConnection()
--- a/src/base/pooled_call.h
+++ b/src/base/pooled_call.h
@@ -7,16 +7,16 @@
 
 namespace poplarspool {
 
-/// What a call hands on while its reply arrives.
+/// Callbacks that receive a reply while it arrives.
 struct call_receivers
 {
     http_head_receiver onHead;
     http_receiver onPiece;
 };
 
-/// One request and its reply on one connection, by cpp-httplib with a stream of ours: it holds the
-/// time limit over the whole call, counts what was sent, and gives the library a reply's head only
-/// after it was checked.
+/// One request and its reply on one connection. Uses cpp-httplib with a custom stream, which
+/// applies the time limit to the whole call, counts the bytes sent, and validates a reply's head
+/// before the library sees it.
 class pooled_call : private httplib::ClientImpl
 {
 public:
@@ -25,7 +25,7 @@
 
     result<http_reply> run(const http_request &request, const call_receivers &receivers);
 
-    /// @returns The connection, where another call can use it.
+    /// @returns The connection, if another call can reuse it; otherwise a closed descriptor.
     descriptor takeConnection();
 
 private:
@@ -35,7 +35,7 @@
     bool process_socket(const Socket &socket,
                         std::function<bool(httplib::Stream &)> callback) override;
     httplib::Request libraryRequestOf(const http_request &request, const call_receivers &receivers);
-    bool handOnHead(const call_receivers &receivers);
+    bool passHead(const call_receivers &receivers);
     http_reply replyOfHead() const;
     bool isDelimited() const;
     error failure() const;
@@ -44,11 +44,11 @@
     const socket_deadline deadline;
     const raised_flag &stopping;
 
-    // Of the one request:
+    // State of the request:
     bool expectsBody = true;
     bool isCancelled = false;
-    bool isHeadHandedOn = false;
-    bool isSentWhole = false;
+    bool isHeadPassed = false;
+    bool isRequestSent = false;
     bool isReusable = false;
     std::size_t bytesSent = 0;
     socket_fault fault = socket_fault::None;
--- a/src/base/reply_writer.cpp
+++ b/src/base/reply_writer.cpp
@@ -4,53 +4,53 @@
 
 namespace {
 
-/// Bytes that must go out within the time limit of one write. Bodies up to this size are sent
+/// Maximum number of bytes sent within the time limit of one write. Bodies up to this size are sent
 /// together with their head.
 constexpr std::size_t maxSliceBytes = 64 * 1024;
 
 } // namespace
 
-reply_writer::reply_writer(int fd, milliseconds writeTime, manner how)
-    : fd(fd), writeTime(writeTime), how(how)
+reply_writer::reply_writer(int fd, milliseconds writeTime, reply_options options)
+    : fd(fd), writeTime(writeTime), options(options)
 { }
 
 bool reply_writer::begin(int status, const http_headers &headers, std::string_view contentType)
 {
-    if (state != progress::Fresh)
+    if (state != progress::NotStarted)
         return false;
-    hasBody = !how.isHead && mayHaveBody(status);
+    hasBody = !options.isHead && mayHaveBody(status);
     reply_framing framing;
-    framing.isChunked = how.takesChunks && mayHaveBody(status);
-    if (!how.takesChunks && hasBody) {
-        // Without chunks the end of the connection is the end of the reply. Until end() says that
-        // it is whole, a close must therefore look like a failure: it resets the connection.
-        how.closes = true;
+    framing.isChunked = options.supportsChunks && mayHaveBody(status);
+    if (!options.supportsChunks && hasBody) {
+        // Without chunks, the reply ends with the connection. Until end() marks the reply as
+        // complete, closing the connection must therefore reset it.
+        options.closes = true;
         abortOnClose(fd);
     }
-    framing.closes = how.closes;
-    state = progress::Begun;
+    framing.closes = options.closes;
+    state = progress::Started;
     return send(replyHeadText(status, headers, contentType, framing));
 }
 
 bool reply_writer::write(std::string_view piece)
 {
-    if (state != progress::Begun)
+    if (state != progress::Started)
         return false;
-    // An empty chunk would be the last one.
+    // An empty chunk would end the reply.
     if (piece.empty() || !hasBody)
         return true;
-    return how.takesChunks ? send(chunkText(piece)) : send(piece);
+    return options.supportsChunks ? send(encodeChunk(piece)) : send(piece);
 }
 
 void reply_writer::end()
 {
-    if (state != progress::Begun)
+    if (state != progress::Started)
         return;
-    if (hasBody && how.takesChunks && !send("0\r\n\r\n"))
+    if (hasBody && options.supportsChunks && !send("0\r\n\r\n"))
         return;
-    if (hasBody && !how.takesChunks)
+    if (hasBody && !options.supportsChunks)
         closeInOrder(fd);
-    state = progress::Whole;
+    state = progress::Complete;
 }
 
 bool reply_writer::isGone() const
@@ -58,29 +58,29 @@
     return state == progress::Failed || isPeerGone(fd);
 }
 
-void reply_writer::writeWhole(const http_reply &reply)
+void reply_writer::writeReply(const http_reply &reply)
 {
-    if (state != progress::Fresh)
+    if (state != progress::NotStarted)
         return;
-    state = progress::Begun;
-    hasBody = !how.isHead && mayHaveBody(reply.status);
+    state = progress::Started;
+    hasBody = !options.isHead && mayHaveBody(reply.status);
     reply_framing framing;
-    framing.closes = how.closes;
+    framing.closes = options.closes;
     if (mayHaveBody(reply.status))
         framing.bodyBytes = reply.body.size();
     std::string text = replyHeadText(reply.status, reply.headers, reply.contentType, framing);
-    const bool joins = hasBody && reply.body.size() <= maxSliceBytes;
-    if (joins)
+    const bool sendsTogether = hasBody && reply.body.size() <= maxSliceBytes;
+    if (sendsTogether)
         text += reply.body;
     if (!send(text))
         return;
-    if (hasBody && !joins && !send(reply.body))
+    if (hasBody && !sendsTogether && !send(reply.body))
         return;
-    state = progress::Whole;
+    state = progress::Complete;
 }
 
-/// Sends in slices, each with its own time limit: a large reply may take longer than a small one,
-/// while a receiver that reads almost nothing is still given up.
+/// Sends in slices, each with its own time limit, so that a large reply may take longer than a
+/// small one but a receiver that hardly reads is still timed out.
 bool reply_writer::send(std::string_view bytes)
 {
     while (!bytes.empty()) {
--- a/src/base/reply_writer.h
+++ b/src/base/reply_writer.h
@@ -5,18 +5,18 @@
 
 namespace poplarspool {
 
-/// Writes the reply to one request straight to its connection.
+/// Writes the reply to one request to its connection, unbuffered.
 class reply_writer : public http_sink
 {
 public:
-    struct manner
+    struct reply_options
     {
-        bool isHead = false; ///< The request's method is HEAD: no body goes out.
-        bool takesChunks = true;
+        bool isHead = false; ///< The request's method is HEAD: no body is sent.
+        bool supportsChunks = true;
         bool closes = false;
     };
 
-    reply_writer(int fd, milliseconds writeTime, manner how);
+    reply_writer(int fd, milliseconds writeTime, reply_options options);
 
     bool begin(int status, const http_headers &headers, std::string_view contentType) override;
     bool write(std::string_view piece) override;
@@ -24,24 +24,24 @@
     bool isGone() const override;
     int descriptorNumber() const override { return fd; }
 
-    /// Writes a reply whose body is known; not after begin().
-    void writeWhole(const http_reply &reply);
+    /// Writes a complete reply. Has no effect after begin().
+    void writeReply(const http_reply &reply);
 
-    bool hasBegun() const { return state != progress::Fresh; }
-    /// @returns Whether a whole reply went out, after which the connection may serve on.
-    bool isWhole() const { return state == progress::Whole; }
-    bool closes() const { return how.closes; }
+    bool hasStarted() const { return state != progress::NotStarted; }
+    /// @returns Whether a complete reply was sent, so that the connection can be reused.
+    bool isComplete() const { return state == progress::Complete; }
+    bool closes() const { return options.closes; }
 
 private:
-    enum class progress { Fresh, Begun, Whole, Failed };
+    enum class progress { NotStarted, Started, Complete, Failed };
 
     bool send(std::string_view bytes);
 
     const int fd;
     const milliseconds writeTime;
-    manner how;
+    reply_options options;
     bool hasBody = true;
-    progress state = progress::Fresh;
+    progress state = progress::NotStarted;
 };
 
 } // namespace poplarspool
--- a/src/base/request_reader.cpp
+++ b/src/base/request_reader.cpp
@@ -7,24 +7,24 @@
 
 namespace {
 
-using part = std::variant<std::string, bad_request, no_request>;
+using read_part = std::variant<std::string, bad_request, no_request>;
 
 constexpr std::size_t receiveBytes = 8 * 1024;
-/// Bytes of the line before a chunk, or of a trailer.
+/// Maximum length of the line before a chunk, and of a trailer line, in bytes.
 constexpr std::size_t maxChunkLineBytes = 1024;
 
 constexpr std::string_view lineEnd = "\r\n";
 constexpr std::string_view headEnd = "\r\n\r\n";
 
-/// @returns The failure that a part stands for.
-reading failureOf(const part &failed)
+/// @returns The failure as the result of reading the request.
+reading failureOf(const read_part &failed)
 {
     if (const auto *bad = std::get_if<bad_request>(&failed))
         return *bad;
     return std::get<no_request>(failed);
 }
 
-bool isRead(const part &outcome)
+bool isRead(const read_part &outcome)
 {
     return std::holds_alternative<std::string>(outcome);
 }
@@ -37,38 +37,38 @@
 
 reading request_reader::next(milliseconds idleTime)
 {
-    if (buffer.empty() && !awaitFirstByte(idleTime))
+    if (buffer.empty() && !waitForFirstByte(idleTime))
         return no_request{};
     deadline = socket_clock::now() + limits.readTime;
-    hasBegun = false;
+    hasStarted = false;
     return readRequest();
 }
 
-bool request_reader::awaitFirstByte(milliseconds idleTime)
+bool request_reader::waitForFirstByte(milliseconds idleTime)
 {
     const socket_deadline end = socket_clock::now() + idleTime;
     const socket_fault fault = waitForSocket(fd, POLLIN, end, stopFd);
     if (fault != socket_fault::Interrupted)
         return fault == socket_fault::None;
-    // A request that had arrived when the server was told to stop is still served.
+    // A request that had arrived before the server was stopped is still served.
     return waitForSocket(fd, POLLIN, socket_clock::now(), -1) == socket_fault::None;
 }
 
 reading request_reader::readRequest()
 {
-    const part text = readHead();
+    const read_part text = readHead();
     if (!isRead(text))
         return failureOf(text);
     auto parsed = parseRequestHead(std::get<std::string>(text));
     if (const auto *bad = std::get_if<bad_request>(&parsed))
         return *bad;
     auto &head = std::get<request_head>(parsed);
-    part body = readBody(head);
+    read_part body = readBody(head);
     if (!isRead(body))
         return failureOf(body);
     arrived_request arrived;
     arrived.keepsAlive = head.keepsAlive;
-    arrived.takesChunks = head.takesChunks;
+    arrived.supportsChunks = head.supportsChunks;
     arrived.request.contentType = headerOf(head.headers, "content-type");
     arrived.request.method = std::move(head.method);
     arrived.request.path = std::move(head.path);
@@ -77,13 +77,13 @@
     return arrived;
 }
 
-part request_reader::readHead()
+read_part request_reader::readHead()
 {
     std::size_t searched = 0;
     while (true) {
         while (buffer.starts_with(lineEnd))
             buffer.erase(0, lineEnd.size());
-        hasBegun = !buffer.empty();
+        hasStarted = !buffer.empty();
         const std::size_t end = buffer.find(headEnd, searched);
         const std::size_t bytes = end == std::string::npos ? buffer.size() : end + headEnd.size();
         if (bytes > limits.headerBytes)
@@ -93,16 +93,17 @@
             buffer.erase(0, bytes);
             return head;
         }
-        // Would otherwise be waited for until the time limit: such a head never ends properly.
+        // A head with bare LF line ends never ends with CR LF CR LF, so the reader would otherwise
+        // wait until the time limit.
         if (buffer.find("\n\n") != std::string::npos)
-            return bad_request{400, "lines must end in CR LF"};
+            return bad_request{400, "lines must end with CR LF"};
         searched = buffer.size() < headEnd.size() ? 0 : buffer.size() - headEnd.size();
         if (auto failed = fill())
             return *failed;
     }
 }
 
-part request_reader::readBody(const request_head &head)
+read_part request_reader::readBody(const request_head &head)
 {
     if (head.bodyBytes > limits.bodyBytes)
         return bad_request{413, "body too large"};
@@ -121,11 +122,11 @@
     return body;
 }
 
-part request_reader::readChunks()
+read_part request_reader::readChunks()
 {
     std::string body;
     while (true) {
-        part line = readLine();
+        read_part line = readLine();
         if (!isRead(line))
             return line;
         const std::optional<std::size_t> size = chunkSizeOf(std::get<std::string>(line));
@@ -146,7 +147,7 @@
     }
     std::size_t trailerBytes = 0;
     while (true) {
-        part trailer = readLine();
+        read_part trailer = readLine();
         if (!isRead(trailer))
             return trailer;
         if (std::get<std::string>(trailer).empty())
@@ -157,7 +158,7 @@
     }
 }
 
-part request_reader::readLine()
+read_part request_reader::readLine()
 {
     while (true) {
         const std::size_t end = buffer.find(lineEnd);
@@ -173,14 +174,14 @@
     }
 }
 
-std::optional<part> request_reader::fill()
+std::optional<read_part> request_reader::fill()
 {
     std::array<char, receiveBytes> bytes; // NOLINT: filled before it is read
     const received some = receiveSome(fd, bytes.data(), bytes.size(), deadline, -1);
     if (some.fault == socket_fault::TimedOut)
-        return bad_request{408, "the request took too long to arrive"};
-    if (some.isEnd && hasBegun)
-        return bad_request{400, "the request ends too early"};
+        return bad_request{408, "request not received within the time limit"};
+    if (some.isEnd && hasStarted)
+        return bad_request{400, "request truncated"};
     if (some.fault != socket_fault::None)
         return no_request{};
     buffer.append(bytes.data(), some.bytes);
--- a/src/base/socket.cpp
+++ b/src/base/socket.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-/// Bytes thrown away at most while a connection is closed after an early reply.
+/// Maximum number of bytes discarded while a connection is closed after an early reply.
 constexpr std::size_t maxDiscardedBytes = 4 * 1024 * 1024;
 
-/// Rounds up: rounded down, the last fraction of a millisecond would be a busy loop.
-int pollTimeOf(socket_deadline deadline)
+/// Rounds up, because rounding down would cause a busy loop in the last millisecond.
+int pollTimeoutMs(socket_deadline deadline)
 {
     const auto left = std::chrono::ceil<std::chrono::milliseconds>(deadline - socket_clock::now());
     return static_cast<int>(std::clamp<std::int64_t>(left.count(), 0, 1'000'000));
@@ -96,11 +96,12 @@
                            short interruptEvents)
 {
     while (true) {
-        std::array<pollfd, 2> looks{pollfd{fd, events, 0}, pollfd{interruptFd, interruptEvents, 0}};
-        const int ready = poll(looks.data(), looks.size(), pollTimeOf(deadline));
+        std::array<pollfd, 2> watched{pollfd{fd, events, 0},
+                                      pollfd{interruptFd, interruptEvents, 0}};
+        const int ready = poll(watched.data(), watched.size(), pollTimeoutMs(deadline));
         if (ready < 0 && errno != EINTR)
             return socket_fault::Closed;
-        if (ready > 0 && looks[1].revents != 0)
+        if (ready > 0 && watched[1].revents != 0)
             return socket_fault::Interrupted;
         if (ready > 0)
             return socket_fault::None;
@@ -112,8 +113,8 @@
 received receiveSome(int fd, char *to, std::size_t size, socket_deadline deadline, int interruptFd)
 {
     while (true) {
-        // Checked before each try: a peer that sends a byte now and then would otherwise never be
-        // timed out, because there is always something to read.
+        // Checked before each recv(): a peer that sends single bytes would otherwise never be timed
+        // out, because there is always something to read.
         if (socket_clock::now() >= deadline)
             return {0, socket_fault::TimedOut};
         const ssize_t count = recv(fd, to, size, MSG_DONTWAIT);
@@ -154,18 +155,18 @@
 
 namespace {
 
-/// @param failure Becomes the system's word where the connection failed; else 0.
+/// @param failure Set to the errno of a failed connect(); 0 otherwise.
 result<descriptor> connectTo(const endpoint &to, socket_deadline deadline, int interruptFd,
                              int &failure)
 {
     failure = 0;
     const socket_address address = addressOf(to);
     if (address.size == 0 || to.port == 0)
-        return notRun(error_code::BadRequest, "not an IP number and port: " + textOf(to));
+        return notRun(error_code::BadRequest, "not an IP address and port: " + textOf(to));
     descriptor connection(
             socket(address.bytes.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!connection.isOpen())
-        return connectFailure(to, "no descriptor left");
+        return connectFailure(to, "can't create a socket");
     sendWithoutDelay(connection.get());
     const auto *raw = reinterpret_cast<const sockaddr *>(&address.bytes);
     if (connect(connection.get(), raw, address.size) == 0)
@@ -202,18 +203,18 @@
 
 bool isIdleAndOpen(int fd)
 {
-    pollfd look{fd, POLLIN | POLLRDHUP, 0};
-    return poll(&look, 1, 0) == 0;
+    pollfd state{fd, POLLIN | POLLRDHUP, 0};
+    return poll(&state, 1, 0) == 0;
 }
 
 bool isPeerGone(int fd)
 {
-    // A peer that only ended its sending side (POLLRDHUP) may still read its answer, so it is not
-    // gone. POLLHUP (both directions ended) and POLLERR (reset) are certain. A peer that closed
-    // altogether looks half closed until it answers our next segment with a reset: the next write
-    // or the one after it then fails.
-    pollfd look{fd, 0, 0};
-    return poll(&look, 1, 0) > 0 && (look.revents & (POLLHUP | POLLERR | POLLNVAL)) != 0;
+    // A peer that only shut down its sending side (POLLRDHUP) may still read the reply, so it is
+    // not gone. POLLHUP (both directions closed) and POLLERR (reset) are definite. A peer that has
+    // closed the connection appears half-closed until it answers the next segment with a reset; the
+    // next write or the one after it then fails.
+    pollfd state{fd, 0, 0};
+    return poll(&state, 1, 0) > 0 && (state.revents & (POLLHUP | POLLERR | POLLNVAL)) != 0;
 }
 
 void sendWithoutDelay(int fd)
--- a/src/base/socket.h
+++ b/src/base/socket.h
@@ -9,8 +9,8 @@
 #include <string_view>
 #include <sys/types.h>
 
-/// Sockets with deadlines. Every wait here uses poll(): select() can't watch descriptors above
-/// 1023, and an instance with 1,000 streams has twice as many.
+/// Socket operations with deadlines. All waits use poll(), because select() doesn't support
+/// descriptors above 1023 and an instance with 1,000 streams has twice as many.
 namespace poplarspool {
 
 using socket_clock = std::chrono::steady_clock;
@@ -18,7 +18,7 @@
 
 enum class socket_fault { None, Closed, TimedOut, Interrupted };
 
-/// A descriptor that its owner closes.
+/// Owner of a file descriptor, which it closes.
 class descriptor
 {
 public:
@@ -39,7 +39,7 @@
     int fd = -1;
 };
 
-/// Event that stays set once raised and can be polled together with a socket.
+/// Flag that stays set once raised and can be polled together with a socket.
 class raised_flag
 {
 public:
@@ -53,20 +53,20 @@
     descriptor event;
 };
 
-/// Waits until `events` (as for poll()) hold on a socket.
-/// @param interruptFd Readable where the wait shall end early; -1 for none.
-/// @param interruptEvents What must hold on interruptFd instead of being readable.
+/// Waits until one of `events` (as for poll()) occurs on a socket.
+/// @param interruptFd Descriptor that interrupts the wait; -1 for none.
+/// @param interruptEvents Events on interruptFd that interrupt the wait.
 socket_fault waitForSocket(int fd, short events, socket_deadline deadline, int interruptFd,
                            short interruptEvents = POLLIN);
 
 struct received
 {
     std::size_t bytes = 0;
-    socket_fault fault = socket_fault::None; ///< Closed also where the peer has ended its side.
-    bool isEnd = false; ///< The peer ended its side in order.
+    socket_fault fault = socket_fault::None; ///< Also Closed if the peer has ended its side.
+    bool isEnd = false; ///< The peer shut down its sending side.
 };
 
-/// Receives at least one byte, or tells why not.
+/// Receives at least one byte, or returns the reason why not.
 received receiveSome(int fd, char *to, std::size_t size, socket_deadline deadline, int interruptFd);
 
 struct sent
@@ -75,15 +75,17 @@
     socket_fault fault = socket_fault::None;
 };
 
-/// Sends all bytes, or tells how many went to the kernel before it failed. Never raises SIGPIPE.
+/// Sends all bytes, or returns how many the kernel accepted before the failure. Doesn't raise
+/// SIGPIPE.
 sent sendAll(int fd, std::string_view bytes, socket_deadline deadline, int interruptFd);
 
-/// Connects without delay of small segments.
+/// Connects a socket with TCP_NODELAY.
 result<descriptor> connectTo(const endpoint &to, socket_deadline deadline, int interruptFd);
-/// @returns Whether the host says that nobody listens there; false where it says nothing in time.
+/// @returns Whether the host refuses the connection (ECONNREFUSED); false if it doesn't answer
+///          before the deadline.
 bool isRefused(const endpoint &to, socket_deadline deadline);
 
-/// @returns Whether an idle connection can still be used: open and with nothing to read.
+/// @returns Whether an idle connection is still usable: open and without data to read.
 bool isIdleAndOpen(int fd);
 
 /// @returns Whether the peer has reset the connection or closed both directions.
@@ -91,20 +93,21 @@
 
 void sendWithoutDelay(int fd);
 
-/// Makes a connection fail whose other end has silently vanished: a partition or a lost machine
-/// sends no reset, so that reads would wait for ever and writes until the kernel gives up after
-/// minutes.
-/// @param silence Time without any sign of the peer; whole seconds, at least one.
+/// Makes a connection fail if its peer has disappeared. After a network partition or the loss of a
+/// machine no reset arrives, so reads would wait forever, and writes for minutes until the kernel
+/// gives up.
+/// @param silence Time without any packet from the peer. At least one second.
 void noticeSilence(int fd, std::chrono::seconds silence);
 
-/// Makes the next close abort the connection, so that its end can't be taken for an orderly one.
+/// Makes the next close reset the connection, so that it can't be taken for a graceful one.
 void abortOnClose(int fd);
 
-/// Takes abortOnClose() back.
+/// Reverts abortOnClose().
 void closeInOrder(int fd);
 
-/// Ends a connection whose peer may still be sending: without this, the unread bytes make the
-/// kernel reset the connection, and the peer can lose the reply that was written before.
+/// Closes a connection whose peer may still be sending: shuts down the sending side and discards
+/// what arrives. With unread bytes, the kernel would reset the connection on close, and the peer
+/// could lose the reply.
 void closeAfterReply(descriptor connection, socket_deadline deadline, int interruptFd);
 
 } // namespace poplarspool
--- a/tests/base/journal_test.cpp
+++ b/tests/base/journal_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-struct hand_clock
+struct manual_clock
 {
     std::int64_t wallMs = 1'700'000'000'000;
 
@@ -27,18 +27,18 @@
 class journal_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(journal_test);
-    CPPUNIT_TEST(aLineIsKeysAndValues);
-    CPPUNIT_TEST(foreignTextStaysInItsValue);
-    CPPUNIT_TEST(effectSortsAfterCauseWhenClocksDisagree);
-    CPPUNIT_TEST(wallClockMayStepBack);
-    CPPUNIT_TEST(aClockFarAheadIsLeftAside);
-    CPPUNIT_TEST(theRingKeepsTheLatest);
-    CPPUNIT_TEST(filtersTakeFieldsAndKind);
-    CPPUNIT_TEST(threadsGetTimesOfTheirOwn);
-    CPPUNIT_TEST(linesOfASecondAreBounded);
+    CPPUNIT_TEST(lineHasKeysAndValues);
+    CPPUNIT_TEST(lineBreaksInValuesAreEscaped);
+    CPPUNIT_TEST(effectIsOrderedAfterCauseWhenClocksDiffer);
+    CPPUNIT_TEST(timestampsIncreaseWhenWallClockStepsBack);
+    CPPUNIT_TEST(timestampsFarAheadAreIgnored);
+    CPPUNIT_TEST(ringKeepsLatestEvents);
+    CPPUNIT_TEST(filterMatchesFieldsAndKind);
+    CPPUNIT_TEST(concurrentEventsHaveUniqueTimestamps);
+    CPPUNIT_TEST(linesPerSecondAreLimited);
     CPPUNIT_TEST_SUITE_END();
 
-    void aLineIsKeysAndValues()
+    void lineHasKeysAndValues()
     {
         const event entry{{1'700'000'000'250, 3},
                           instance_id{"colombo-a-1"},
@@ -50,9 +50,9 @@
                              lineOf(entry));
     }
 
-    // A caller sends a workspace name with a line break and a made-up event behind it. An operator
-    // who greps the log would see that event as ours. The break must arrive escaped, in one line.
-    void foreignTextStaysInItsValue()
+    // A caller can send a workspace name with a line break and a forged event. Unescaped, it would
+    // appear in the log as an event of the instance.
+    void lineBreaksInValuesAreEscaped()
     {
         const event entry{{0, 0}, instance_id{"i"}, "k", {{"workspace", "a\nevent=\"x\""}}};
         CPPUNIT_ASSERT_EQUAL(std::string("at=1970-01-01T00:00:00.000Z/0 instance=i event=k "
@@ -60,13 +60,13 @@
                              lineOf(entry));
     }
 
-    // Instance B's wall clock is 5 s behind A's. A drains a runner and tells B, B stops routing to
-    // it. By wall time B stopped before A asked, and the merged time line would show the effect
-    // before its cause; the time that travels with the message has to push B's clock on.
-    void effectSortsAfterCauseWhenClocksDisagree()
+    // B's wall clock is 5 s behind A's. A drains a runner and notifies B, which stops routing to
+    // it. By wall time alone, a merged timeline would show B's event before A's. The timestamp in
+    // the message must advance B's clock.
+    void effectIsOrderedAfterCauseWhenClocksDiffer()
     {
-        hand_clock ahead;
-        hand_clock behind;
+        manual_clock ahead;
+        manual_clock behind;
         behind.wallMs = ahead.wallMs - 5000;
         journal a(instance_id{"a"}, ahead.source(), 8);
         journal b(instance_id{"b"}, behind.source(), 8);
@@ -76,26 +76,26 @@
         CPPUNIT_ASSERT(cause < effect);
     }
 
-    void wallClockMayStepBack()
+    void timestampsIncreaseWhenWallClockStepsBack()
     {
-        hand_clock clock;
+        manual_clock clock;
         journal events(instance_id{"a"}, clock.source(), 8);
         const hybrid_time before = events.emit("one");
         clock.wallMs -= 60000;
         CPPUNIT_ASSERT(before < events.emit("two"));
     }
 
-    void aClockFarAheadIsLeftAside()
+    void timestampsFarAheadAreIgnored()
     {
-        hand_clock clock;
+        manual_clock clock;
         journal events(instance_id{"a"}, clock.source(), 8);
         events.observe({clock.wallMs + config::maxClockLead.count() + 1, 0});
         CPPUNIT_ASSERT_EQUAL(clock.wallMs, events.emit("one").wallMs);
     }
 
-    void theRingKeepsTheLatest()
+    void ringKeepsLatestEvents()
     {
-        hand_clock clock;
+        manual_clock clock;
         journal events(instance_id{"a"}, clock.source(), 3);
         for (const char *kind : {"one", "two", "three", "four", "five"})
             events.emit(kind);
@@ -105,9 +105,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("five"), kept.back().kind);
     }
 
-    void filtersTakeFieldsAndKind()
+    void filterMatchesFieldsAndKind()
     {
-        hand_clock clock;
+        manual_clock clock;
         journal events(instance_id{"a"}, clock.source(), 8);
         events.emit("sent", {{"request", "r1"}, {"runner", "e1"}});
         events.emit("sent", {{"request", "r2"}, {"runner", "e1"}});
@@ -118,7 +118,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, events.events({"sent", "r1", "e2"}).size());
     }
 
-    void threadsGetTimesOfTheirOwn()
+    void concurrentEventsHaveUniqueTimestamps()
     {
         constexpr int perThread = 200;
         journal events(instance_id{"a"}, systemClock(), std::size_t{2} * perThread);
@@ -136,19 +136,20 @@
             CPPUNIT_ASSERT(kept[index - 1].at < kept[index].at);
     }
 
-    /// Thousands of requests fail within a second, with a line each. Written out, the lines would
-    /// take the time that the requests after them need.
-    void linesOfASecondAreBounded()
+    /// If thousands of requests fail within a second, writing a line for each would delay the
+    /// requests that follow.
+    void linesPerSecondAreLimited()
     {
-        line_budget budget(2);
-        std::uint64_t leftOut = 0;
-        CPPUNIT_ASSERT(budget.take(7, leftOut) && budget.take(7, leftOut));
-        CPPUNIT_ASSERT(!budget.take(7, leftOut) && !budget.take(7, leftOut));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, leftOut);
-        CPPUNIT_ASSERT(budget.take(8, leftOut));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, leftOut);
-        CPPUNIT_ASSERT(budget.take(8, leftOut));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, leftOut);
+        line_budget limiter(2);
+        std::uint64_t droppedLines = 0;
+        CPPUNIT_ASSERT(limiter.tryAcquire(7, droppedLines) && limiter.tryAcquire(7, droppedLines));
+        CPPUNIT_ASSERT(!limiter.tryAcquire(7, droppedLines)
+                       && !limiter.tryAcquire(7, droppedLines));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, droppedLines);
+        CPPUNIT_ASSERT(limiter.tryAcquire(8, droppedLines));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, droppedLines);
+        CPPUNIT_ASSERT(limiter.tryAcquire(8, droppedLines));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, droppedLines);
     }
 };
 
