--- a/tests/base/bounded_json_test.cpp
+++ b/tests/base/bounded_json_test.cpp
@@ -21,34 +21,35 @@
 class bounded_json_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(bounded_json_test);
-    CPPUNIT_TEST(readsUpToTheDepth);
-    CPPUNIT_TEST(readsBracketsInStrings);
-    CPPUNIT_TEST(keepsAllElse);
-    CPPUNIT_TEST(refusesWhatIsNoJson);
+    CPPUNIT_TEST(parsesUpToMaxDepth);
+    CPPUNIT_TEST(ignoresBracketsInStrings);
+    CPPUNIT_TEST(prunesOnlyTooDeepValues);
+    CPPUNIT_TEST(rejectsInvalidJson);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void readsUpToTheDepth()
+    void parsesUpToMaxDepth()
     {
-        const std::string most = nested(config::maxJsonDepth);
-        CPPUNIT_ASSERT_EQUAL(most, parseJson(most).dump());
-        CPPUNIT_ASSERT_EQUAL(most, parseJsonOrThrow(most).dump());
-        CPPUNIT_ASSERT_EQUAL(most, parseJsonCut(most).dump());
-        const std::string more = nested(config::maxJsonDepth + 1);
-        CPPUNIT_ASSERT(parseJson(more).is_discarded());
-        CPPUNIT_ASSERT_THROW(parseJsonOrThrow(more), json::exception);
-        CPPUNIT_ASSERT_EQUAL(nested(config::maxJsonDepth, "null"), parseJsonCut(more).dump());
+        const std::string deepest = nested(config::maxJsonDepth);
+        CPPUNIT_ASSERT_EQUAL(deepest, parseJson(deepest).dump());
+        CPPUNIT_ASSERT_EQUAL(deepest, parseJsonOrThrow(deepest).dump());
+        CPPUNIT_ASSERT_EQUAL(deepest, parseJsonCut(deepest).dump());
+        const std::string tooDeep = nested(config::maxJsonDepth + 1);
+        CPPUNIT_ASSERT(parseJson(tooDeep).is_discarded());
+        CPPUNIT_ASSERT_THROW(parseJsonOrThrow(tooDeep), json::exception);
+        CPPUNIT_ASSERT_EQUAL(nested(config::maxJsonDepth, "null"), parseJsonCut(tooDeep).dump());
     }
 
-    void readsBracketsInStrings()
+    void ignoresBracketsInStrings()
     {
         const std::string text = json(R"(\"[{)" + std::string(1000, '[') + '\\').dump();
         CPPUNIT_ASSERT_EQUAL(text, parseJson(text).dump());
-        const std::string behind = "[" + text + "," + nested(config::maxJsonDepth) + "]";
-        CPPUNIT_ASSERT(parseJson(behind).is_discarded());
+        const std::string tooDeepAfterString =
+                "[" + text + "," + nested(config::maxJsonDepth) + "]";
+        CPPUNIT_ASSERT(parseJson(tooDeepAfterString).is_discarded());
     }
 
-    void keepsAllElse()
+    void prunesOnlyTooDeepValues()
     {
         const std::string deep = nested(config::maxJsonDepth - 1, R"({"]":"}"},7,{"a":[[1],2]})");
         const std::string text = R"([{"b":1},)" + deep + R"(,{"c":"]"}])";
@@ -59,7 +60,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"c":"]"})"), kept[2].dump());
     }
 
-    void refusesWhatIsNoJson()
+    void rejectsInvalidJson()
     {
         for (const char *text : {"", "]", "[", "{]", "[1", "\"", "[}]"}) {
             CPPUNIT_ASSERT(parseJson(text).is_discarded());
--- a/tests/base/connection_threads_test.cpp
+++ b/tests/base/connection_threads_test.cpp
@@ -9,11 +9,11 @@
 class connection_threads_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(connection_threads_test);
-    CPPUNIT_TEST(aJobThatThrowsLeavesRoomForOthers);
+    CPPUNIT_TEST(throwingJobFreesItsThread);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void aJobThatThrowsLeavesRoomForOthers()
+    void throwingJobFreesItsThread()
     {
         metrics_registry metrics;
         journal events({"edge-1"}, systemClock(), 8);
--- a/tests/base/end_signal_test.cpp
+++ b/tests/base/end_signal_test.cpp
@@ -9,15 +9,15 @@
 class end_signal_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(end_signal_test);
-    CPPUNIT_TEST(hangUpAsksForNewSettingsAndEndsNothing);
+    CPPUNIT_TEST(sighupRequestsReload);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// An operator changes the settings file and sends SIGHUP, as is the custom. Unhandled, the
-    /// signal ended the process at once, and with it all requests that it served.
-    void hangUpAsksForNewSettingsAndEndsNothing()
+    /// Operators send SIGHUP to reload the settings file. Unhandled, the signal terminated the
+    /// process and with it all running requests.
+    void sighupRequestsReload()
     {
-        // On a thread of its own, so that the signals stay as they are for the other tests.
+        // On a separate thread, so that the signal mask of the other tests doesn't change.
         bool isReload = false;
         bool isEnd = false;
         std::thread serving([&] {
--- a/tests/base/endpoint_test.cpp
+++ b/tests/base/endpoint_test.cpp
@@ -7,12 +7,12 @@
 class endpoint_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(endpoint_test);
-    CPPUNIT_TEST(readsWhatItWrites);
-    CPPUNIT_TEST(refusesAnythingElse);
+    CPPUNIT_TEST(parsesItsTextForm);
+    CPPUNIT_TEST(rejectsInvalidText);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void readsWhatItWrites()
+    void parsesItsTextForm()
     {
         const endpoint v4{"127.0.0.1", 8080};
         const endpoint v6{"::1", 65535};
@@ -22,7 +22,7 @@
         CPPUNIT_ASSERT(valueOf(parseEndpoint("0.0.0.0:0")).port == 0);
     }
 
-    void refusesAnythingElse()
+    void rejectsInvalidText()
     {
         for (const char *text :
              {"", ":", "127.0.0.1", "127.0.0.1:", ":80", "localhost:80", "::1:80", "[::1]",
--- a/tests/base/error_reply_test.cpp
+++ b/tests/base/error_reply_test.cpp
@@ -8,14 +8,14 @@
 class error_reply_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(error_reply_test);
-    CPPUNIT_TEST(tellsCodeMessageAndVerdict);
+    CPPUNIT_TEST(containsCodeMessageAndVerdict);
     CPPUNIT_TEST(roundsRetryAfterUp);
-    CPPUNIT_TEST(keepsRetryAfterAwayWhereNoTryMakesSense);
-    CPPUNIT_TEST(staysValidJsonWithForeignBytes);
+    CPPUNIT_TEST(omitsRetryAfterForPermanentFailures);
+    CPPUNIT_TEST(staysValidJsonWithInvalidUtf8);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void tellsCodeMessageAndVerdict()
+    void containsCodeMessageAndVerdict()
     {
         const http_reply reply = replyOf(mayHaveRun(error_code::Broken, "cut \"short\""));
         CPPUNIT_ASSERT_EQUAL(502, reply.status);
@@ -34,13 +34,13 @@
         CPPUNIT_ASSERT_EQUAL(std::string("2"), retryAfterOf(milliseconds(1001)));
     }
 
-    void keepsRetryAfterAwayWhereNoTryMakesSense()
+    void omitsRetryAfterForPermanentFailures()
     {
         const http_reply reply = replyOf(notRun(error_code::Forbidden, "no"));
         CPPUNIT_ASSERT(headerOf(reply.headers, "Retry-After").empty());
     }
 
-    void staysValidJsonWithForeignBytes()
+    void staysValidJsonWithInvalidUtf8()
     {
         const http_reply reply = replyOf(notRun(error_code::BadRequest, "\xff\x01"));
         CPPUNIT_ASSERT(nlohmann::json::accept(reply.body));
--- a/tests/base/hash_test.cpp
+++ b/tests/base/hash_test.cpp
@@ -24,13 +24,13 @@
 class hash_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(hash_test);
-    CPPUNIT_TEST(sha256IsTheStandardOne);
-    CPPUNIT_TEST(randomNamesDiffer);
-    CPPUNIT_TEST(aLostOwnerMovesOnlyItsKeys);
+    CPPUNIT_TEST(sha256MatchesTestVectors);
+    CPPUNIT_TEST(randomIdsDiffer);
+    CPPUNIT_TEST(removedOwnerMovesOnlyItsKeys);
     CPPUNIT_TEST(monotonicTimeDoesNotGoBack);
     CPPUNIT_TEST_SUITE_END();
 
-    void sha256IsTheStandardOne()
+    void sha256MatchesTestVectors()
     {
         CPPUNIT_ASSERT_EQUAL(
                 std::string("ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad"),
@@ -41,7 +41,7 @@
         CPPUNIT_ASSERT(hashOf("abc", 1) != hashOf("abc", 2));
     }
 
-    void randomNamesDiffer()
+    void randomIdsDiffer()
     {
         const std::string first = randomHex128();
         CPPUNIT_ASSERT_EQUAL(std::size_t{32}, first.size());
@@ -49,23 +49,23 @@
         CPPUNIT_ASSERT(first != randomHex128());
     }
 
-    // An instance dies, and the buckets it planned for go to others. If the keys of the instances
-    // that live moved as well, every death would hand all work over at once; so each key whose
-    // owner is alive has to stay, and the dead one's keys have to spread over more than one heir.
-    void aLostOwnerMovesOnlyItsKeys()
+    // When an instance fails, the buckets it planned for move to others. Keys whose owner is alive
+    // must not move, or every failure would reassign all work at once, and the keys of the failed
+    // instance must spread over all remaining owners.
+    void removedOwnerMovesOnlyItsKeys()
     {
         const std::vector<std::string> before{"a", "b", "c", "d"};
         const std::vector<std::string> after{"a", "b", "d"};
-        std::map<std::string, int> heirs;
+        std::map<std::string, int> newOwners;
         for (int number = 0; number < 400; ++number) {
             const std::string key = "key" + std::to_string(number);
             const std::string owner = ownerOf(before, key);
             if (owner == "c")
-                ++heirs[ownerOf(after, key)];
+                ++newOwners[ownerOf(after, key)];
             else
                 CPPUNIT_ASSERT_EQUAL(owner, ownerOf(after, key));
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, heirs.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, newOwners.size());
     }
 
     void monotonicTimeDoesNotGoBack()
--- a/tests/base/http_fixture.h
+++ b/tests/base/http_fixture.h
@@ -12,12 +12,12 @@
 #include <sys/socket.h>
 #include <thread>
 
-/// Peers for tests of HTTP that send exactly the bytes they are told.
+/// HTTP peers for tests, which send exactly the given bytes.
 namespace poplarspool::test {
 
 using namespace std::chrono_literals;
 
-/// Bound of every wait for something that must happen; passing it fails the test.
+/// Time limit of every wait for an expected event. The test fails when it expires.
 constexpr milliseconds safetyTime = 20s;
 
 inline socket_deadline safetyEnd()
@@ -29,12 +29,12 @@
 T await(std::future<T> &future)
 {
     if (future.wait_for(safetyTime) != std::future_status::ready)
-        CPPUNIT_FAIL("nothing happened within the safety time");
+        CPPUNIT_FAIL("no result within the test timeout");
     return future.get();
 }
 
-/// Reads until the text is in what was read, or to the end of the connection.
-/// @param isReset Becomes true where the connection ended, and not in order.
+/// Reads until the text has been received or the connection ends.
+/// @param isReset Set to whether the connection ended with a reset.
 inline std::string readUntil(int fd, std::string_view text, bool *isReset = nullptr)
 {
     std::string all;
@@ -67,7 +67,7 @@
     std::string readToEnd() { return readUntil(connection.get(), {}, &isReset); }
     std::string readTo(std::string_view text) { return readUntil(connection.get(), text); }
     int fd() const { return connection.get(); }
-    /// @returns Whether readToEnd() ended with a reset of the connection.
+    /// @returns Whether readToEnd() ended with a connection reset.
     bool wasReset() const { return isReset; }
 
 private:
@@ -75,7 +75,7 @@
     descriptor connection;
 };
 
-/// Answers one request with the given bytes and closes.
+/// Server that replies to one request with the given bytes and closes the connection.
 class scripted_server
 {
 public:
--- a/tests/base/http_pool_test.cpp
+++ b/tests/base/http_pool_test.cpp
@@ -7,19 +7,19 @@
 
 const http_request get{"GET", "/", {}, "", ""};
 
-/// A server that answers only when told; for calls that are ended from the other side.
-class held_server
+/// A server that sends only the head of a reply until released, for tests that interrupt a call.
+class blocking_server
 {
 public:
-    explicit held_server(metrics_registry &metrics)
+    explicit blocking_server(metrics_registry &metrics)
         : server(
                 "held", {"127.0.0.1", 0}, defaultHttpLimits(),
-                [this](const http_request &, http_sink &sink) { return hold(sink); }, metrics)
+                [this](const http_request &, http_sink &sink) { return block(sink); }, metrics)
     {
         at = valueOf(server.start());
     }
 
-    ~held_server()
+    ~blocking_server()
     {
         release.set_value();
         server.stop();
@@ -30,7 +30,7 @@
     endpoint at;
 
 private:
-    std::optional<http_reply> hold(http_sink &sink)
+    std::optional<http_reply> block(http_sink &sink)
     {
         sink.begin(200, {}, "text/plain");
         entered.set_value();
@@ -46,20 +46,20 @@
 class http_pool_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(http_pool_test);
-    CPPUNIT_TEST(closedPortIsNotRun);
-    CPPUNIT_TEST(namesAreRefused);
+    CPPUNIT_TEST(closedPortYieldsNotRun);
+    CPPUNIT_TEST(hostNamesAreRejected);
     CPPUNIT_TEST(stopInterruptsCalls);
     CPPUNIT_TEST(timeLimitHoldsForEndlessReply);
-    CPPUNIT_TEST(deadlineHoldsWhereBytesWait);
-    CPPUNIT_TEST(doubtfulReplyIsBroken);
+    CPPUNIT_TEST(deadlineHoldsWhenDataIsAvailable);
+    CPPUNIT_TEST(ambiguousReplyIsBroken);
     CPPUNIT_TEST(replyWithoutLengthIsMarked);
-    CPPUNIT_TEST(bodilessRepliesEndAtOnce);
-    CPPUNIT_TEST(surplusBytesEndTheConnection);
-    CPPUNIT_TEST(requestOnceSentIsNotRepeated);
+    CPPUNIT_TEST(repliesWithoutBodyEndAfterHead);
+    CPPUNIT_TEST(surplusBytesCloseTheConnection);
+    CPPUNIT_TEST(sentRequestIsNotRepeated);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void closedPortIsNotRun()
+    void closedPortYieldsNotRun()
     {
         endpoint closed;
         {
@@ -71,18 +71,18 @@
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::NotRun);
     }
 
-    void namesAreRefused()
+    void hostNamesAreRejected()
     {
         const auto outcome = pool.send({"localhost", 1}, get, safetyTime);
         CPPUNIT_ASSERT(errorOf(outcome).code == error_code::BadRequest);
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::NotRun);
     }
 
-    // The process stops while a call waits for its reply: the call ends at once and says that it
-    // may have run; later calls end without being sent.
+    // The pool is stopped while a call waits for its reply. The call ends immediately with
+    // MayHaveRun; later calls fail without being sent.
     void stopInterruptsCalls()
     {
-        held_server server(metrics);
+        blocking_server server(metrics);
         auto call = std::async(std::launch::async,
                                [&] { return pool.send(server.at, get, safetyTime * 2); });
         auto isIn = server.entered.get_future();
@@ -94,8 +94,8 @@
         CPPUNIT_ASSERT(errorOf(pool.send(server.at, get, safetyTime)).ran == verdict::NotRun);
     }
 
-    // The server writes faster than the caller reads and without an end, so that no single read
-    // ever has to wait. The limit counts for the whole call.
+    // The server writes endlessly and faster than the client reads, so no single read blocks. The
+    // time limit must apply to the whole call.
     void timeLimitHoldsForEndlessReply()
     {
         http_server server(
@@ -116,9 +116,9 @@
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::MayHaveRun);
     }
 
-    // Bytes are there at every read, so that it never waits: the deadline must hold all the same,
-    // or a peer that keeps sending holds its thread for ever.
-    void deadlineHoldsWhereBytesWait()
+    // Data is always available, so a read never blocks. The deadline must still apply, or a peer
+    // that keeps sending would occupy the thread forever.
+    void deadlineHoldsWhenDataIsAvailable()
     {
         std::array<int, 2> ends{};
         CPPUNIT_ASSERT(socketpair(AF_UNIX, SOCK_STREAM, 0, ends.data()) == 0);
@@ -132,8 +132,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), inTime.bytes);
     }
 
-    // Each of these replies has bytes that a lenient reader takes for a whole answer.
-    void doubtfulReplyIsBroken()
+    // A lenient parser would accept each of these replies as complete.
+    void ambiguousReplyIsBroken()
     {
         const std::string head = "HTTP/1.1 200 OK\r\n";
         const std::string chunked = head + "Transfer-Encoding: chunked\r\n\r\n";
@@ -169,7 +169,7 @@
         CPPUNIT_ASSERT(!valueOf(outcome).isDelimited);
     }
 
-    void bodilessRepliesEndAtOnce()
+    void repliesWithoutBodyEndAfterHead()
     {
         http_request request = get;
         for (const std::string status : {"204", "304", "200"}) {
@@ -183,9 +183,9 @@
         }
     }
 
-    // A server sends a second reply that nobody asked for. Kept, the connection would give it to
-    // the next call: a crossed answer.
-    void surplusBytesEndTheConnection()
+    // A server sends a second, unrequested reply. If the connection were reused, the next call
+    // would receive it as its own reply.
+    void surplusBytesCloseTheConnection()
     {
         const std::string reply = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine";
         scripted_server server(reply + reply);
@@ -193,9 +193,9 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t(0), metrics.gaugeOf("poplarspool_pool_idle").get());
     }
 
-    // A kept connection breaks after the request was sent and before any reply. Sent again by the
-    // library, a non-idempotent request would run twice: the server must see it once.
-    void requestOnceSentIsNotRepeated()
+    // A reused connection breaks after the request was sent and before any reply. The library must
+    // not send it again, because a non-idempotent request would run twice.
+    void sentRequestIsNotRepeated()
     {
         std::atomic<int> runs{0};
         http_server server(
--- a/tests/base/http_test.cpp
+++ b/tests/base/http_test.cpp
@@ -28,7 +28,7 @@
     return request;
 }
 
-bool holds(const std::string &text, std::string_view part)
+bool contains(const std::string &text, std::string_view part)
 {
     return text.find(part) != std::string::npos;
 }
@@ -38,24 +38,24 @@
 class http_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(http_test);
-    CPPUNIT_TEST(passesWholeReply);
-    CPPUNIT_TEST(passesHeadersUnchanged);
+    CPPUNIT_TEST(returnsCompleteReply);
+    CPPUNIT_TEST(forwardsHeadersUnchanged);
     CPPUNIT_TEST(streamsReply);
-    CPPUNIT_TEST(keepsConnection);
+    CPPUNIT_TEST(reusesConnection);
     CPPUNIT_TEST(servesPipelinedRequests);
     CPPUNIT_TEST(readsChunkedRequest);
-    CPPUNIT_TEST(answersFaultyHandler);
-    CPPUNIT_TEST(cutReplyIsBroken);
-    CPPUNIT_TEST(cutReplyToOldCallerIsReset);
-    CPPUNIT_TEST(slowRequestIsCutOff);
-    CPPUNIT_TEST(oversizedInputIsRefused);
-    CPPUNIT_TEST(malformedInputIsRefused);
-    CPPUNIT_TEST(halfClosedCallerGetsItsAnswer);
-    CPPUNIT_TEST(connectionAboveLimitIsRefused);
-    CPPUNIT_TEST(stopServesWhatHasBegun);
-    CPPUNIT_TEST(stopEndsIdleConnections);
-    CPPUNIT_TEST(cancelReachesServer);
-    CPPUNIT_TEST(listensAgainAfterFault);
+    CPPUNIT_TEST(throwingHandlerYieldsInternalError);
+    CPPUNIT_TEST(truncatedReplyIsBroken);
+    CPPUNIT_TEST(truncatedHttp10ReplyIsReset);
+    CPPUNIT_TEST(slowRequestTimesOut);
+    CPPUNIT_TEST(oversizedInputIsRejected);
+    CPPUNIT_TEST(malformedInputIsRejected);
+    CPPUNIT_TEST(halfClosedCallerGetsItsReply);
+    CPPUNIT_TEST(connectionAboveLimitIsRejected);
+    CPPUNIT_TEST(stopServesRunningRequests);
+    CPPUNIT_TEST(stopClosesIdleConnections);
+    CPPUNIT_TEST(serverNoticesCancelledCall);
+    CPPUNIT_TEST(listensAgainAfterAcceptFails);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -72,7 +72,7 @@
         server.reset();
     }
 
-    void passesWholeReply()
+    void returnsCompleteReply()
     {
         start([](const http_request &request, http_sink &) {
             return textReply(request.method + " " + request.path + " " + request.body);
@@ -89,7 +89,7 @@
         CPPUNIT_ASSERT(valueOf(head).body.empty());
     }
 
-    void passesHeadersUnchanged()
+    void forwardsHeadersUnchanged()
     {
         start([](const http_request &request, http_sink &) {
             http_reply reply = textReply(request.contentType);
@@ -147,7 +147,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("one two"), body);
     }
 
-    void keepsConnection()
+    void reusesConnection()
     {
         start([](const http_request &request, http_sink &) { return textReply(request.body); });
         for (int i = 0; i < 5; ++i) {
@@ -159,7 +159,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(1), server->openConnections());
     }
 
-    // A GET with a body must not leave that body to be read as the next request.
+    // The body of a GET must not be parsed as the next request.
     void servesPipelinedRequests()
     {
         start([](const http_request &request, http_sink &) {
@@ -169,8 +169,8 @@
         caller.send("GET /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nGET /"
                     "POST /b HTTP/1.1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx");
         const std::string replies = caller.readToEnd();
-        CPPUNIT_ASSERT(holds(replies, "</aGET />"));
-        CPPUNIT_ASSERT(holds(replies, "</bx>"));
+        CPPUNIT_ASSERT(contains(replies, "</aGET />"));
+        CPPUNIT_ASSERT(contains(replies, "</bx>"));
     }
 
     void readsChunkedRequest()
@@ -179,25 +179,24 @@
         raw_caller caller(at);
         caller.send("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n"
                     "Expect: 100-continue\r\n\r\n");
-        CPPUNIT_ASSERT(holds(caller.readTo("\r\n\r\n"), "100 Continue"));
+        CPPUNIT_ASSERT(contains(caller.readTo("\r\n\r\n"), "100 Continue"));
         caller.send("3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nX-Trailer: 1\r\n\r\n");
-        CPPUNIT_ASSERT(holds(caller.readToEnd(), "\r\n\r\nabcde"));
+        CPPUNIT_ASSERT(contains(caller.readToEnd(), "\r\n\r\nabcde"));
     }
 
-    void answersFaultyHandler()
+    void throwingHandlerYieldsInternalError()
     {
         start([](const http_request &, http_sink &) -> std::optional<http_reply> {
             throw std::runtime_error("fault");
         });
         const auto reply = pool.send(at, post("/", ""), safetyTime);
         CPPUNIT_ASSERT_EQUAL(500, valueOf(reply).status);
-        CPPUNIT_ASSERT(holds(valueOf(reply).body, "\"verdict\":\"may_have_run\""));
+        CPPUNIT_ASSERT(contains(valueOf(reply).body, "\"verdict\":\"may_have_run\""));
     }
 
-    // The caller sees half an answer and then the end of the connection: the server's handler gave
-    // up in the middle. Taken for the whole answer, it would be passed on cut; so it must be
-    // Broken.
-    void cutReplyIsBroken()
+    // The server's handler gives up in the middle of a reply, and the connection ends. The client
+    // must report Broken, or the truncated reply would be forwarded as complete.
+    void truncatedReplyIsBroken()
     {
         start([](const http_request &, http_sink &sink) -> std::optional<http_reply> {
             sink.begin(200, {}, "text/plain");
@@ -210,9 +209,9 @@
         CPPUNIT_ASSERT(errorOf(reply).ran == verdict::MayHaveRun);
     }
 
-    // A caller with HTTP/1.0 knows the end of an answer only by the end of the connection. When the
-    // handler gives up, an orderly end would look like a whole answer; the reset doesn't.
-    void cutReplyToOldCallerIsReset()
+    // For an HTTP/1.0 caller, a reply ends with the connection. If the handler gives up, a graceful
+    // close would make the truncated reply appear complete, so the connection must be reset.
+    void truncatedHttp10ReplyIsReset()
     {
         std::promise<void> seen;
         std::shared_future<void> go = seen.get_future().share();
@@ -228,7 +227,7 @@
         raw_caller whole(at);
         cut.send("GET /cut HTTP/1.0\r\n\r\n");
         whole.send("GET /whole HTTP/1.0\r\n\r\n");
-        CPPUNIT_ASSERT(!holds(cut.readTo("half"), "chunked"));
+        CPPUNIT_ASSERT(!contains(cut.readTo("half"), "chunked"));
         whole.readTo("half");
         seen.set_value();
         char byte = 0;
@@ -236,10 +235,10 @@
         CPPUNIT_ASSERT(receiveSome(whole.fd(), &byte, 1, safetyEnd(), -1).isEnd);
     }
 
-    // One caller sends a byte now and then, which keeps each single read from timing out. The limit
-    // counts for the whole request, so the caller hears 408 and its thread is free again; meanwhile
-    // others are served.
-    void slowRequestIsCutOff()
+    // A caller sends single bytes, so that no single read times out. The time limit applies to the
+    // whole request, so the caller gets 408 and its thread becomes free. Others are served
+    // meanwhile.
+    void slowRequestTimesOut()
     {
         limits.readTime = 300ms;
         start([](const http_request &, http_sink &) { return textReply("served"); });
@@ -259,20 +258,20 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), serverCount("timeouts_total"));
     }
 
-    void oversizedInputIsRefused()
+    void oversizedInputIsRejected()
     {
         start([](const http_request &, http_sink &) { return textReply("served"); });
         const std::string large(limits.bodyBytes + 1, 'x');
         const std::string chunk = "2000\r\n" + large.substr(0, 0x2000) + "\r\n";
         const std::string head = "POST / HTTP/1.1\r\n";
-        expectRefusal("GET / HTTP/1.1\r\nX-Large: " + large + "\r\n\r\n", 431, "too_large");
-        expectRefusal(head + "Content-Length: 8193\r\n\r\n" + large, 413, "too_large");
-        expectRefusal(head + "Content-Length: 99999999999\r\n\r\n", 413, "too_large");
-        expectRefusal(head + "Transfer-Encoding: chunked\r\n\r\n" + chunk + chunk, 413,
-                      "too_large");
+        expectRejection("GET / HTTP/1.1\r\nX-Large: " + large + "\r\n\r\n", 431, "too_large");
+        expectRejection(head + "Content-Length: 8193\r\n\r\n" + large, 413, "too_large");
+        expectRejection(head + "Content-Length: 99999999999\r\n\r\n", 413, "too_large");
+        expectRejection(head + "Transfer-Encoding: chunked\r\n\r\n" + chunk + chunk, 413,
+                        "too_large");
     }
 
-    void malformedInputIsRefused()
+    void malformedInputIsRejected()
     {
         start([](const http_request &, http_sink &) { return textReply("served"); });
         const std::string head = "POST / HTTP/1.1\r\n";
@@ -292,15 +291,15 @@
                 head + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n",
         };
         for (const std::string &bytes : malformed)
-            expectRefusal(bytes, 400, "bad_request");
-        expectRefusal("GET / HTTP/2.0\r\n\r\n", 505, "bad_request");
+            expectRejection(bytes, 400, "bad_request");
+        expectRejection("GET / HTTP/2.0\r\n\r\n", 505, "bad_request");
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(malformed.size() + 1),
                              serverCount("bad_requests_total"));
     }
 
-    // A caller ends its sending side after the request and waits. It is not gone: it must get its
-    // whole answer. One that ends it in the middle of a request is told so.
-    void halfClosedCallerGetsItsAnswer()
+    // A caller that shuts down its sending side after the request is not gone and must get its
+    // whole reply. If it does so in the middle of a request, it must get an error.
+    void halfClosedCallerGetsItsReply()
     {
         start([](const http_request &, http_sink &sink) {
             return textReply(sink.isGone() ? "gone" : "there");
@@ -315,8 +314,9 @@
         CPPUNIT_ASSERT(half.readToEnd().starts_with("HTTP/1.1 400"));
     }
 
-    // All connections are in use. The next caller is told at once, not when one of them is free.
-    void connectionAboveLimitIsRefused()
+    // All connections are in use. The next caller must be rejected immediately, without waiting for
+    // one to become free.
+    void connectionAboveLimitIsRejected()
     {
         limits.connections = 1;
         std::promise<void> entered;
@@ -334,15 +334,15 @@
         const std::string refusal = second.readToEnd();
         release.set_value();
         CPPUNIT_ASSERT(refusal.starts_with("HTTP/1.1 503"));
-        CPPUNIT_ASSERT(holds(refusal, "Retry-After: 1\r\n"));
-        CPPUNIT_ASSERT(holds(refusal, "\"verdict\":\"not_run\""));
+        CPPUNIT_ASSERT(contains(refusal, "Retry-After: 1\r\n"));
+        CPPUNIT_ASSERT(contains(refusal, "\"verdict\":\"not_run\""));
         CPPUNIT_ASSERT_EQUAL(std::string("served"), valueOf(await(first)).body);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), serverCount("refused_total"));
     }
 
-    // The server is stopped while a request runs: its caller still gets the whole answer, and a new
-    // connection is refused, which is certainly not run.
-    void stopServesWhatHasBegun()
+    // The server is stopped while a request runs. Its caller still gets the whole reply, and a new
+    // connection is refused with the verdict NotRun.
+    void stopServesRunningRequests()
     {
         std::promise<void> entered;
         std::promise<void> release;
@@ -366,9 +366,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("served"), valueOf(await(running)).body);
     }
 
-    // A kept connection is closed by its server, which is replaced on the same port. The next call
-    // notices before it sends, instead of losing its request.
-    void stopEndsIdleConnections()
+    // An idle connection is closed by its server, which is replaced by another on the same port.
+    // The next call must notice this before it sends its request.
+    void stopClosesIdleConnections()
     {
         const http_handler echo = [](const http_request &request, http_sink &) {
             return textReply(request.body);
@@ -384,9 +384,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), countOf("poplarspool_pool_connects_total"));
     }
 
-    // The receiver gives up after the first piece. The server must learn of it, or its engine would
-    // go on generating for no one.
-    void cancelReachesServer()
+    // The client cancels the call after the first piece. The server must notice it, or an engine
+    // would continue to generate an unwanted reply.
+    void serverNoticesCancelledCall()
     {
         std::promise<void> gone;
         start([&](const http_request &, http_sink &sink) -> std::optional<http_reply> {
@@ -408,16 +408,16 @@
         await(isGone);
     }
 
-    // accept() fails with an error that the library takes for the end of listening. The instance
-    // would live on without being reachable; instead it binds its address again, and connections
-    // that were open are served on.
-    void listensAgainAfterFault()
+    // accept() fails with an error on which the library stops listening. The server must bind its
+    // address again, or the instance would run without being reachable. Open connections must
+    // continue to be served.
+    void listensAgainAfterAcceptFails()
     {
         start([](const http_request &request, http_sink &) { return textReply(request.body); });
         raw_caller open(at);
         open.send("GET /1 HTTP/1.1\r\n\r\n");
         open.readTo("\r\n\r\n");
-        breakListener();
+        failAccept();
         const socket_deadline end = safetyEnd();
         result<http_reply> reply = pool.send(at, post("/", "2"), safetyTime);
         while (!succeeded(reply) && socket_clock::now() < end)
@@ -428,8 +428,8 @@
     }
 
 private:
-    /// Lets accept() fail in the thread that waits in it.
-    void breakListener()
+    /// Makes the pending accept() of the server fail.
+    void failAccept()
     {
         for (int fd = 0; fd < 1024; ++fd) {
             int isListening = 0;
@@ -463,17 +463,17 @@
         return countOf("poplarspool_http_" + name + "{server=\"test\"}");
     }
 
-    void expectRefusal(const std::string &bytes, int status, const std::string &code)
+    void expectRejection(const std::string &bytes, int status, const std::string &code)
     {
         raw_caller caller(at);
         caller.send(bytes);
         const std::string reply = caller.readToEnd();
         CPPUNIT_ASSERT_MESSAGE(bytes + reply,
                                reply.starts_with("HTTP/1.1 " + std::to_string(status)));
-        CPPUNIT_ASSERT_MESSAGE(reply, holds(reply, "\"code\":\"" + code + "\""));
-        CPPUNIT_ASSERT_MESSAGE(reply, holds(reply, "\"verdict\":\"not_run\""));
-        CPPUNIT_ASSERT_MESSAGE(reply, holds(reply, "Connection: close\r\n"));
-        // A reset could destroy the reply on its way to a caller that is still sending.
+        CPPUNIT_ASSERT_MESSAGE(reply, contains(reply, "\"code\":\"" + code + "\""));
+        CPPUNIT_ASSERT_MESSAGE(reply, contains(reply, "\"verdict\":\"not_run\""));
+        CPPUNIT_ASSERT_MESSAGE(reply, contains(reply, "Connection: close\r\n"));
+        // A reset could discard the reply before a caller that is still sending reads it.
         CPPUNIT_ASSERT_MESSAGE(reply, !caller.wasReset());
     }
 
--- a/tests/base/known_red_test.cpp
+++ b/tests/base/known_red_test.cpp
@@ -7,13 +7,13 @@
 class known_red_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(known_red_test);
-    CPPUNIT_TEST(onlyWholeNamesAreKnown);
-    CPPUNIT_TEST(noFileKnowsNothing);
+    CPPUNIT_TEST(matchesOnlyFullTestNames);
+    CPPUNIT_TEST(missingFileListsNoTests);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// A fault that is known must not hide one in a test whose name begins the same.
-    void onlyWholeNamesAreKnown()
+    /// A listed test must not hide a failure of another test whose name starts with the same text.
+    void matchesOnlyFullTestNames()
     {
         const std::vector<std::string> lines{"a::b because", "c::d"};
         CPPUNIT_ASSERT_EQUAL(std::string("a::b because"), lineOf(lines, "a::b"));
@@ -22,7 +22,7 @@
             CPPUNIT_ASSERT(lineOf(lines, other).empty());
     }
 
-    void noFileKnowsNothing() { CPPUNIT_ASSERT(readKnownRed("no/such/file").empty()); }
+    void missingFileListsNoTests() { CPPUNIT_ASSERT(readKnownRed("no/such/file").empty()); }
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(known_red_test);
--- a/tests/base/metrics_test.cpp
+++ b/tests/base/metrics_test.cpp
@@ -25,15 +25,15 @@
 class metrics_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(metrics_test);
-    CPPUNIT_TEST(aNameGivesTheSameMetric);
-    CPPUNIT_TEST(aFamilyStandsTogetherUnderOneType);
-    CPPUNIT_TEST(latencyIsAHistogram);
-    CPPUNIT_TEST(quantilesAreUpperEdges);
-    CPPUNIT_TEST(extremesAreCounted);
-    CPPUNIT_TEST(noRecordIsLostBetweenThreads);
+    CPPUNIT_TEST(sameNameReturnsSameMetric);
+    CPPUNIT_TEST(seriesOfAFamilyShareOneTypeLine);
+    CPPUNIT_TEST(latencyIsWrittenAsHistogram);
+    CPPUNIT_TEST(quantileIsUpperBinEdge);
+    CPPUNIT_TEST(valuesOutsideTheAxisAreCounted);
+    CPPUNIT_TEST(concurrentRecordsAreAllCounted);
     CPPUNIT_TEST_SUITE_END();
 
-    void aNameGivesTheSameMetric()
+    void sameNameReturnsSameMetric()
     {
         metrics_registry metrics;
         counter &first = metrics.counterOf("a_total");
@@ -43,7 +43,7 @@
         CPPUNIT_ASSERT(&first != &metrics.counterOf("a_total{code=\"ok\"}"));
     }
 
-    void aFamilyStandsTogetherUnderOneType()
+    void seriesOfAFamilyShareOneTypeLine()
     {
         metrics_registry metrics;
         metrics.counterOf("a{code=\"ok\"}").add(2);
@@ -56,7 +56,7 @@
                              metrics.text());
     }
 
-    void latencyIsAHistogram()
+    void latencyIsWrittenAsHistogram()
     {
         metrics_registry metrics;
         latency &times = metrics.latencyOf("wait_seconds{pool=\"p\"}");
@@ -73,7 +73,7 @@
         CPPUNIT_ASSERT(hasLine(text, "wait_seconds_count{pool=\"p\"} 3"));
     }
 
-    void quantilesAreUpperEdges()
+    void quantileIsUpperBinEdge()
     {
         latency times;
         CPPUNIT_ASSERT(times.quantile(0.5) == 0ns);
@@ -85,7 +85,7 @@
         CPPUNIT_ASSERT(times.quantile(0.99) >= 3s && times.quantile(0.99) < 4s);
     }
 
-    void extremesAreCounted()
+    void valuesOutsideTheAxisAreCounted()
     {
         latency times;
         times.record(0ns);
@@ -96,7 +96,7 @@
         CPPUNIT_ASSERT(times.quantile(1.0) == 1000s);
     }
 
-    void noRecordIsLostBetweenThreads()
+    void concurrentRecordsAreAllCounted()
     {
         constexpr int perThread = 5000;
         latency times;
--- a/tests/base/named_thread_test.cpp
+++ b/tests/base/named_thread_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Gives no time while it is set, and never waits.
+/// Clock whose wall time throws once after isFailing is set.
 struct failing_clock
 {
     clock_source source()
@@ -30,7 +30,7 @@
     std::atomic<bool> isFailing{false};
 };
 
-/// Takes a while to say what it is.
+/// Exception whose what() takes 300 ms.
 struct slow_exception : std::exception
 {
     const char *what() const noexcept override
@@ -40,7 +40,7 @@
     }
 };
 
-void throwWhileTheJournalIsHeld()
+void throwWhileJournalIsLocked()
 {
     failing_clock clock;
     journal events({"edge-1"}, clock.source(), 8);
@@ -59,7 +59,7 @@
     first.join();
 }
 
-void throwWithTwoLogs()
+void throwWithTwoLoggers()
 {
     journal events({"edge-1"}, systemClock(), 8);
     const uncaught_log uncaught(events);
@@ -74,18 +74,18 @@
     startNamed("watch", [] { throw std::length_error("too many"); }).join();
 }
 
-/// Ends by an exception on a named thread.
-/// @returns What it wrote of it to its standard error.
-std::string linesOfAThrowingProcess(void (*run)())
+/// Runs `run` in a child process, which an exception on a named thread must terminate.
+/// @returns What the process wrote to its standard error.
+std::string outputOfThrowingProcess(void (*run)())
 {
-    constexpr unsigned secondsMost = 10;
+    constexpr unsigned maxSeconds = 10;
     std::array<int, 2> ends{};
     CPPUNIT_ASSERT(pipe(ends.data()) == 0);
     const pid_t child = fork();
     if (child == 0) {
         dup2(ends[1], STDERR_FILENO);
         setUpLog("info", log_stream::Error);
-        alarm(secondsMost);
+        alarm(maxSeconds);
         run();
         _exit(0);
     }
@@ -107,16 +107,16 @@
 class named_thread_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(named_thread_test);
-    CPPUNIT_TEST(threadsKnowTheirNames);
-    CPPUNIT_TEST(anEndByAnExceptionNamesThreadAndReason);
-    CPPUNIT_TEST(anEndWhileTheJournalIsHeldIsLogged);
-    CPPUNIT_TEST(twoLogsEndTheProcessOnce);
-    CPPUNIT_TEST(aSecondExceptionCutsTheLineOfTheFirstNotOff);
-    CPPUNIT_TEST(aStepThatThrowsEndsNeitherThreadNorProcess);
+    CPPUNIT_TEST(threadsHaveNames);
+    CPPUNIT_TEST(uncaughtExceptionIsLoggedWithThreadAndReason);
+    CPPUNIT_TEST(uncaughtExceptionIsLoggedWhileJournalIsLocked);
+    CPPUNIT_TEST(twoLoggersTerminateTheProcessOnce);
+    CPPUNIT_TEST(secondExceptionDoesNotTruncateLineOfFirst);
+    CPPUNIT_TEST(throwingStepEndsNeitherThreadNorProcess);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void threadsKnowTheirNames()
+    void threadsHaveNames()
     {
         std::string seen;
         startNamed("watch", [&] { seen = threadName(); }).join();
@@ -124,41 +124,43 @@
         CPPUNIT_ASSERT_EQUAL(std::string("unnamed"), std::string(threadName()));
     }
 
-    void anEndByAnExceptionNamesThreadAndReason()
+    void uncaughtExceptionIsLoggedWithThreadAndReason()
     {
-        const std::string text = linesOfAThrowingProcess(throwOnOneThread);
+        const std::string text = outputOfThrowingProcess(throwOnOneThread);
         CPPUNIT_ASSERT(text.find("event=uncaught_exception thread=watch type=std::length_error "
                                  "reason=\"too many\"")
                        != std::string::npos);
     }
 
-    /// Such a process hung in place of ending, and was never started again.
-    void anEndWhileTheJournalIsHeldIsLogged()
+    /// An exception thrown while the journal's lock is held: the terminating process deadlocked
+    /// instead of ending, and so it was never restarted.
+    void uncaughtExceptionIsLoggedWhileJournalIsLocked()
     {
-        const std::string text = linesOfAThrowingProcess(throwWhileTheJournalIsHeld);
+        const std::string text = outputOfThrowingProcess(throwWhileJournalIsLocked);
         CPPUNIT_ASSERT_MESSAGE(text,
                                text.find("instance=edge-1 event=uncaught_exception thread=watch "
                                          "type=std::runtime_error reason=\"no time\"")
                                        != std::string::npos);
     }
 
-    /// With two instances in a process, the end of one ran out of its stack.
-    void twoLogsEndTheProcessOnce()
+    /// With two loggers in a process, the terminate handler called itself until the stack
+    /// overflowed.
+    void twoLoggersTerminateTheProcessOnce()
     {
-        const std::string text = linesOfAThrowingProcess(throwWithTwoLogs);
+        const std::string text = outputOfThrowingProcess(throwWithTwoLoggers);
         CPPUNIT_ASSERT(text.find("event=uncaught_exception thread=watch") != std::string::npos);
     }
 
-    void aSecondExceptionCutsTheLineOfTheFirstNotOff()
+    void secondExceptionDoesNotTruncateLineOfFirst()
     {
-        const std::string text = linesOfAThrowingProcess(throwOnTwoThreads);
+        const std::string text = outputOfThrowingProcess(throwOnTwoThreads);
         CPPUNIT_ASSERT_MESSAGE(text,
                                text.find("event=uncaught_exception thread=first type=")
                                        != std::string::npos);
         CPPUNIT_ASSERT_MESSAGE(text, text.find("reason=slow") != std::string::npos);
     }
 
-    void aStepThatThrowsEndsNeitherThreadNorProcess()
+    void throwingStepEndsNeitherThreadNorProcess()
     {
         metrics_registry metrics;
         journal events({"edge-1"}, systemClock(), 8);
--- a/tests/base/request_reader_test.cpp
+++ b/tests/base/request_reader_test.cpp
@@ -14,10 +14,10 @@
 using test::raw_caller;
 using test::scarce_memory;
 
-/// A server that answers each request with "served".
-struct serving_run
+/// A running server that replies "served" to each request.
+struct running_server
 {
-    explicit serving_run(std::size_t bodyBytes)
+    explicit running_server(std::size_t bodyBytes)
         : server("test", {"127.0.0.1", 0}, limitsOf(bodyBytes), serve, metrics),
           at(valueOf(server.start()))
     { }
@@ -34,7 +34,7 @@
         return http_reply{200, {}, "served", "text/plain"};
     }
 
-    /// @returns The whole answer to a caller that sends no more.
+    /// @returns The whole reply to a caller that shuts down its sending side after the request.
     std::string answerTo(const std::string &bytes) const
     {
         raw_caller caller(at);
@@ -55,16 +55,17 @@
 class request_reader_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(request_reader_test);
-    CPPUNIT_TEST(theLargestChunkIsWaitedFor);
-    CPPUNIT_TEST(whatThrowsEndsItsConnectionOnly);
+    CPPUNIT_TEST(largestChunkSizeIsAccepted);
+    CPPUNIT_TEST(exceptionEndsOnlyItsConnection);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Where bodies have no bound, a caller's line before a chunk ended the process.
-    void theLargestChunkIsWaitedFor()
+    /// With an unlimited body size, adding the line end to the largest chunk size overflowed, and
+    /// the resulting exception terminated the process.
+    void largestChunkSizeIsAccepted()
     {
         expectEndsWell([] {
-            const serving_run run(std::numeric_limits<std::size_t>::max());
+            const running_server run(std::numeric_limits<std::size_t>::max());
             const std::string reply = run.answerTo("POST / HTTP/1.1\r\n"
                                                    "Transfer-Encoding: chunked\r\n\r\n"
                                                    "ffffffffffffffff\r\nabc");
@@ -72,19 +73,20 @@
         });
     }
 
-    /// A body within its bound doesn't fit into what memory is left.
-    void whatThrowsEndsItsConnectionOnly()
+    /// A body within the size limit exceeds the available memory. The exception must end only this
+    /// connection.
+    void exceptionEndsOnlyItsConnection()
     {
         expectEndsWell([] {
             constexpr std::size_t bodyBytes = 4'000'000;
-            serving_run run(bodyBytes);
+            running_server run(bodyBytes);
             const std::string request = "POST / HTTP/1.1\r\nContent-Length: "
                     + std::to_string(bodyBytes) + "\r\n\r\n" + std::string(bodyBytes, 'x');
-            const scarce_memory scarce(bodyBytes / 4);
-            const bool isEnded = run.answerTo(request).empty();
+            const scarce_memory limit(bodyBytes / 4);
+            const bool hasNoReply = run.answerTo(request).empty();
             const auto faults =
                     run.metrics.counterOf("poplarspool_http_faults_total{server=\"test\"}").get();
-            return isEnded && run.serves() && faults == 1;
+            return hasNoReply && run.serves() && faults == 1;
         });
     }
 };
--- a/tests/base/scarce_memory.cpp
+++ b/tests/base/scarce_memory.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-std::atomic<std::size_t> mostAtOnce{std::numeric_limits<std::size_t>::max()};
+std::atomic<std::size_t> maxAllocation{std::numeric_limits<std::size_t>::max()};
 
 } // namespace
 
-// The ordinary forms are replaced together: the library's sorting takes its buffer with one of them
-// and returns it with another.
+// All ordinary forms are replaced together, because the library's sorting allocates its buffer with
+// one form and frees it with another.
 
 void *operator new(std::size_t size, const std::nothrow_t &) noexcept
 {
-    return size > mostAtOnce ? nullptr : std::malloc(size);
+    return size > maxAllocation ? nullptr : std::malloc(size);
 }
 
 void *operator new(std::size_t size)
@@ -43,14 +43,14 @@
 
 namespace poplarspool::test {
 
-scarce_memory::scarce_memory(std::size_t mostBytes)
+scarce_memory::scarce_memory(std::size_t maxBytes)
 {
-    mostAtOnce = mostBytes;
+    maxAllocation = maxBytes;
 }
 
 scarce_memory::~scarce_memory()
 {
-    mostAtOnce = std::numeric_limits<std::size_t>::max();
+    maxAllocation = std::numeric_limits<std::size_t>::max();
 }
 
 } // namespace poplarspool::test
--- a/tests/base/scarce_memory.h
+++ b/tests/base/scarce_memory.h
@@ -4,11 +4,11 @@
 
 namespace poplarspool::test {
 
-/// While it lives, no allocation of more bytes succeeds, on any thread.
+/// During its lifetime, allocations of more than maxBytes fail on all threads.
 class scarce_memory
 {
 public:
-    explicit scarce_memory(std::size_t mostBytes);
+    explicit scarce_memory(std::size_t maxBytes);
     scarce_memory(const scarce_memory &) = delete;
     scarce_memory &operator=(const scarce_memory &) = delete;
     ~scarce_memory();
--- a/tests/known_red.h
+++ b/tests/known_red.h
@@ -3,14 +3,16 @@
 #include <string>
 #include <vector>
 
-/// Tests that fail for a real fault which is not mended yet.
+/// Tests that are known to fail because of a fault that isn't fixed yet.
 namespace poplarspool::test {
 
-/// @param file One test a line, named as the runner names it, up to the first blank.
-/// @returns The lines; none where there is no such file.
+/// @param file One test per line. Each line starts with the test's name as the runner prints it;
+/// the
+///             name ends at the first blank.
+/// @returns The lines; none if the file doesn't exist.
 std::vector<std::string> readKnownRed(const std::string &file);
 
-/// @returns The line of that test; empty where it has none.
+/// @returns The line of the test; empty if it isn't listed.
 std::string lineOf(const std::vector<std::string> &knownRed, const std::string &test);
 
 } // namespace poplarspool::test
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -11,10 +11,11 @@
 
 namespace {
 
-/// From the root of the repository, where the tests are run.
+/// Relative to the root of the repository, from which the tests are run.
 constexpr char knownRedFile[] = "KNOWN-RED.txt";
 
-/// @returns How many tests failed that are not known to; the others are printed.
+/// Prints the failures listed in KNOWN-RED.txt.
+/// @returns The number of other failures.
 int countNewFailures(const CppUnit::TestResultCollector &results)
 {
     const auto knownRed = poplarspool::test::readKnownRed(knownRedFile);
@@ -32,8 +33,8 @@
 
 } // namespace
 
-/// Runs every suite registered in this test program; exits 0 only if at least one ran and all pass
-/// but those that KNOWN-RED.txt lists.
+/// Runs all registered test suites. Exits with 0 only if at least one test ran and all tests passed
+/// except those listed in KNOWN-RED.txt.
 int main()
 {
     CppUnit::TextUi::TestRunner runner;
--- a/tests/own_process.h
+++ b/tests/own_process.h
@@ -8,8 +8,8 @@
 
 namespace poplarspool::test {
 
-/// @returns What the process is to end with.
-inline int codeOf(const std::function<bool()> &run)
+/// @returns The exit status: 0 if `run` returns true, 1 if false, 2 if it throws.
+inline int exitCodeOf(const std::function<bool()> &run)
 {
     try {
         return run() ? 0 : 1;
@@ -18,12 +18,13 @@
     }
 }
 
-/// Runs in a process of its own, which an exception on any other of its threads ends.
+/// Runs `run` in a child process and expects that it returns true. For code whose failure
+/// terminates the process, such as an uncaught exception on another thread.
 inline void expectEndsWell(const std::function<bool()> &run)
 {
     const pid_t child = fork();
     if (child == 0)
-        _exit(codeOf(run));
+        _exit(exitCodeOf(run));
     int status = 0;
     CPPUNIT_ASSERT_EQUAL(child, waitpid(child, &status, 0));
     CPPUNIT_ASSERT_MESSAGE("ended by signal " + std::to_string(WTERMSIG(status)),
