--- a/src/base/error_reply.cpp
+++ b/src/base/error_reply.cpp
@@ -48,8 +48,8 @@
         // The header is in whole seconds. Rounded up, because a caller that retries too early is
         // rejected again; at least 1, because many clients retry immediately on 0.
         const auto seconds = std::chrono::ceil<std::chrono::seconds>(*failure.retryAfter);
-        const auto told = std::max(seconds, std::chrono::seconds(1));
-        reply.headers.emplace_back("Retry-After", std::to_string(told.count()));
+        const auto retryAfterSeconds = std::max(seconds, std::chrono::seconds(1));
+        reply.headers.emplace_back("Retry-After", std::to_string(retryAfterSeconds.count()));
     }
     return reply;
 }
