--- a/src/caller/caller_server.cpp
+++ b/src/caller/caller_server.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::string_view servicesPrefix = "/v1/services/";
 
-/// A route and the only method it takes; empty: any.
+/// A route with a fixed path, and the only method that it accepts.
 struct fixed_route
 {
     std::string_view path;
@@ -35,7 +35,7 @@
         fixed_route{"/healthz", "GET", route_kind::Health},
 };
 
-std::string_view placeOf(std::string_view target)
+std::string_view pathOf(std::string_view target)
 {
     return target.substr(0, target.find('?'));
 }
@@ -43,7 +43,7 @@
 const fixed_route *findFixed(std::string_view target)
 {
     for (const fixed_route &route : fixedRoutes) {
-        if (route.path == placeOf(target))
+        if (route.path == pathOf(target))
             return &route;
     }
     return nullptr;
@@ -65,45 +65,45 @@
     return reply;
 }
 
-/// A reply with what log and metrics are to say of it. An empty reply: all went to the sink.
-struct served
+/// A reply and its outcome for log and metrics. No reply: it was written to the sink.
+struct serve_result
 {
     std::optional<http_reply> reply;
     request_outcome outcome;
 };
 
-served servedWhole(http_reply reply)
+serve_result successResult(http_reply reply)
 {
     const int status = reply.status;
     return {std::move(reply), {status, std::nullopt, 0}};
 }
 
-served servedFailure(const error &failure)
+serve_result failureResult(const error &failure)
 {
     http_reply reply = replyOf(failure);
     const int status = reply.status;
     return {std::move(reply), {status, failure, 0}};
 }
 
-served wrongMethod(const fixed_route &route)
+serve_result wrongMethodResult(const fixed_route &route)
 {
     constexpr int methodNotAllowed = 405;
-    served out = servedFailure(
+    serve_result out = failureResult(
             notRun(error_code::BadRequest,
-                   std::string(route.path) + " takes only " + std::string(route.method)));
+                   std::string(route.path) + " accepts only " + std::string(route.method)));
     out.reply->status = methodNotAllowed;
     out.reply->headers.emplace_back("Allow", route.method);
     out.outcome.status = methodNotAllowed;
     return out;
 }
 
-/// @returns The zone that the query names; the invalid one where it names none.
+/// @returns The zone that the query names; an empty id if it names none.
 result<zone_id> parseZone(std::string_view target)
 {
     httplib::Params query;
-    const std::size_t question = target.find('?');
-    if (question != std::string_view::npos)
-        httplib::detail::parse_query_text(std::string(target.substr(question + 1)), query);
+    const std::size_t queryStart = target.find('?');
+    if (queryStart != std::string_view::npos)
+        httplib::detail::parse_query_text(std::string(target.substr(queryStart + 1)), query);
     const auto found = query.find("zone");
     if (found == query.end())
         return zone_id();
@@ -133,8 +133,8 @@
     return {{"addresses", std::move(addresses)}, {"keep_seconds", answer.keepTime.count()}};
 }
 
-/// A fault of ours: what it interrupted is not known here.
-error thrownFailure()
+/// An internal fault; whether the request had run is unknown here, so it is MayHaveRun.
+error internalError()
 {
     return mayHaveRun(error_code::Internal,
                       "internal fault; the log of the instance has its cause");
@@ -155,7 +155,7 @@
     state(const endpoint &bind, http_limits limits, caller_handlers handlers, clock_source clock,
           metrics_registry &metrics, journal &events)
         : handlers(std::move(handlers)), clock(std::move(clock)),
-          watch(this->clock, metrics, events),
+          observer(this->clock, metrics, events),
           server(
                   "caller", bind, limits,
                   [this](const http_request &request, http_sink &connection) {
@@ -165,20 +165,21 @@
     { }
 
     std::optional<http_reply> serve(const http_request &request, http_sink &connection);
-    served serveHead(const http_request &request, const result<request_head> &head,
-                     reply_probe &probe);
-    served route(const http_request &request, const request_head &head, reply_probe &probe);
-    served serveAddresses(const http_request &request, const request_head &head);
-    served serveModels(const request_head &head);
-    served serveCompletion(const http_request &request, const request_head &head,
-                           reply_probe &probe);
-    served serveService(const http_request &request, const request_head &head, reply_probe &probe);
+    serve_result routeOrFail(const http_request &request, const result<request_head> &head,
+                             reply_probe &probe);
+    serve_result route(const http_request &request, const request_head &head, reply_probe &probe);
+    serve_result serveAddresses(const http_request &request, const request_head &head);
+    serve_result serveModels(const request_head &head);
+    serve_result serveCompletion(const http_request &request, const request_head &head,
+                                 reply_probe &probe);
+    serve_result serveService(const http_request &request, const request_head &head,
+                              reply_probe &probe);
     void complete(const completion_ask &ask, completion_sink &sink,
                   const completion_outcome &outcome);
 
     caller_handlers handlers;
     clock_source clock;
-    request_watch watch;
+    request_watch observer;
     http_server server;
 };
 
@@ -189,36 +190,36 @@
     const mono_time arrivedAt = clock.mono();
     const route_kind kind = routeOf(request.path);
     const result<request_head> head = parseHead(request.headers, id, arrivedAt);
-    request_head known;
-    known.request = id;
-    known.arrivedAt = arrivedAt;
+    request_head knownHead;
+    knownHead.request = id;
+    knownHead.arrivedAt = arrivedAt;
     if (succeeded(head))
-        known = valueOf(head);
+        knownHead = valueOf(head);
 
-    watch.onIn(kind, known);
+    observer.onIn(kind, knownHead);
     reply_probe probe(connection, id, clock);
-    served done = serveHead(request, head, probe);
-    watch.onOut(kind, known, done.outcome, probe.firstByteAt());
-    if (done.reply)
-        done.reply->headers = withRequestId(done.reply->headers, id);
-    return std::move(done.reply);
+    serve_result served = routeOrFail(request, head, probe);
+    observer.onOut(kind, knownHead, served.outcome, probe.firstByteAt());
+    if (served.reply)
+        served.reply->headers = withRequestId(served.reply->headers, id);
+    return std::move(served.reply);
 }
 
-served caller_server::state::serveHead(const http_request &request,
-                                       const result<request_head> &head, reply_probe &probe)
+serve_result caller_server::state::routeOrFail(const http_request &request,
+                                               const result<request_head> &head, reply_probe &probe)
 {
     if (!succeeded(head))
-        return servedFailure(errorOf(head));
+        return failureResult(errorOf(head));
     try {
         return route(request, valueOf(head), probe);
     } catch (const std::exception &thrown) {
-        watch.onThrown(valueOf(head), thrown.what());
+        observer.onThrown(valueOf(head), thrown.what());
     } catch (...) {
-        watch.onThrown(valueOf(head), "not an exception type of the standard library");
+        observer.onThrown(valueOf(head), "not an exception type of the standard library");
     }
-    served out = servedFailure(thrownFailure());
-    // A reply that was begun can't be replaced: left without its end, it breaks the connection, and
-    // the caller sees that it is not whole.
+    serve_result out = failureResult(internalError());
+    // A reply that has started can't be replaced. Leaving it without its end closes the connection,
+    // which shows the caller that the reply is incomplete.
     if (probe.isBegun()) {
         out.reply.reset();
         out.outcome.status = probe.status();
@@ -226,12 +227,12 @@
     return out;
 }
 
-served caller_server::state::route(const http_request &request, const request_head &head,
-                                   reply_probe &probe)
+serve_result caller_server::state::route(const http_request &request, const request_head &head,
+                                         reply_probe &probe)
 {
     if (const fixed_route *fixed = findFixed(request.path)) {
         if (request.method != fixed->method)
-            return wrongMethod(*fixed);
+            return wrongMethodResult(*fixed);
     }
     switch (routeOf(request.path)) {
     case route_kind::Addresses:
@@ -243,31 +244,32 @@
     case route_kind::Services:
         return serveService(request, head, probe);
     case route_kind::Health:
-        return servedWhole(jsonReply({{"status", "ok"}}));
+        return successResult(jsonReply({{"status", "ok"}}));
     case route_kind::Other:
         break;
     }
-    return servedFailure(
-            notRun(error_code::NotFound, "no route " + excerptOf(placeOf(request.path))));
+    return failureResult(
+            notRun(error_code::NotFound, "no route " + excerptOf(pathOf(request.path))));
 }
 
-served caller_server::state::serveAddresses(const http_request &request, const request_head &head)
+serve_result caller_server::state::serveAddresses(const http_request &request,
+                                                  const request_head &head)
 {
     const result<zone_id> zone = parseZone(request.path);
     if (!succeeded(zone))
-        return servedFailure(errorOf(zone));
+        return failureResult(errorOf(zone));
     const result<address_answer> answer = handlers.addresses(head, valueOf(zone));
     if (!succeeded(answer))
-        return servedFailure(errorOf(answer));
-    return servedWhole(jsonReply(addressList(valueOf(answer))));
+        return failureResult(errorOf(answer));
+    return successResult(jsonReply(addressList(valueOf(answer))));
 }
 
-served caller_server::state::serveModels(const request_head &head)
+serve_result caller_server::state::serveModels(const request_head &head)
 {
     const result<std::vector<std::string>> models = handlers.models(head);
     if (!succeeded(models))
-        return servedFailure(errorOf(models));
-    return servedWhole(jsonReply(modelList(valueOf(models))));
+        return failureResult(errorOf(models));
+    return successResult(jsonReply(modelList(valueOf(models))));
 }
 
 void caller_server::state::complete(const completion_ask &ask, completion_sink &sink,
@@ -276,27 +278,27 @@
     try {
         handlers.complete(ask, sink);
     } catch (const std::exception &thrown) {
-        watch.onThrown(ask.head, thrown.what());
+        observer.onThrown(ask.head, thrown.what());
     } catch (...) {
-        watch.onThrown(ask.head, "not an exception type of the standard library");
+        observer.onThrown(ask.head, "not an exception type of the standard library");
     }
-    // A handler that threw, or forgot the end, must not leave the caller with a part.
+    // A handler that threw or did not end the answer must not leave the caller with a partial one.
     if (!outcome.isEnded)
-        sink.fail(thrownFailure());
+        sink.fail(internalError());
 }
 
-served caller_server::state::serveCompletion(const http_request &request, const request_head &head,
-                                             reply_probe &probe)
+serve_result caller_server::state::serveCompletion(const http_request &request,
+                                                   const request_head &head, reply_probe &probe)
 {
     const result<completion_body> body = parseCompletion(request.body);
     if (!succeeded(body))
-        return servedFailure(errorOf(body));
-    const completion_body &wanted = valueOf(body);
-    const completion_ask ask{head, wanted.model, wanted.prompt, wanted.maxTokens,
-                             wanted.isStreamed};
+        return failureResult(errorOf(body));
+    const completion_body &parsed = valueOf(body);
+    const completion_ask ask{head, parsed.model, parsed.prompt, parsed.maxTokens,
+                             parsed.isStreamed};
     const auto created =
             std::chrono::duration_cast<std::chrono::seconds>(clock.wall().time_since_epoch());
-    const completion_label label{head.request, wanted.model, created.count()};
+    const completion_label label{head.request, parsed.model, created.count()};
     if (!ask.isStreamed) {
         gathered_completion sink(label, probe);
         complete(ask, sink, sink.outcome());
@@ -311,19 +313,19 @@
     return {std::move(reply), {status, sink.outcome().failure, sink.outcome().tokens}};
 }
 
-served caller_server::state::serveService(const http_request &request, const request_head &head,
-                                          reply_probe &probe)
+serve_result caller_server::state::serveService(const http_request &request,
+                                                const request_head &head, reply_probe &probe)
 {
     const auto target =
             parseServiceTarget(std::string_view(request.path).substr(servicesPrefix.size()));
     if (!succeeded(target))
-        return servedFailure(errorOf(target));
+        return failureResult(errorOf(target));
     service_ask ask{head, valueOf(target).service, request};
     ask.request.path = valueOf(target).path;
     ask.request.headers = headersForService(request.headers, head.request);
     const std::optional<error> failure = handlers.callService(ask, probe);
     if (failure && !probe.isBegun())
-        return servedFailure(*failure);
+        return failureResult(*failure);
     request_outcome outcome{probe.status(), failure, 0};
     if (!failure && !probe.isWhole())
         outcome.failure = mayHaveRun(error_code::Broken, "the reply was cut short");
@@ -350,7 +352,7 @@
 
 std::uint32_t caller_server::openRequests() const
 {
-    return inner->watch.openRequests();
+    return inner->observer.openRequests();
 }
 
 } // namespace poplarspool::caller
--- a/src/caller/completion_json.cpp
+++ b/src/caller/completion_json.cpp
@@ -14,29 +14,30 @@
 
 using nlohmann::json;
 
-error faultIn(std::string_view member, std::string_view what)
+error memberError(std::string_view member, std::string_view what)
 {
     return notRun(error_code::BadRequest,
                   "member " + std::string(member) + ": " + std::string(what));
 }
 
-/// Whether a member of the usual client form may have that value.
-struct usual_member
+/// A member that clients of the usual completions API send and that has no effect here, with the
+/// check of its value.
+struct compatibility_member
 {
     std::string_view name;
-    bool (*isHarmless)(const json &value);
+    bool (*isAccepted)(const json &value);
     std::string_view expected;
 };
 
-bool isWithin(const json &value, double lowest, double highest)
+bool isWithin(const json &value, double min, double max)
 {
     if (!value.is_number())
         return false;
     const auto number = value.get<double>();
-    return number >= lowest && number <= highest;
+    return number >= min && number <= max;
 }
 
-bool isOnlyUsage(const json &options)
+bool hasOnlyIncludeUsage(const json &options)
 {
     if (!options.is_object())
         return false;
@@ -47,67 +48,71 @@
     return true;
 }
 
-// Sampling hints promise nothing that the answer could break, so any valid value is taken. All
-// other members would change the answer's form or extent: they are taken only where they ask for
-// what is done anyway, since a caller could not tell an ignored wish from a fulfilled one.
-constexpr std::array usualMembers{
-        usual_member{"temperature", [](const json &v) { return isWithin(v, 0, 2); },
-                     "a number from 0 to 2"},
-        usual_member{"top_p", [](const json &v) { return isWithin(v, 0, 1); },
-                     "a number from 0 to 1"},
-        usual_member{"presence_penalty", [](const json &v) { return isWithin(v, -2, 2); },
-                     "a number from -2 to 2"},
-        usual_member{"frequency_penalty", [](const json &v) { return isWithin(v, -2, 2); },
-                     "a number from -2 to 2"},
-        usual_member{"seed", [](const json &v) { return v.is_number_integer(); }, "an integer"},
-        usual_member{"user", [](const json &v) { return v.is_string(); }, "a string"},
-        usual_member{"n", [](const json &v) { return v == 1; }, "1, the only count supported"},
-        usual_member{"best_of", [](const json &v) { return v == 1; },
-                     "1, the only count supported"},
-        usual_member{"echo", [](const json &v) { return v == false; },
-                     "false: echoes are not supported"},
-        usual_member{"logprobs", [](const json &) { return false; },
-                     "null: log probabilities are not supported"},
-        usual_member{"stop", [](const json &v) { return v == json::array(); },
-                     "null or []: stop sequences are not supported"},
-        usual_member{"suffix", [](const json &v) { return v == json(""); },
-                     "null: insertion is not supported"},
-        usual_member{"logit_bias", [](const json &v) { return v == json::object(); },
-                     "null or {}: biases are not supported"},
-        usual_member{"stream_options", isOnlyUsage,
-                     "an object with no member but include_usage, a boolean"},
+// Sampling parameters guarantee nothing about the answer, so any valid value is accepted and
+// ignored. The other members change the format or extent of the answer. They are accepted only with
+// values that match the actual behaviour: a caller could not tell an ignored option from an applied
+// one.
+constexpr std::array compatibilityMembers{
+        compatibility_member{"temperature", [](const json &v) { return isWithin(v, 0, 2); },
+                             "a number from 0 to 2"},
+        compatibility_member{"top_p", [](const json &v) { return isWithin(v, 0, 1); },
+                             "a number from 0 to 1"},
+        compatibility_member{"presence_penalty", [](const json &v) { return isWithin(v, -2, 2); },
+                             "a number from -2 to 2"},
+        compatibility_member{"frequency_penalty", [](const json &v) { return isWithin(v, -2, 2); },
+                             "a number from -2 to 2"},
+        compatibility_member{"seed", [](const json &v) { return v.is_number_integer(); },
+                             "an integer"},
+        compatibility_member{"user", [](const json &v) { return v.is_string(); }, "a string"},
+        compatibility_member{"n", [](const json &v) { return v == 1; },
+                             "1: other counts are not supported"},
+        compatibility_member{"best_of", [](const json &v) { return v == 1; },
+                             "1: other counts are not supported"},
+        compatibility_member{"echo", [](const json &v) { return v == false; },
+                             "false: echoes are not supported"},
+        compatibility_member{"logprobs", [](const json &) { return false; },
+                             "null: log probabilities are not supported"},
+        compatibility_member{"stop", [](const json &v) { return v == json::array(); },
+                             "null or []: stop sequences are not supported"},
+        compatibility_member{"suffix", [](const json &v) { return v == json(""); },
+                             "null: insertion is not supported"},
+        compatibility_member{"logit_bias", [](const json &v) { return v == json::object(); },
+                             "null or {}: biases are not supported"},
+        compatibility_member{"stream_options", hasOnlyIncludeUsage,
+                             "an object whose only member is include_usage, a boolean"},
 };
 
-constexpr std::array ownMembers{"model", "prompt", "max_tokens", "stream"};
+constexpr std::array supportedMembers{"model", "prompt", "max_tokens", "stream"};
 
-/// @returns The fault of a member that isn't one of ours.
-std::optional<error> checkUsual(const std::string &name, const json &value)
+/// @returns The error for a member that is unknown or has an unsupported value, if any.
+std::optional<error> checkCompatibilityMember(const std::string &name, const json &value)
 {
-    for (const usual_member &usual : usualMembers) {
-        if (usual.name != name)
+    for (const compatibility_member &member : compatibilityMembers) {
+        if (member.name != name)
             continue;
-        if (value.is_null() || usual.isHarmless(value))
+        if (value.is_null() || member.isAccepted(value))
             return std::nullopt;
-        return faultIn(name, "expected " + std::string(usual.expected));
+        return memberError(name, "expected " + std::string(member.expected));
     }
-    return faultIn(excerptOf(name), "unknown");
+    return memberError(excerptOf(name), "unknown");
 }
 
-bool isOwn(std::string_view name)
+bool isSupported(std::string_view name)
 {
-    return std::find(ownMembers.begin(), ownMembers.end(), name) != ownMembers.end();
+    return std::find(supportedMembers.begin(), supportedMembers.end(), name)
+            != supportedMembers.end();
 }
 
 result<std::string> parseText(const json &body, const char *name)
 {
     const auto found = body.find(name);
     if (found == body.end())
-        return faultIn(name, "missing");
+        return memberError(name, "missing");
     if (!found->is_string())
-        return faultIn(name, "expected a string");
+        return memberError(name, "expected a string");
     auto text = found->get<std::string>();
     if (text.empty())
-        return faultIn(name, "expected a string that is not empty");
+        return memberError(name, "expected a non-empty string");
     return text;
 }
 
@@ -119,8 +124,9 @@
     const bool isWithinBounds = value.is_number_unsigned() && value.get<std::uint64_t>() >= 1
             && value.get<std::uint64_t>() <= config::maxOutputTokens;
     if (!isWithinBounds) {
-        return faultIn("max_tokens",
-                       "expected an integer from 1 to " + std::to_string(config::maxOutputTokens));
+        return memberError("max_tokens",
+                           "expected an integer from 1 to "
+                                   + std::to_string(config::maxOutputTokens));
     }
     return value.get<std::uint32_t>();
 }
@@ -131,32 +137,31 @@
     if (value.is_null())
         return false;
     if (!value.is_boolean())
-        return faultIn("stream", "expected true or false");
+        return memberError("stream", "expected true or false");
     return value.get<bool>();
 }
 
-/// Parses an object, and refuses one that names a member twice: which of the two counts differs
-/// between parsers, so that a caller and a check before us could see another prompt than the
-/// engine.
+/// Parses a JSON object and rejects duplicate members. Parsers differ in which duplicate they use,
+/// so that a check in front of this server could see another prompt than the engine does.
 result<json> parseObject(std::string_view text)
 {
     if (isNestedTooDeep(text))
-        return notRun(error_code::BadRequest, "the body is nested too deep");
+        return notRun(error_code::BadRequest, "the body is nested too deeply");
     std::set<std::string> names;
-    std::optional<std::string> twice;
-    const auto look = [&](int depth, json::parse_event_t event, json &parsed) {
-        const bool isOuterKey = depth == 1 && event == json::parse_event_t::key;
-        if (isOuterKey && !names.insert(parsed.get<std::string>()).second)
-            twice = parsed.get<std::string>();
+    std::optional<std::string> duplicateName;
+    const auto onEvent = [&](int depth, json::parse_event_t event, json &parsed) {
+        const bool isTopLevelKey = depth == 1 && event == json::parse_event_t::key;
+        if (isTopLevelKey && !names.insert(parsed.get<std::string>()).second)
+            duplicateName = parsed.get<std::string>();
         return true;
     };
-    json body = json::parse(text, look, false);
+    json body = json::parse(text, onEvent, false);
     if (body.is_discarded())
         return notRun(error_code::BadRequest, "the body is not valid JSON");
     if (!body.is_object())
         return notRun(error_code::BadRequest, "the body is not a JSON object");
-    if (twice)
-        return faultIn(excerptOf(*twice), "given more than once");
+    if (duplicateName)
+        return memberError(excerptOf(*duplicateName), "given more than once");
     return body;
 }
 
@@ -169,16 +174,17 @@
         return errorOf(parsed);
     const json &body = valueOf(parsed);
     for (const auto &[name, value] : body.items()) {
-        if (isOwn(name))
+        if (isSupported(name))
             continue;
-        if (const auto fault = checkUsual(name, value))
-            return *fault;
+        if (const auto failure = checkCompatibilityMember(name, value))
+            return *failure;
     }
     const auto model = parseText(body, "model");
     if (!succeeded(model))
         return errorOf(model);
     if (valueOf(model).size() > config::maxNameBytes)
-        return faultIn("model", "longer than " + std::to_string(config::maxNameBytes) + " bytes");
+        return memberError("model",
+                           "longer than " + std::to_string(config::maxNameBytes) + " bytes");
     const auto prompt = parseText(body, "prompt");
     if (!succeeded(prompt))
         return errorOf(prompt);
@@ -198,7 +204,7 @@
 
 bool gathered_completion::token(std::string_view piece)
 {
-    // An engine that never stops would fill the memory of an instance that has little of it.
+    // Bounds the memory that an engine which never ends its answer can use on a small instance.
     isTooLong = isTooLong || text.size() + piece.size() > config::maxGatheredAnswerBytes;
     if (isTooLong)
         return false;
@@ -236,13 +242,14 @@
 {
     if (result.isEnded)
         return;
-    // token() made the handler give up, which takes the caller for gone; the caller is still there
-    // and must hear the true cause.
-    const error told = isTooLong
-            ? mayHaveRun(error_code::TooLarge, "the answer is too long to be given in one piece")
+    // After token() returned false the handler reports the caller as disconnected. The caller is
+    // still connected, so it gets the actual cause.
+    const error reported = isTooLong
+            ? mayHaveRun(error_code::TooLarge,
+                         "the answer is too long for a reply without streaming")
             : failure;
-    reply = replyOf(told);
-    result.failure = told;
+    reply = replyOf(reported);
+    result.failure = reported;
     result.isEnded = true;
 }
 
--- a/src/caller/completion_json.h
+++ b/src/caller/completion_json.h
@@ -8,7 +8,7 @@
 
 namespace poplarspool::caller {
 
-/// What a caller says in the body of POST /v1/completions.
+/// Parsed body of POST /v1/completions.
 struct completion_body
 {
     std::string model;
@@ -19,27 +19,27 @@
     bool operator==(const completion_body &) const = default;
 };
 
-/// Reads and checks the body of a completion.
-/// @returns BadRequest (not run) that names the faulty member.
+/// Parses and validates the body of a completion request.
+/// @returns BadRequest (NotRun) that names the invalid member.
 result<completion_body> parseCompletion(std::string_view text);
 
-/// What all pieces of one answer share.
+/// Fields that are the same in all chunks of one answer.
 struct completion_label
 {
     request_id request;
     std::string model;
-    std::int64_t createdSeconds = 0; ///< Wall time.
+    std::int64_t createdSeconds = 0; ///< Wall-clock time, seconds since the Unix epoch.
 };
 
-/// How a completion ended, for log and metrics.
+/// Outcome of a completion, for log and metrics.
 struct completion_outcome
 {
-    std::optional<error> failure; ///< None: whole.
-    std::uint32_t tokens = 0; ///< Given to the sink.
+    std::optional<error> failure; ///< Empty: complete answer.
+    std::uint32_t tokens = 0; ///< Accepted by the sink.
     bool isEnded = false;
 };
 
-/// Gathers a completion for a caller who wants the answer in one piece.
+/// Buffers a completion that was requested without streaming, and replies with one JSON object.
 class gathered_completion final : public completion_sink
 {
 public:
@@ -51,7 +51,7 @@
     bool isGone() const override;
 
     const completion_outcome &outcome() const { return result; }
-    /// @attention Only after finish() or fail().
+    /// @attention Valid only after finish() or fail().
     http_reply takeReply() { return std::move(reply); }
 
 private:
--- a/src/caller/completion_stream.cpp
+++ b/src/caller/completion_stream.cpp
@@ -7,55 +7,55 @@
 
 namespace {
 
-constexpr std::string_view eventHead = "data: ";
-constexpr std::string_view eventEnd = "\n\n";
-constexpr std::string_view afterText = "\",\"logprobs\":null,\"finish_reason\":null}]}\n\n";
-constexpr std::string_view lastEvent = "data: [DONE]\n\n";
+constexpr std::string_view eventPrefix = "data: ";
+constexpr std::string_view eventSuffix = "\n\n";
+constexpr std::string_view tokenSuffix = "\",\"logprobs\":null,\"finish_reason\":null}]}\n\n";
+constexpr std::string_view doneEvent = "data: [DONE]\n\n";
 
-/// @returns Start of every chunk of one answer, up to its choices.
-std::string chunkHead(const completion_label &label)
+/// @returns The start of every chunk of one answer, up to its choices.
+std::string chunkPrefix(const completion_label &label)
 {
-    std::string head(eventHead);
-    head += R"({"id":"cmpl-)";
-    appendEscaped(head, label.request.text);
-    head += R"(","object":"text_completion","created":)";
-    head += std::to_string(label.createdSeconds);
-    head += R"(,"model":")";
-    appendEscaped(head, label.model);
-    head += '"';
-    return head;
+    std::string prefix(eventPrefix);
+    prefix += R"({"id":"cmpl-)";
+    appendEscaped(prefix, label.request.text);
+    prefix += R"(","object":"text_completion","created":)";
+    prefix += std::to_string(label.createdSeconds);
+    prefix += R"(,"model":")";
+    appendEscaped(prefix, label.model);
+    prefix += '"';
+    return prefix;
 }
 
 } // namespace
 
 streamed_completion::streamed_completion(const completion_label &label, http_sink &connection)
-    : connection(connection), framePrefix(chunkHead(label)), endPrefix(framePrefix)
+    : connection(connection), tokenPrefix(chunkPrefix(label)), endPrefix(tokenPrefix)
 {
-    framePrefix += R"(,"choices":[{"index":0,"text":")";
+    tokenPrefix += R"(,"choices":[{"index":0,"text":")";
     endPrefix += R"(,"choices":[{"index":0,"text":"","logprobs":null,"finish_reason":")";
 }
 
-bool streamed_completion::beginOnce()
+bool streamed_completion::ensureStarted()
 {
-    if (isBegun)
-        return !isLost;
-    isBegun = true;
+    if (hasStarted)
+        return !hasWriteFailed;
+    hasStarted = true;
     const http_headers headers{{"Cache-Control", "no-store"}};
-    isLost = !connection.begin(200, headers, "text/event-stream");
-    return !isLost;
+    hasWriteFailed = !connection.begin(200, headers, "text/event-stream");
+    return !hasWriteFailed;
 }
 
 bool streamed_completion::token(std::string_view text)
 {
-    if (result.isEnded || !beginOnce())
+    if (result.isEnded || !ensureStarted())
         return false;
-    frame = framePrefix;
-    appendEscaped(frame, text);
-    frame += afterText;
-    isLost = !connection.write(frame);
-    if (!isLost)
+    eventText = tokenPrefix;
+    appendEscaped(eventText, text);
+    eventText += tokenSuffix;
+    hasWriteFailed = !connection.write(eventText);
+    if (!hasWriteFailed)
         ++result.tokens;
-    return !isLost;
+    return !hasWriteFailed;
 }
 
 void streamed_completion::finish(const completion_end &end)
@@ -63,17 +63,17 @@
     if (result.isEnded)
         return;
     result.isEnded = true;
-    if (!beginOnce())
+    if (!ensureStarted())
         return;
     const std::uint64_t total = std::uint64_t(end.promptTokens) + end.outputTokens;
-    frame = endPrefix;
-    appendEscaped(frame, end.finishReason);
-    frame += R"("}],"usage":{"prompt_tokens":)" + std::to_string(end.promptTokens);
-    frame += R"(,"completion_tokens":)" + std::to_string(end.outputTokens);
-    frame += R"(,"total_tokens":)" + std::to_string(total) + "}}";
-    frame += eventEnd;
-    frame += lastEvent;
-    if (connection.write(frame))
+    eventText = endPrefix;
+    appendEscaped(eventText, end.finishReason);
+    eventText += R"("}],"usage":{"prompt_tokens":)" + std::to_string(end.promptTokens);
+    eventText += R"(,"completion_tokens":)" + std::to_string(end.outputTokens);
+    eventText += R"(,"total_tokens":)" + std::to_string(total) + "}}";
+    eventText += eventSuffix;
+    eventText += doneEvent;
+    if (connection.write(eventText))
         connection.end();
 }
 
@@ -83,22 +83,22 @@
         return;
     result.isEnded = true;
     result.failure = failure;
-    if (!isBegun) {
+    if (!hasStarted) {
         reply = replyOf(failure);
         return;
     }
-    // An event of its own and no [DONE]: a caller that only waited for the end of the reply would
-    // take the part that it has for the whole answer.
-    frame = eventHead;
-    frame += replyOf(failure).body;
-    frame += eventEnd;
-    if (connection.write(frame))
+    // Sends an error event and no [DONE]. Without the event, a caller that only waits for the end
+    // of the reply would take the partial answer for a complete one.
+    eventText = eventPrefix;
+    eventText += replyOf(failure).body;
+    eventText += eventSuffix;
+    if (connection.write(eventText))
         connection.end();
 }
 
 bool streamed_completion::isGone() const
 {
-    return isLost || connection.isGone();
+    return hasWriteFailed || connection.isGone();
 }
 
 } // namespace poplarspool::caller
--- a/src/caller/completion_stream.h
+++ b/src/caller/completion_stream.h
@@ -4,9 +4,9 @@
 
 namespace poplarspool::caller {
 
-/// Hands a completion on as server-sent events while it is made. The reply begins with the first
-/// token, or with the end: a failure before is an ordinary reply with its status, which a caller
-/// and whatever stands between can act on.
+/// Sends a completion as server-sent events while it is generated. The reply starts with the first
+/// token or with the end of the answer. A failure before that is an ordinary reply with an error
+/// status, so that callers and proxies can act on it.
 class streamed_completion final : public completion_sink
 {
 public:
@@ -18,18 +18,18 @@
     bool isGone() const override;
 
     const completion_outcome &outcome() const { return result; }
-    /// @returns The reply where none was begun; none where all went to the connection.
+    /// @returns The reply to send if none was started on the connection; otherwise none.
     std::optional<http_reply> takeReply() { return std::move(reply); }
 
 private:
-    bool beginOnce();
+    bool ensureStarted();
 
     http_sink &connection;
-    std::string framePrefix; ///< Of each token's event, up to the text.
-    std::string endPrefix; ///< Of the last chunk, up to the finish reason.
-    std::string frame; ///< Reused for each token.
-    bool isBegun = false;
-    bool isLost = false; ///< A write failed.
+    std::string tokenPrefix; ///< Start of each token's event, up to the text.
+    std::string endPrefix; ///< Start of the last chunk, up to the finish reason.
+    std::string eventText; ///< Event buffer, reused for each token.
+    bool hasStarted = false;
+    bool hasWriteFailed = false;
     completion_outcome result;
     std::optional<http_reply> reply;
 };
--- a/src/caller/json_text.cpp
+++ b/src/caller/json_text.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr std::size_t quotedBytes = 64;
+constexpr std::size_t maxExcerptBytes = 64;
 
-bool isPlain(char byte)
+bool needsNoEscape(char byte)
 {
     constexpr unsigned char firstPrintable = 0x20;
     constexpr unsigned char lastPrintable = 0x7e;
@@ -20,13 +20,13 @@
 
 void appendEscaped(std::string &out, std::string_view text)
 {
-    // Most tokens are plain ASCII words: copying them spares a JSON value per token.
-    if (std::all_of(text.begin(), text.end(), isPlain)) {
+    // Most tokens are plain ASCII: copying them avoids creating a JSON value per token.
+    if (std::all_of(text.begin(), text.end(), needsNoEscape)) {
         out.append(text);
         return;
     }
-    const std::string withQuotes = dumpText(nlohmann::json(text));
-    out.append(withQuotes, 1, withQuotes.size() - 2);
+    const std::string quoted = dumpText(nlohmann::json(text));
+    out.append(quoted, 1, quoted.size() - 2);
 }
 
 std::string dumpText(const nlohmann::json &value)
@@ -37,8 +37,8 @@
 std::string excerptOf(std::string_view text)
 {
     std::string out = "'";
-    out.append(text.substr(0, quotedBytes));
-    if (text.size() > quotedBytes)
+    out.append(text.substr(0, maxExcerptBytes));
+    if (text.size() > maxExcerptBytes)
         out.append("...");
     out.append("'");
     return out;
--- a/src/caller/reply_probe.cpp
+++ b/src/caller/reply_probe.cpp
@@ -12,7 +12,7 @@
 
 bool reply_probe::begin(int status, const http_headers &headers, std::string_view contentType)
 {
-    begunStatus = status;
+    sentStatus = status;
     firstByte = clock.mono();
     return connection.begin(status, withRequestId(headers, request), contentType);
 }
--- a/src/caller/reply_probe.h
+++ b/src/caller/reply_probe.h
@@ -8,8 +8,8 @@
 
 namespace poplarspool::caller {
 
-/// Passes a reply on to the connection, adds the request's id to its headers, and takes note of
-/// what became of it for log and metrics.
+/// Forwards a reply to the connection, adds the request id to its headers, and tracks the reply's
+/// progress for log and metrics.
 class reply_probe final : public http_sink
 {
 public:
@@ -20,9 +20,9 @@
     void end() override;
     bool isGone() const override;
 
-    /// @returns 0 where the reply was not begun.
-    int status() const { return begunStatus; }
-    bool isBegun() const { return begunStatus != 0; }
+    /// @returns 0 if the reply has not started.
+    int status() const { return sentStatus; }
+    bool isBegun() const { return sentStatus != 0; }
     bool isWhole() const { return isEnded; }
     std::optional<mono_time> firstByteAt() const { return firstByte; }
 
@@ -30,12 +30,12 @@
     http_sink &connection;
     request_id request;
     clock_source clock;
-    int begunStatus = 0;
+    int sentStatus = 0;
     bool isEnded = false;
     std::optional<mono_time> firstByte;
 };
 
-/// @returns The headers with the request's id, and without what the other side put in its place.
+/// @returns The headers with the id of this request; an existing request id header is replaced.
 http_headers withRequestId(const http_headers &headers, const request_id &request);
 
 } // namespace poplarspool::caller
--- a/src/caller/request_head.cpp
+++ b/src/caller/request_head.cpp
@@ -14,7 +14,7 @@
 constexpr std::string_view authorizationHeader = "Authorization";
 constexpr std::string_view bearerScheme = "Bearer ";
 
-bool isSameName(std::string_view left, std::string_view right)
+bool equalsIgnoreCase(std::string_view left, std::string_view right)
 {
     return left.size() == right.size() && strncasecmp(left.data(), right.data(), left.size()) == 0;
 }
@@ -25,48 +25,50 @@
                        [](char byte) { return byte >= ' ' && byte <= '~'; });
 }
 
-error faultIn(std::string_view name, std::string_view what)
+error headerError(std::string_view name, std::string_view message)
 {
-    return notRun(error_code::BadRequest, "header " + std::string(name) + ": " + std::string(what));
+    return notRun(error_code::BadRequest,
+                  "header " + std::string(name) + ": " + std::string(message));
 }
 
-/// @returns The only value of a header, none where it isn't there; BadRequest where it comes twice:
-///          taking either could hide from a caller that its second key was not heeded.
-result<std::optional<std::string_view>> onlyValueOf(const http_headers &headers,
-                                                    std::string_view name)
+/// @returns The value of a header, none if it is missing; BadRequest if it is repeated: using
+/// either
+///          value would hide from the caller that the other was ignored.
+result<std::optional<std::string_view>> singleValueOf(const http_headers &headers,
+                                                      std::string_view name)
 {
     std::optional<std::string_view> found;
     for (const auto &[key, value] : headers) {
-        if (!isSameName(key, name))
+        if (!equalsIgnoreCase(key, name))
             continue;
         if (found)
-            return faultIn(name, "given more than once");
+            return headerError(name, "given more than once");
         found = value;
     }
     return found;
 }
 
-/// @returns The header's value, empty where it isn't there.
+/// @returns The header's value, empty if it is missing.
 result<std::string> parseName(const http_headers &headers, std::string_view name)
 {
-    const auto found = onlyValueOf(headers, name);
+    const auto found = singleValueOf(headers, name);
     if (!succeeded(found))
         return errorOf(found);
     const std::optional<std::string_view> value = valueOf(found);
     if (!value)
         return std::string();
     if (value->empty())
-        return faultIn(name, "empty");
+        return headerError(name, "empty");
     if (value->size() > config::maxNameBytes)
-        return faultIn(name, "longer than " + std::to_string(config::maxNameBytes) + " bytes");
+        return headerError(name, "longer than " + std::to_string(config::maxNameBytes) + " bytes");
     if (!isPrintable(*value))
-        return faultIn(name, "has other than printable ASCII characters");
+        return headerError(name, "contains other than printable ASCII characters");
     return std::string(*value);
 }
 
 result<std::optional<milliseconds>> parseTimeLimit(const http_headers &headers)
 {
-    const auto found = onlyValueOf(headers, timeLimitHeader);
+    const auto found = singleValueOf(headers, timeLimitHeader);
     if (!succeeded(found))
         return errorOf(found);
     const std::optional<std::string_view> text = valueOf(found);
@@ -74,31 +76,31 @@
         return std::optional<milliseconds>();
     std::int64_t count = 0;
     const char *end = text->data() + text->size();
-    const auto [stop, fault] = std::from_chars(text->data(), end, count);
-    const bool isWhole = fault == std::errc() && stop == end;
-    if (!isWhole || count < 1 || count > config::maxTimeLimit.count()) {
-        return faultIn(timeLimitHeader,
-                       "expected whole milliseconds from 1 to "
-                               + std::to_string(config::maxTimeLimit.count()));
+    const auto [stop, parseError] = std::from_chars(text->data(), end, count);
+    const bool isNumber = parseError == std::errc() && stop == end;
+    if (!isNumber || count < 1 || count > config::maxTimeLimit.count()) {
+        return headerError(timeLimitHeader,
+                           "expected an integer number of milliseconds from 1 to "
+                                   + std::to_string(config::maxTimeLimit.count()));
     }
     return std::optional<milliseconds>(count);
 }
 
-/// @returns The key; empty where there is none or another scheme is used.
+/// @returns The key; empty if the header is missing or uses another scheme.
 result<std::string> parseBearerKey(const http_headers &headers)
 {
-    const auto found = onlyValueOf(headers, authorizationHeader);
+    const auto found = singleValueOf(headers, authorizationHeader);
     if (!succeeded(found))
         return errorOf(found);
     const std::string_view value = valueOf(found).value_or(std::string_view());
-    if (!isSameName(value.substr(0, bearerScheme.size()), bearerScheme))
+    if (!equalsIgnoreCase(value.substr(0, bearerScheme.size()), bearerScheme))
         return std::string();
     std::string_view key = value.substr(bearerScheme.size());
     key.remove_prefix(std::min(key.find_first_not_of(' '), key.size()));
     if (key.size() > config::maxBearerKeyBytes)
-        return faultIn(authorizationHeader, "the key is too long");
+        return headerError(authorizationHeader, "the key is too long");
     if (!isPrintable(key))
-        return faultIn(authorizationHeader, "has other than printable ASCII characters");
+        return headerError(authorizationHeader, "contains other than printable ASCII characters");
     return std::string(key);
 }
 
@@ -133,14 +135,16 @@
 {
     constexpr std::array ownHeaders{authorizationHeader, callerHeader, timeLimitHeader,
                                     requestIdHeader};
-    http_headers passed;
+    http_headers forwarded;
     for (const auto &header : headers) {
-        const auto isIt = [&](std::string_view own) { return isSameName(own, header.first); };
-        if (std::none_of(ownHeaders.begin(), ownHeaders.end(), isIt))
-            passed.push_back(header);
+        const auto isOwnHeader = [&](std::string_view ownName) {
+            return equalsIgnoreCase(ownName, header.first);
+        };
+        if (std::none_of(ownHeaders.begin(), ownHeaders.end(), isOwnHeader))
+            forwarded.push_back(header);
     }
-    passed.emplace_back(requestIdHeader, request.text);
-    return passed;
+    forwarded.emplace_back(requestIdHeader, request.text);
+    return forwarded;
 }
 
 } // namespace poplarspool::caller
--- a/src/caller/request_head.h
+++ b/src/caller/request_head.h
@@ -7,14 +7,14 @@
 
 namespace poplarspool::caller {
 
-/// Reads and checks the headers that every request may bring.
-/// @param request Its new id.
-/// @returns BadRequest (not run) that names the faulty header.
+/// Parses and validates the headers that are common to all requests.
+/// @param request Id generated for this request.
+/// @returns BadRequest (NotRun) that names the invalid header.
 result<request_head> parseHead(const http_headers &headers, request_id request,
                                mono_time arrivedAt);
 
-/// @returns Headers for a plain service: without the caller's key and claimed name, which are for
-///          this system alone, and with the id of the request.
+/// @returns The headers to forward to a service: with the request id, and without the caller's key,
+///          claimed name and time limit, which are meant for the instance only.
 http_headers headersForService(const http_headers &headers, const request_id &request);
 
 } // namespace poplarspool::caller
--- a/src/caller/request_watch.cpp
+++ b/src/caller/request_watch.cpp
@@ -8,14 +8,14 @@
 
 constexpr std::string_view okCode = "ok";
 
-std::string labelled(std::string_view name, std::string_view labels)
+std::string withLabels(std::string_view name, std::string_view labels)
 {
     return std::string(name) + "{" + std::string(labels) + "}";
 }
 
-/// Lookups of addresses and probes of health come all the time and say nothing of the work: they
-/// would push the events of real requests out of the ring.
-bool isJournaled(route_kind route)
+/// Only completions and service calls are logged: frequent address lookups and health checks would
+/// evict their events from the journal's ring buffer.
+bool isLogged(route_kind route)
 {
     return route == route_kind::Completions || route == route_kind::Services;
 }
@@ -42,7 +42,8 @@
 }
 
 request_watch::request_watch(clock_source clock, metrics_registry &metrics, journal &events)
-    : clock(std::move(clock)), events(events), open(metrics.gaugeOf("poplarspool_requests_open"))
+    : clock(std::move(clock)), events(events),
+      openGauge(metrics.gaugeOf("poplarspool_requests_open"))
 {
     for (std::size_t route = 0; route < routeCount; ++route) {
         const std::string label =
@@ -52,18 +53,19 @@
                     code < codeCount ? nameOf(static_cast<error_code>(code)) : okCode;
             const std::string labels = label + ",code=\"" + std::string(name) + "\"";
             requests[route][code] =
-                    &metrics.counterOf(labelled("poplarspool_requests_total", labels));
+                    &metrics.counterOf(withLabels("poplarspool_requests_total", labels));
         }
-        firstByte[route] =
-                &metrics.latencyOf(labelled("poplarspool_request_first_byte_seconds", label));
-        whole[route] = &metrics.latencyOf(labelled("poplarspool_request_whole_seconds", label));
+        firstByteTime[route] =
+                &metrics.latencyOf(withLabels("poplarspool_request_first_byte_seconds", label));
+        totalTime[route] =
+                &metrics.latencyOf(withLabels("poplarspool_request_whole_seconds", label));
     }
 }
 
 void request_watch::onIn(route_kind route, const request_head &head)
 {
-    open.add(1);
-    if (!isJournaled(route))
+    openGauge.add(1);
+    if (!isLogged(route))
         return;
     events.emit("request_in",
                 {{"request", head.request.text},
@@ -74,16 +76,16 @@
 void request_watch::onOut(route_kind route, const request_head &head,
                           const request_outcome &outcome, std::optional<mono_time> firstByteAt)
 {
-    open.add(-1);
+    openGauge.add(-1);
     const mono_time now = clock.mono();
     const auto elapsed = now - head.arrivedAt;
-    const auto row = static_cast<std::size_t>(route);
-    const std::size_t column =
+    const auto routeIndex = static_cast<std::size_t>(route);
+    const std::size_t codeIndex =
             outcome.failure ? static_cast<std::size_t>(outcome.failure->code) : codeCount;
-    requests[row][column]->add();
-    firstByte[row]->record(firstByteAt.value_or(now) - head.arrivedAt);
-    whole[row]->record(elapsed);
-    if (!isJournaled(route))
+    requests[routeIndex][codeIndex]->add();
+    firstByteTime[routeIndex]->record(firstByteAt.value_or(now) - head.arrivedAt);
+    totalTime[routeIndex]->record(elapsed);
+    if (!isLogged(route))
         return;
     const auto ms = std::chrono::duration_cast<milliseconds>(elapsed).count();
     std::vector<event_field> fields{
@@ -109,7 +111,7 @@
 
 std::uint32_t request_watch::openRequests() const
 {
-    return static_cast<std::uint32_t>(std::max<std::int64_t>(open.get(), 0));
+    return static_cast<std::uint32_t>(std::max<std::int64_t>(openGauge.get(), 0));
 }
 
 } // namespace poplarspool::caller
--- a/src/caller/request_watch.h
+++ b/src/caller/request_watch.h
@@ -10,21 +10,21 @@
 
 namespace poplarspool::caller {
 
-/// What callers can ask for, as labels of metrics and events.
+/// Routes of the caller API, as labels of metrics and events.
 enum class route_kind { Addresses, Models, Completions, Services, Health, Other };
 
 std::string_view nameOf(route_kind route);
 
-/// How a request ended.
+/// Outcome of a request.
 struct request_outcome
 {
     int status = 0;
-    std::optional<error> failure; ///< None: whole.
+    std::optional<error> failure; ///< Empty: complete reply.
     std::uint32_t tokens = 0;
 };
 
-/// Metrics and events of requests. Looks every metric up once, so that a request takes no lock of
-/// the registry.
+/// Records metrics and events of requests. Looks up every metric once at construction, so that
+/// requests do not take the registry's lock.
 class request_watch
 {
 public:
@@ -33,7 +33,7 @@
     void onIn(route_kind route, const request_head &head);
     void onOut(route_kind route, const request_head &head, const request_outcome &outcome,
                std::optional<mono_time> firstByteAt);
-    /// A handler threw.
+    /// Records an exception that a handler threw.
     void onThrown(const request_head &head, std::string_view what);
 
     std::uint32_t openRequests() const;
@@ -41,15 +41,15 @@
 private:
     static constexpr std::size_t routeCount = static_cast<std::size_t>(route_kind::Other) + 1;
     static constexpr std::size_t codeCount = static_cast<std::size_t>(error_code::Internal) + 1;
-    /// One column per error code, and the last for whole answers.
+    /// One counter per error code, and the last one for successful requests.
     using code_counters = std::array<counter *, codeCount + 1>;
 
     clock_source clock;
     journal &events;
-    gauge &open;
+    gauge &openGauge;
     std::array<code_counters, routeCount> requests{};
-    std::array<latency *, routeCount> firstByte{};
-    std::array<latency *, routeCount> whole{};
+    std::array<latency *, routeCount> firstByteTime{};
+    std::array<latency *, routeCount> totalTime{};
 };
 
 } // namespace poplarspool::caller
--- a/src/caller/service_path.cpp
+++ b/src/caller/service_path.cpp
@@ -17,23 +17,22 @@
     return isLetter || isDigit || std::string_view("-._~").find(byte) != std::string_view::npos;
 }
 
-/// @returns The byte that `%XX` at the start of the text stands for.
-std::optional<char> unescape(std::string_view text)
+/// @returns The byte that the text's leading `%XX` encodes; none if that is malformed.
+std::optional<char> decodeEscape(std::string_view text)
 {
     constexpr std::size_t escapeBytes = 3;
     if (text.size() < escapeBytes)
         return std::nullopt;
     unsigned value = 0;
-    const auto [stop, fault] =
+    const auto [stop, parseError] =
             std::from_chars(text.data() + 1, text.data() + escapeBytes, value, 16);
-    if (fault != std::errc() || stop != text.data() + escapeBytes)
+    if (parseError != std::errc() || stop != text.data() + escapeBytes)
         return std::nullopt;
     return static_cast<char>(value);
 }
 
-/// @returns The path with escapes of unreserved characters undone; none where an escape is broken
-/// or
-///          stands for a separator or control character.
+/// @returns The path with escaped unreserved characters decoded; none if an escape is malformed or
+///          encodes a separator or control character.
 std::optional<std::string> normalize(std::string_view path)
 {
     std::string out;
@@ -43,10 +42,10 @@
             out += path[at];
             continue;
         }
-        const auto byte = unescape(path.substr(at));
-        const bool isHidden =
+        const auto byte = decodeEscape(path.substr(at));
+        const bool isForbidden =
                 byte && (*byte == '/' || *byte == '\\' || static_cast<unsigned char>(*byte) < ' ');
-        if (!byte || isHidden)
+        if (!byte || isForbidden)
             return std::nullopt;
         if (isUnreserved(*byte))
             out += *byte;
@@ -63,7 +62,7 @@
 }
 
 /// @param path Starts with a slash.
-bool hasOneForm(std::string_view path)
+bool isCanonical(std::string_view path)
 {
     if (path.find('\\') != std::string_view::npos)
         return false;
@@ -82,17 +81,17 @@
 
 result<service_target> parseServiceTarget(std::string_view target)
 {
-    const std::size_t question = std::min(target.find('?'), target.size());
-    const std::string_view query = target.substr(question);
-    const std::string_view place = target.substr(0, question);
-    const std::size_t slash = std::min(place.find('/'), place.size());
-    const std::string_view name = place.substr(0, slash);
+    const std::size_t queryStart = std::min(target.find('?'), target.size());
+    const std::string_view query = target.substr(queryStart);
+    const std::string_view rawPath = target.substr(0, queryStart);
+    const std::size_t slash = std::min(rawPath.find('/'), rawPath.size());
+    const std::string_view name = rawPath.substr(0, slash);
     const bool isName = !name.empty() && name.size() <= config::maxNameBytes
             && std::all_of(name.begin(), name.end(), isUnreserved);
     if (!isName)
         return notRun(error_code::BadRequest, "path: expected /v1/services/NAME/PATH");
-    auto path = normalize(place.substr(slash));
-    if (!path || (!path->empty() && !hasOneForm(*path))) {
+    auto path = normalize(rawPath.substr(slash));
+    if (!path || (!path->empty() && !isCanonical(*path))) {
         return notRun(error_code::BadRequest,
                       "path: dot segments, empty segments, backslashes, broken escapes and escaped "
                       "separators are not allowed");
--- a/src/caller/service_path.h
+++ b/src/caller/service_path.h
@@ -7,24 +7,24 @@
 
 namespace poplarspool::caller {
 
-/// A call of a plain service, as it stands in the path of a request.
+/// Service and path that the path of a request names.
 struct service_target
 {
     std::string service;
-    std::string path; ///< The service's own, with the query; in one form per place.
+    std::string path; ///< Path as the service sees it, in canonical form, with the query.
 
     bool operator==(const service_target &) const = default;
 };
 
-/// Takes `/v1/services/NAME/PATH?QUERY` apart.
+/// Parses `/v1/services/NAME/PATH?QUERY`.
 ///
-/// Rules say by the start of a path which calls run at most once. A path that a service reads as
-/// `/receipts` and the rules don't (`/x/../receipts`, `//receipts`, `/%72eceipts`) would be taken
-/// for repeatable, and a receipt would be made twice. So dot segments and empty segments are
-/// refused, and escapes of characters that need none are undone (RFC 3986, 6.2.2.2): one place has
-/// one form.
+/// Rules select calls that run at most once by a path prefix. A path that a service resolves to
+/// `/receipts` but that does not match the rule's prefix (`/x/../receipts`, `//receipts`,
+/// `/%72eceipts`) would be treated as retryable, and a retry could create the receipt twice. So dot
+/// segments and empty segments are rejected, and escaped unreserved characters are decoded
+/// (RFC 3986, 6.2.2.2): each resource has exactly one path.
 /// @param target Path with query, after `/v1/services/`.
-/// @returns BadRequest (not run).
+/// @returns BadRequest (NotRun) if the name or the path is invalid.
 result<service_target> parseServiceTarget(std::string_view target);
 
 } // namespace poplarspool::caller
--- a/tests/caller/caller_server_test.cpp
+++ b/tests/caller/caller_server_test.cpp
@@ -12,14 +12,14 @@
 class caller_server_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(caller_server_test);
-    CPPUNIT_TEST(answersAddressesAndModels);
-    CPPUNIT_TEST(givesEveryAnswerItsRequestId);
-    CPPUNIT_TEST(refusesUnknownRoutesAndMethods);
-    CPPUNIT_TEST(completesWholeAndStreamed);
-    CPPUNIT_TEST(passesServiceCallsOn);
-    CPPUNIT_TEST(answersWhereAHandlerThrows);
-    CPPUNIT_TEST(breaksAReplyWhoseHandlerThrows);
-    CPPUNIT_TEST(writesDownHowRequestsEnd);
+    CPPUNIT_TEST(addressesAndModelsAreListed);
+    CPPUNIT_TEST(everyReplyHasAUniqueRequestId);
+    CPPUNIT_TEST(unknownRoutesAndMethodsAreRejected);
+    CPPUNIT_TEST(completionIsSentWholeOrStreamed);
+    CPPUNIT_TEST(serviceCallIsForwarded);
+    CPPUNIT_TEST(throwingHandlerGivesInternalError);
+    CPPUNIT_TEST(throwingHandlerClosesAStartedReply);
+    CPPUNIT_TEST(requestOutcomeIsLoggedAndCounted);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -33,12 +33,12 @@
         handlers.models = [](const request_head &) {
             return result<std::vector<std::string>>(std::vector<std::string>{"m1", "m2"});
         };
-        handlers.complete = [](const completion_ask &ask, completion_sink &sink) {
-            sink.token(ask.prompt);
+        handlers.complete = [](const completion_ask &request, completion_sink &sink) {
+            sink.token(request.prompt);
             sink.finish({"stop", 1, 1});
         };
-        handlers.callService = [this](const service_ask &ask, http_sink &sink) {
-            serviceAsk = ask;
+        handlers.callService = [this](const service_ask &request, http_sink &sink) {
+            serviceRequest = request;
             sink.begin(201, {{"X-Served", "yes"}, {"Poplarspool-Request-Id", "forged"}},
                        "text/plain");
             sink.write("made");
@@ -54,7 +54,7 @@
         server.reset();
     }
 
-    void answersAddressesAndModels()
+    void addressesAndModelsAreListed()
     {
         start();
         const http_reply addresses = send("GET", "/v1/addresses?zone=b");
@@ -67,7 +67,7 @@
         CPPUNIT_ASSERT_EQUAL(400, send("GET", "/v1/addresses?zone=").status);
     }
 
-    void givesEveryAnswerItsRequestId()
+    void everyReplyHasAUniqueRequestId()
     {
         start();
         std::vector<std::string> ids;
@@ -82,7 +82,7 @@
         CPPUNIT_ASSERT(std::adjacent_find(ids.begin(), ids.end()) == ids.end());
     }
 
-    void refusesUnknownRoutesAndMethods()
+    void unknownRoutesAndMethodsAreRejected()
     {
         start();
         const http_reply unknown = send("GET", "/v1/nothing");
@@ -96,7 +96,7 @@
         CPPUNIT_ASSERT_EQUAL(404, send("GET", "/metrics").status);
     }
 
-    void completesWholeAndStreamed()
+    void completionIsSentWholeOrStreamed()
     {
         start();
         const http_reply whole =
@@ -109,7 +109,7 @@
         CPPUNIT_ASSERT(streamed.body.ends_with("data: [DONE]\n\n"));
     }
 
-    void passesServiceCallsOn()
+    void serviceCallIsForwarded()
     {
         start();
         const http_reply reply = send("PATCH", "/v1/services/desk/slots/7?day=1", "payload",
@@ -118,18 +118,18 @@
         CPPUNIT_ASSERT_EQUAL(std::string("made"), reply.body);
         CPPUNIT_ASSERT_EQUAL(std::string("yes"), std::string(headerOf(reply.headers, "X-Served")));
         CPPUNIT_ASSERT(headerOf(reply.headers, requestIdHeader) != "forged");
-        CPPUNIT_ASSERT_EQUAL(std::string("desk"), serviceAsk.service);
-        CPPUNIT_ASSERT_EQUAL(std::string("PATCH"), serviceAsk.request.method);
-        CPPUNIT_ASSERT_EQUAL(std::string("/slots/7?day=1"), serviceAsk.request.path);
-        CPPUNIT_ASSERT_EQUAL(std::string("payload"), serviceAsk.request.body);
-        CPPUNIT_ASSERT_EQUAL(std::string("k"), serviceAsk.head.idempotencyKey);
+        CPPUNIT_ASSERT_EQUAL(std::string("desk"), serviceRequest.service);
+        CPPUNIT_ASSERT_EQUAL(std::string("PATCH"), serviceRequest.request.method);
+        CPPUNIT_ASSERT_EQUAL(std::string("/slots/7?day=1"), serviceRequest.request.path);
+        CPPUNIT_ASSERT_EQUAL(std::string("payload"), serviceRequest.request.body);
+        CPPUNIT_ASSERT_EQUAL(std::string("k"), serviceRequest.head.idempotencyKey);
         CPPUNIT_ASSERT_EQUAL(std::string("slab"),
-                             std::string(headerOf(serviceAsk.request.headers, "X-Site")));
+                             std::string(headerOf(serviceRequest.request.headers, "X-Site")));
     }
 
-    // The caller sees 500 and that the request may have run: a fault of ours interrupts the handler
-    // before it has answered, and how far it had come is not known.
-    void answersWhereAHandlerThrows()
+    // A handler that throws before it answers may or may not have run the request. The caller must
+    // get status 500 with the verdict may_have_run, and no text of the exception.
+    void throwingHandlerGivesInternalError()
     {
         handlers.complete = [](const completion_ask &, completion_sink &) {
             throw std::runtime_error("boom");
@@ -147,9 +147,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), events.events({"handler_threw", "", ""}).size());
     }
 
-    // The caller sees its connection break: the handler has passed a part of a service's reply on
-    // and throws. An orderly end would make that part look whole.
-    void breaksAReplyWhoseHandlerThrows()
+    // The handler throws after it has forwarded part of a service's reply. The connection must be
+    // closed without ending the reply; otherwise the partial reply looks complete to the caller.
+    void throwingHandlerClosesAStartedReply()
     {
         handlers.callService = [](const service_ask &, http_sink &sink) -> std::optional<error> {
             sink.begin(200, {}, "text/plain");
@@ -163,7 +163,7 @@
         CPPUNIT_ASSERT(errorOf(reply).ran == verdict::MayHaveRun);
     }
 
-    void writesDownHowRequestsEnd()
+    void requestOutcomeIsLoggedAndCounted()
     {
         handlers.complete = [](const completion_ask &, completion_sink &sink) {
             sink.token("a");
@@ -172,13 +172,13 @@
         start();
         send("POST", "/v1/completions", streamedBody, {{"Poplarspool-Workspace", "kandy"}});
         server->stop();
-        const auto ends = events.events({"request_out", "", ""});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), ends.size());
-        CPPUNIT_ASSERT_EQUAL(std::string("kandy"), fieldOf(ends[0], "workspace"));
-        CPPUNIT_ASSERT_EQUAL(std::string("200"), fieldOf(ends[0], "status"));
-        CPPUNIT_ASSERT_EQUAL(std::string("broken"), fieldOf(ends[0], "code"));
-        CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), fieldOf(ends[0], "verdict"));
-        CPPUNIT_ASSERT_EQUAL(std::string("1"), fieldOf(ends[0], "tokens"));
+        const auto finished = events.events({"request_out", "", ""});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), finished.size());
+        CPPUNIT_ASSERT_EQUAL(std::string("kandy"), fieldOf(finished[0], "workspace"));
+        CPPUNIT_ASSERT_EQUAL(std::string("200"), fieldOf(finished[0], "status"));
+        CPPUNIT_ASSERT_EQUAL(std::string("broken"), fieldOf(finished[0], "code"));
+        CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), fieldOf(finished[0], "verdict"));
+        CPPUNIT_ASSERT_EQUAL(std::string("1"), fieldOf(finished[0], "tokens"));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(0), server->openRequests());
         const counter &broken = metrics.counterOf(
                 "poplarspool_requests_total{route=\"completions\",code=\"broken\"}");
@@ -224,7 +224,7 @@
     journal events{{"test"}, systemClock(), 64};
     http_pool pool{4, milliseconds(2000), metrics};
     caller_handlers handlers;
-    service_ask serviceAsk;
+    service_ask serviceRequest;
     std::unique_ptr<caller_server> server;
     endpoint address;
 };
--- a/tests/caller/completion_json_test.cpp
+++ b/tests/caller/completion_json_test.cpp
@@ -14,28 +14,28 @@
 class completion_json_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(completion_json_test);
-    CPPUNIT_TEST(readsOwnMembersAndDefaults);
-    CPPUNIT_TEST(takesUsualMembersThatChangeNothing);
-    CPPUNIT_TEST(namesTheFaultyMember);
-    CPPUNIT_TEST(refusesNestedMembers);
-    CPPUNIT_TEST(givesTheWholeAnswer);
-    CPPUNIT_TEST(endsAnAnswerThatIsTooLong);
-    CPPUNIT_TEST(escapesAsTheLibraryDoes);
+    CPPUNIT_TEST(supportedMembersAndDefaultsAreParsed);
+    CPPUNIT_TEST(compatibilityMembersWithoutEffectAreAccepted);
+    CPPUNIT_TEST(errorNamesTheInvalidMember);
+    CPPUNIT_TEST(deeplyNestedBodyIsRejected);
+    CPPUNIT_TEST(bufferedAnswerIsComplete);
+    CPPUNIT_TEST(tooLongAnswerFailsWithStatus413);
+    CPPUNIT_TEST(escapingMatchesTheJsonLibrary);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void readsOwnMembersAndDefaults()
+    void supportedMembersAndDefaultsAreParsed()
     {
         const auto full =
                 parseCompletion(R"({"model":"m","prompt":"hi","max_tokens":32768,"stream":true})");
         CPPUNIT_ASSERT(valueOf(full)
                        == (completion_body{"m", "hi", config::maxOutputTokens, true}));
-        const auto bare = parseCompletion(R"({"model":"m","prompt":"hi","stream":null})");
-        CPPUNIT_ASSERT(valueOf(bare)
+        const auto minimal = parseCompletion(R"({"model":"m","prompt":"hi","stream":null})");
+        CPPUNIT_ASSERT(valueOf(minimal)
                        == (completion_body{"m", "hi", config::defaultOutputTokens, false}));
     }
 
-    void takesUsualMembersThatChangeNothing()
+    void compatibilityMembersWithoutEffectAreAccepted()
     {
         const auto body = parseCompletion(
                 R"({"model":"m","prompt":"p","temperature":0.2,"top_p":1,"n":1,"stop":null,)"
@@ -44,8 +44,9 @@
         CPPUNIT_ASSERT(succeeded(body));
     }
 
-    /// A caller's body ended the process.
-    void refusesNestedMembers()
+    // A recursive parser overflows the stack on a deeply nested body and ends the process. The
+    // parse runs in a process of its own, so that the failure is reported.
+    void deeplyNestedBodyIsRejected()
     {
         test::expectEndsWell([] {
             constexpr std::size_t levels = 400'000;
@@ -56,7 +57,7 @@
         });
     }
 
-    void namesTheFaultyMember()
+    void errorNamesTheInvalidMember()
     {
         const std::vector<std::pair<std::string, std::string>> cases{
                 {R"({"prompt":"p"})", "model"},
@@ -91,7 +92,7 @@
         }
     }
 
-    void givesTheWholeAnswer()
+    void bufferedAnswerIsComplete()
     {
         recorded_sink connection;
         gathered_completion sink({{"r1"}, "m", 17}, connection);
@@ -111,21 +112,21 @@
         CPPUNIT_ASSERT(answer.at("usage").at("total_tokens") == 5);
     }
 
-    // The caller sees 413 and no part of the answer: the engine's text outgrows what is gathered,
-    // token() makes the handler give up, and the handler takes the caller for gone (Cancelled).
-    // That would be a false cause, so the sink tells its own.
-    void endsAnAnswerThatIsTooLong()
+    // When the answer exceeds the buffer limit, token() returns false and the handler fails the
+    // answer as Cancelled, as if the caller had disconnected. The sink must replace that wrong
+    // cause: the caller gets status 413 and no part of the answer.
+    void tooLongAnswerFailsWithStatus413()
     {
         recorded_sink connection;
         gathered_completion sink({{"r1"}, "m", 17}, connection);
-        const std::string big(config::maxGatheredAnswerBytes, 'x');
-        CPPUNIT_ASSERT(sink.token(big));
+        const std::string largest(config::maxGatheredAnswerBytes, 'x');
+        CPPUNIT_ASSERT(sink.token(largest));
         CPPUNIT_ASSERT(!sink.token("x"));
-        sink.fail(mayHaveRun(error_code::Cancelled, "the caller has gone"));
+        sink.fail(mayHaveRun(error_code::Cancelled, "the caller has disconnected"));
         CPPUNIT_ASSERT_EQUAL(413, sink.takeReply().status);
     }
 
-    void escapesAsTheLibraryDoes()
+    void escapingMatchesTheJsonLibrary()
     {
         std::vector<std::string> texts{"",      "plain",    "ආයුබෝවන්",          "Tōtara",
                                        "a\xff", "\xe0\xb6", "\xf0\x9f\x98\x80"};
--- a/tests/caller/completion_stream_test.cpp
+++ b/tests/caller/completion_stream_test.cpp
@@ -11,15 +11,15 @@
 class completion_stream_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(completion_stream_test);
-    CPPUNIT_TEST(endsWithDoneOnlyAfterTheEnd);
-    CPPUNIT_TEST(streamsAnEmptyAnswer);
-    CPPUNIT_TEST(failsBeforeTheFirstTokenWithAStatus);
-    CPPUNIT_TEST(failsAfterTheFirstTokenWithAnEvent);
-    CPPUNIT_TEST(tellsThatTheCallerIsGone);
+    CPPUNIT_TEST(streamEndsWithDone);
+    CPPUNIT_TEST(emptyAnswerIsStreamed);
+    CPPUNIT_TEST(failureBeforeTheFirstTokenGivesAnErrorStatus);
+    CPPUNIT_TEST(failureAfterTheFirstTokenGivesAnErrorEvent);
+    CPPUNIT_TEST(tokenIsRejectedAfterTheCallerDisconnects);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void endsWithDoneOnlyAfterTheEnd()
+    void streamEndsWithDone()
     {
         recorded_sink connection;
         streamed_completion sink(label(), connection);
@@ -39,7 +39,7 @@
         CPPUNIT_ASSERT(!sink.takeReply());
     }
 
-    void streamsAnEmptyAnswer()
+    void emptyAnswerIsStreamed()
     {
         recorded_sink connection;
         streamed_completion sink(label(), connection);
@@ -48,9 +48,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("[DONE]"), eventsOf(connection.body).back());
     }
 
-    // The caller asked for a stream and sees an ordinary 503: the engine refuses before the first
-    // token, and nothing was sent yet that would have fixed the status at 200.
-    void failsBeforeTheFirstTokenWithAStatus()
+    // The engine refuses a streamed request before the first token. No status has been sent yet, so
+    // the caller must get an ordinary 503 reply instead of a stream with status 200.
+    void failureBeforeTheFirstTokenGivesAnErrorStatus()
     {
         recorded_sink connection;
         streamed_completion sink(label(), connection);
@@ -63,9 +63,9 @@
                              std::string(headerOf(reply->headers, "Retry-After")));
     }
 
-    // The caller sees one token, then an error event and no [DONE]: the engine died after it. The
-    // reply ends in order, so only the missing [DONE] and the event tell it from a whole answer.
-    void failsAfterTheFirstTokenWithAnEvent()
+    // The engine dies after the first token. The HTTP reply still ends normally, so only the error
+    // event and the missing [DONE] distinguish the partial answer from a complete one.
+    void failureAfterTheFirstTokenGivesAnErrorEvent()
     {
         recorded_sink connection;
         streamed_completion sink(label(), connection);
@@ -74,13 +74,13 @@
         sink.finish({"stop", 1, 1});
         const auto events = eventsOf(connection.body);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), events.size());
-        const nlohmann::json fault = nlohmann::json::parse(events[1]).at("error");
-        CPPUNIT_ASSERT(fault.at("verdict") == "may_have_run");
+        const nlohmann::json failure = nlohmann::json::parse(events[1]).at("error");
+        CPPUNIT_ASSERT(failure.at("verdict") == "may_have_run");
         CPPUNIT_ASSERT(connection.body.find("[DONE]") == std::string::npos);
         CPPUNIT_ASSERT(sink.outcome().failure->code == error_code::Broken);
     }
 
-    void tellsThatTheCallerIsGone()
+    void tokenIsRejectedAfterTheCallerDisconnects()
     {
         recorded_sink connection;
         streamed_completion sink(label(), connection);
@@ -96,13 +96,13 @@
 
     static std::vector<std::string> eventsOf(const std::string &body)
     {
-        const std::string head = "data: ";
+        const std::string prefix = "data: ";
         std::vector<std::string> events;
         for (std::size_t at = 0; at < body.size();) {
             const std::size_t end = body.find("\n\n", at);
             CPPUNIT_ASSERT(end != std::string::npos);
-            CPPUNIT_ASSERT_EQUAL(head, body.substr(at, head.size()));
-            events.push_back(body.substr(at + head.size(), end - at - head.size()));
+            CPPUNIT_ASSERT_EQUAL(prefix, body.substr(at, prefix.size()));
+            events.push_back(body.substr(at + prefix.size(), end - at - prefix.size()));
             at = end + 2;
         }
         return events;
--- a/tests/caller/recorded_sink.h
+++ b/tests/caller/recorded_sink.h
@@ -6,7 +6,7 @@
 
 namespace poplarspool::caller {
 
-/// Keeps what is written to it; can be told that its receiver has gone.
+/// Records the reply written to it; can simulate a disconnected receiver.
 struct recorded_sink : http_sink
 {
     int status = 0;
--- a/tests/caller/request_head_test.cpp
+++ b/tests/caller/request_head_test.cpp
@@ -9,15 +9,15 @@
 class request_head_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(request_head_test);
-    CPPUNIT_TEST(readsEveryHeader);
-    CPPUNIT_TEST(takesARequestWithoutHeaders);
-    CPPUNIT_TEST(namesTheFaultyHeader);
-    CPPUNIT_TEST(leavesOtherSchemesAlone);
-    CPPUNIT_TEST(keepsTheCallersKeyFromServices);
+    CPPUNIT_TEST(allHeadersAreParsed);
+    CPPUNIT_TEST(allHeadersAreOptional);
+    CPPUNIT_TEST(errorNamesTheInvalidHeader);
+    CPPUNIT_TEST(otherAuthorizationSchemesAreIgnored);
+    CPPUNIT_TEST(callerCredentialsAreNotForwardedToServices);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void readsEveryHeader()
+    void allHeadersAreParsed()
     {
         const http_headers headers{{"authorization", "bearer  s3cret"},
                                    {"idempotency-key", "order 7"},
@@ -32,7 +32,7 @@
         CPPUNIT_ASSERT(expected == valueOf(head));
     }
 
-    void takesARequestWithoutHeaders()
+    void allHeadersAreOptional()
     {
         const auto head = parse({});
         CPPUNIT_ASSERT(succeeded(head));
@@ -40,30 +40,30 @@
         CPPUNIT_ASSERT(valueOf(head).idempotencyKey.empty());
     }
 
-    void namesTheFaultyHeader()
+    void errorNamesTheInvalidHeader()
     {
         const std::string tooLong(config::maxNameBytes + 1, 'a');
         for (const std::string &value :
              {std::string(), tooLong, std::string("a\tb"), std::string("\xc3\xa9")}) {
-            assertRefused(idempotencyHeader, value);
-            assertRefused(workspaceHeader, value);
-            assertRefused(callerHeader, value);
+            assertRejected(idempotencyHeader, value);
+            assertRejected(workspaceHeader, value);
+            assertRejected(callerHeader, value);
         }
         for (const std::string value :
              {"", "0", "-1", "+5", "5 ", "1.5", "600001", "0x10", "99999999999999999999"})
-            assertRefused(timeLimitHeader, value);
-        const http_headers twice{{"Idempotency-Key", "a"}, {"idempotency-key", "a"}};
-        CPPUNIT_ASSERT(!succeeded(parse(twice)));
+            assertRejected(timeLimitHeader, value);
+        const http_headers repeated{{"Idempotency-Key", "a"}, {"idempotency-key", "a"}};
+        CPPUNIT_ASSERT(!succeeded(parse(repeated)));
     }
 
-    void leavesOtherSchemesAlone()
+    void otherAuthorizationSchemesAreIgnored()
     {
         const auto head = parse({{"Authorization", "Basic dTpw"}});
         CPPUNIT_ASSERT(succeeded(head));
         CPPUNIT_ASSERT(valueOf(head).bearerKey.empty());
     }
 
-    void keepsTheCallersKeyFromServices()
+    void callerCredentialsAreNotForwardedToServices()
     {
         const http_headers headers{{"authorization", "Bearer s3cret"},
                                    {"poplarspool-caller", "portal"},
@@ -79,14 +79,14 @@
         return parseHead(headers, {"r1"}, mono_time{});
     }
 
-    static void assertRefused(std::string_view name, const std::string &value)
+    static void assertRejected(std::string_view name, const std::string &value)
     {
         const auto head = parse({{std::string(name), value}});
         CPPUNIT_ASSERT_MESSAGE(std::string(name) + ": " + value, !succeeded(head));
-        const error &fault = errorOf(head);
-        CPPUNIT_ASSERT(fault.code == error_code::BadRequest);
-        CPPUNIT_ASSERT(fault.ran == verdict::NotRun);
-        CPPUNIT_ASSERT(fault.message.find(name) != std::string::npos);
+        const error &failure = errorOf(head);
+        CPPUNIT_ASSERT(failure.code == error_code::BadRequest);
+        CPPUNIT_ASSERT(failure.ran == verdict::NotRun);
+        CPPUNIT_ASSERT(failure.message.find(name) != std::string::npos);
     }
 };
 
--- a/tests/caller/service_path_test.cpp
+++ b/tests/caller/service_path_test.cpp
@@ -7,13 +7,13 @@
 class service_path_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(service_path_test);
-    CPPUNIT_TEST(takesTargetsApart);
-    CPPUNIT_TEST(givesOnePlaceOneForm);
-    CPPUNIT_TEST(refusesOtherFormsOfAPlace);
+    CPPUNIT_TEST(targetIsSplitIntoServiceAndPath);
+    CPPUNIT_TEST(escapedUnreservedCharactersAreDecoded);
+    CPPUNIT_TEST(nonCanonicalPathsAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void takesTargetsApart()
+    void targetIsSplitIntoServiceAndPath()
     {
         assertTarget("portal", "portal", "/");
         assertTarget("portal/", "portal", "/");
@@ -23,16 +23,16 @@
         assertTarget("portal/receipts/", "portal", "/receipts/");
     }
 
-    void givesOnePlaceOneForm()
+    void escapedUnreservedCharactersAreDecoded()
     {
         assertTarget("portal/%72eceipts", "portal", "/receipts");
         assertTarget("portal/a%20b%3F", "portal", "/a%20b%3F");
     }
 
-    // The caller sees 400. A rule says that calls under /receipts never repeat; the service would
-    // take each of these for /receipts/7 or below, the rule would not, and a retry would make the
-    // receipt twice.
-    void refusesOtherFormsOfAPlace()
+    // A rule forbids retries of calls under /receipts. The service would resolve some of these
+    // paths to that prefix while the rule does not match them, and a retry would create a receipt
+    // twice. They must be rejected with BadRequest, status 400.
+    void nonCanonicalPathsAreRejected()
     {
         for (const char *target :
              {"", "/receipts/7", "portal/x/../receipts/7", "portal/./receipts/7",
