--- a/include/poplarspool/runner/engine.h
+++ b/include/poplarspool/runner/engine.h
@@ -16,19 +16,19 @@
 
 namespace poplarspool::runner {
 
-/// One try of a completion at one engine.
+/// One try of a completion on one engine.
 struct generate_request
 {
     request_id request;
-    std::string attempt; ///< Unique per try: a late answer to another try is never taken.
+    std::string attempt; ///< Unique per try, so that a late answer to another try is rejected.
     workspace_id workspace;
     std::string model;
     std::string prompt;
     std::uint32_t maxTokens = 0;
-    std::uint32_t rank = 0; ///< Priority; lower goes first.
+    std::uint32_t rank = 0; ///< Priority; lower values are scheduled first.
     milliseconds timeLeft{0};
-    std::vector<std::string> emitted; ///< Resume: the tokens that the caller already has.
-    std::string kvHandle; ///< KV to import first; empty: none.
+    std::vector<std::string> emitted; ///< On resume: the tokens that the caller already has.
+    std::string kvHandle; ///< KV cache to import first; empty: none.
 
     bool operator==(const generate_request &) const = default;
 };
@@ -36,7 +36,7 @@
 /// One token of a stream.
 struct stream_token
 {
-    std::uint32_t index = 0; ///< From 0 for the whole answer, also after a resume.
+    std::uint32_t index = 0; ///< From 0 within the whole answer, also after a resume.
     std::string text;
 
     bool operator==(const stream_token &) const = default;
@@ -46,7 +46,7 @@
 
 std::string_view nameOf(finish_reason reason);
 
-/// The explicit end of a stream. Without it the stream is broken.
+/// The end event of a stream. A stream without it is broken.
 struct stream_end
 {
     finish_reason reason = finish_reason::Stop;
@@ -56,10 +56,10 @@
     bool operator==(const stream_end &) const = default;
 };
 
-/// Takes one token; false cancels the stream.
+/// Receives one token; returning false cancels the stream.
 using token_receiver = std::function<bool(const stream_token &)>;
 
-/// An order: the engine's wanted state under a fencing number.
+/// An order that sets the engine's desired state, protected by a fencing token.
 struct engine_order
 {
     std::uint64_t fence = 0;
@@ -71,7 +71,7 @@
 
 struct kv_export
 {
-    std::string handle; ///< Opaque; names engine and stream.
+    std::string handle; ///< Opaque; identifies the engine and the stream.
     std::uint32_t tokens = 0;
 
     bool operator==(const kv_export &) const = default;
@@ -80,7 +80,7 @@
 struct cache_event
 {
     std::uint64_t sequence = 0;
-    bool isStored = false; ///< Else evicted.
+    bool isStored = false; ///< False: evicted.
     std::uint64_t prefixHash = 0;
 
     bool operator==(const cache_event &) const = default;
@@ -89,34 +89,34 @@
 struct cache_events
 {
     std::vector<cache_event> events;
-    std::uint64_t next = 0; ///< To ask from.
-    bool hasGap = false; ///< Events were lost: forget what is known.
+    std::uint64_t next = 0; ///< Value of `after` for the next call.
+    bool hasGap = false; ///< Events were lost: the recorded cache contents are invalid.
 };
 
-/// The seam to a model engine: one implementation per wire format. None of these retries.
+/// Interface to a model engine, with one implementation per wire format. No call is retried here.
 struct engine_api
 {
-    /// Streams tokens in order, each index once. Failures: NotRun only where the engine can't have
-    /// begun; Broken where it ended without an end event; Cancelled where the receiver said so, or
-    /// where the stream's KV was exported.
-    /// @attention After a time limit or a cancel the connection is closed, but an engine notices it
-    ///            only when it writes; where the request may still be queued, call cancel.
+    /// Streams tokens in order, each index once. Errors: NotRun only if the engine can't have
+    /// started; Broken if the stream closed without an end event; Cancelled if the receiver
+    /// cancelled it, or if the stream's KV was exported.
+    /// @attention After a time-out or a cancellation the connection is closed. An engine notices
+    ///            that only when it writes; if the request may still be queued, call cancel.
     std::function<result<stream_end>(const endpoint &, const generate_request &,
                                      const token_receiver &)>
             generate;
     std::function<result<unit>(const endpoint &, const request_id &, const std::string &attempt)>
             cancel;
     std::function<result<policy::load_report>(const endpoint &)> load;
-    /// @returns Stale (NotRun) where the engine refuses the fencing number.
+    /// @returns Stale (NotRun) if the engine rejects the fencing token.
     std::function<result<unit>(const endpoint &, const engine_order &, milliseconds timeLimit)>
             order;
-    /// Exports a running stream's KV and stops that stream there.
+    /// Exports the KV of a running stream and ends the stream on that engine.
     std::function<result<kv_export>(const endpoint &, const request_id &)> exportKv;
     std::function<result<unit>(const endpoint &, const std::string &handle)> importKv;
     std::function<result<cache_events>(const endpoint &, std::uint64_t after)> cacheEvents;
 };
 
-/// @returns The engines' JSON over HTTP (docs/API-ENGINES.md).
+/// @returns The implementation for the engines' JSON over HTTP (docs/API-ENGINES.md).
 engine_api httpEngineApi(const std::shared_ptr<http_pool> &pool);
 
 } // namespace poplarspool::runner
--- a/include/poplarspool/runner/service.h
+++ b/include/poplarspool/runner/service.h
@@ -11,20 +11,20 @@
 
 namespace poplarspool::runner {
 
-/// The seam to a plain service.
+/// Interface to a plain service.
 struct service_api
 {
-    /// Passes one request on; the reply is handed on as it arrives, after its head.
+    /// Forwards one request. The receivers get the reply's head, then its body as it arrives.
     std::function<result<http_reply>(const endpoint &, const http_request &, milliseconds timeLimit,
                                      const http_head_receiver &, const http_receiver &)>
             call;
-    /// Asks whether it is up and how busy (`GET /load`); a service without that page counts as up.
+    /// Checks the health and load of the service (`GET /load`); one without that path counts as up.
     std::function<result<policy::load_report>(const endpoint &)> load;
 };
 
 service_api httpServiceApi(const std::shared_ptr<http_pool> &pool);
 
-/// @returns The headers that go end to end: without those of the connection (hop by hop).
+/// @returns The end-to-end headers, without the hop-by-hop headers of the connection.
 http_headers endToEndHeaders(const http_headers &headers);
 
 } // namespace poplarspool::runner
--- a/src/caller/completion_json.cpp
+++ b/src/caller/completion_json.cpp
@@ -50,8 +50,7 @@
 
 // Sampling parameters guarantee nothing about the answer, so any valid value is accepted and
 // ignored. The other members change the format or extent of the answer. They are accepted only with
-// values that match the actual behaviour: a caller could not tell an ignored option from an applied
-// one.
+// values that match the actual behaviour, since a caller can't tell whether an option was ignored.
 constexpr std::array compatibilityMembers{
         compatibility_member{"temperature", [](const json &v) { return isWithin(v, 0, 2); },
                              "a number from 0 to 2"},
--- a/src/caller/request_head.cpp
+++ b/src/caller/request_head.cpp
@@ -31,9 +31,8 @@
                   "header " + std::string(name) + ": " + std::string(message));
 }
 
-/// @returns The value of a header, none if it is missing; BadRequest if it is repeated: using
-/// either
-///          value would hide from the caller that the other was ignored.
+/// @returns The value of a header, none if it is missing; BadRequest if it is repeated, since using
+///          one of the values would hide from the caller that the other was ignored.
 result<std::optional<std::string_view>> singleValueOf(const http_headers &headers,
                                                       std::string_view name)
 {
--- a/src/runner/engine_json.cpp
+++ b/src/runner/engine_json.cpp
@@ -15,7 +15,7 @@
 
 constexpr int hexBase = 16;
 
-/// @returns An object, or nothing where the text is not one.
+/// @returns The object; none if the text is not a JSON object.
 std::optional<json> parseObject(std::string_view text)
 {
     json value = parseJson(text);
@@ -100,7 +100,7 @@
     return stream_end{*finish, *promptTokens, *outputTokens};
 }
 
-/// Hashes travel as hex text: many JSON readers round numbers above 2^53.
+/// Hashes are sent as hex text: many JSON parsers round numbers above 2^53.
 std::optional<std::uint64_t> hashIn(const json &object, const char *key)
 {
     const auto text = textIn(object, key);
@@ -223,13 +223,13 @@
     const auto object = parseObject(body);
     if (!object)
         return std::nullopt;
-    const auto life = numberIn<std::uint64_t>(*object, "life");
+    const auto incarnation = numberIn<std::uint64_t>(*object, "life");
     const auto sequence = numberIn<std::uint64_t>(*object, "sequence");
     auto models = modelsIn(*object);
-    if (!life || !sequence || !models)
+    if (!incarnation || !sequence || !models)
         return std::nullopt;
     policy::load_report report;
-    report.life = *life;
+    report.life = *incarnation;
     report.sequence = *sequence;
     if (const auto name = textIn(*object, "role")) {
         const auto role = policy::engineRoleOf(*name);
@@ -270,25 +270,26 @@
     const auto list = object->find("events");
     if (!next || list == object->end() || !list->is_array())
         return std::nullopt;
-    cache_events taken;
-    taken.next = *next;
-    taken.hasGap = flagIn(*object, "gap");
-    // Where the engine says that there is a gap it may begin anew from a lower number (restart).
-    std::uint64_t last = taken.hasGap ? 0 : after;
+    cache_events parsed;
+    parsed.next = *next;
+    parsed.hasGap = flagIn(*object, "gap");
+    // After a gap that the engine reports, it may count from a lower number (restart).
+    std::uint64_t last = parsed.hasGap ? 0 : after;
     for (const json &entry : *list) {
         const auto event = parseCacheEvent(entry);
         if (!event)
             return std::nullopt;
         if (event->sequence <= last)
             continue;
-        // A lost "evicted" would leave a prefix on record that the engine no longer has, and draw
-        // requests to it for nothing; the jump shows the loss where the engine doesn't tell.
+        // After a lost "evicted" event, a prefix that the engine no longer holds would stay on
+        // record and attract requests in vain. The jump reveals the loss if the engine does not
+        // report it.
         if (event->sequence != last + 1)
-            taken.hasGap = true;
+            parsed.hasGap = true;
         last = event->sequence;
-        taken.events.push_back(*event);
+        parsed.events.push_back(*event);
     }
-    return taken;
+    return parsed;
 }
 
 error parseRefusal(int status, std::string_view body)
@@ -303,7 +304,8 @@
         refusal.code = error_code::Stale;
     if (const auto delay = numberIn<std::uint32_t>(*object, "retry_after_ms"))
         refusal.retryAfter = milliseconds(*delay);
-    // Silence is no promise: a proxy's or a crashing engine's bare 503 may come after the start.
+    // Without "began" the request may have run: a proxy or a crashing engine may send a bare 503
+    // after the request has started.
     const auto began = object->find("began");
     if (began != object->end() && began->is_boolean() && !began->get<bool>())
         refusal.ran = verdict::NotRun;
--- a/src/runner/engine_json.h
+++ b/src/runner/engine_json.h
@@ -7,17 +7,17 @@
 #include <string_view>
 #include <variant>
 
-/// The engines' wire form, as in docs/API-ENGINES.md: only text to value and back, no I/O.
+/// Encodes and parses the wire format of engines (docs/API-ENGINES.md); does no I/O.
 namespace poplarspool::runner {
 
-/// First line of a stream: whose it is.
+/// First line of a stream: identifies its request and attempt.
 struct stream_head
 {
     std::string request;
     std::string attempt;
 };
 
-/// Last line of a stream whose KV was exported: it ends here and goes on elsewhere.
+/// Last line of a stream whose KV was exported: the answer is continued on another engine.
 struct stream_moved
 {
     std::uint32_t outputTokens = 0;
@@ -25,24 +25,24 @@
 
 using stream_line = std::variant<stream_head, stream_token, stream_end, stream_moved>;
 
-/// @returns BadRequest (NotRun) where a text is not valid UTF-8.
+/// @returns BadRequest (NotRun) if a text is not valid UTF-8.
 result<std::string> encodeGenerate(const generate_request &request);
 std::string encodeCancel(const request_id &request, const std::string &attempt);
 std::string encodeOrder(const engine_order &order);
 std::string encodeExport(const request_id &request);
 std::string encodeImport(const std::string &handle);
 
-/// @returns Nothing where the line is none of the stream's lines.
+/// @returns None if the line is malformed.
 std::optional<stream_line> parseStreamLine(std::string_view line);
 std::optional<policy::load_report> parseLoad(std::string_view body);
 std::optional<kv_export> parseExport(std::string_view body);
 
-/// @param after What was asked for; events at or before it are dropped, a jump in the sequence is
-///              a gap, whether or not the engine says so.
+/// @param after The requested sequence number. Events up to it are dropped; a jump in the sequence
+///              counts as a gap, even if the engine reports none.
 std::optional<cache_events> parseCacheEvents(std::string_view body, std::uint64_t after);
 
-/// The failure that a reply with another status than 200 stands for.
-/// @returns NotRun only where the reply says in so many words that the request was not begun.
+/// Converts a reply with a status other than 200 to an error.
+/// @returns An error with NotRun only if the reply states explicitly that nothing was started.
 error parseRefusal(int status, std::string_view body);
 
 } // namespace poplarspool::runner
--- a/src/runner/http_engine.cpp
+++ b/src/runner/http_engine.cpp
@@ -14,13 +14,13 @@
     return {"POST", std::move(path), {}, std::move(body), "application/json"};
 }
 
-error brokenReply(const char *what)
+error malformedReply(const char *what)
 {
-    return mayHaveRun(error_code::Broken, std::string("engine's reply can't be read: ") + what);
+    return mayHaveRun(error_code::Broken, std::string("malformed engine reply: ") + what);
 }
 
-/// One call with a short reply.
-/// @returns The body of a 200; every other status is a failure.
+/// Sends one request and receives the whole reply.
+/// @returns The body of a reply with status 200; any other status is an error.
 result<std::string> exchange(http_pool &pool, const endpoint &engine, const http_request &request,
                              milliseconds timeLimit)
 {
@@ -33,26 +33,26 @@
 }
 
 template <class T>
-result<T> parsedOr(const result<std::string> &body, std::optional<T> (*parse)(std::string_view),
-                   const char *what)
+result<T> parseReply(const result<std::string> &body, std::optional<T> (*parse)(std::string_view),
+                     const char *what)
 {
     if (!succeeded(body))
         return errorOf(body);
     auto value = parse(valueOf(body));
     if (!value)
-        return brokenReply(what);
+        return malformedReply(what);
     return std::move(*value);
 }
 
-result<unit> unitOr(const result<std::string> &body)
+result<unit> discardBody(const result<std::string> &body)
 {
     if (!succeeded(body))
         return errorOf(body);
     return unit{};
 }
 
-/// What is left of a failed call once the stream had begun: never NotRun.
-error brokenOff(error failure)
+/// The error of a call that failed after its stream had started: never NotRun.
+error errorAfterStart(error failure)
 {
     failure.ran = verdict::MayHaveRun;
     if (failure.code != error_code::TimedOut)
@@ -64,7 +64,7 @@
                             const generate_request &request, const token_receiver &onToken)
 {
     if (request.timeLeft <= milliseconds::zero())
-        return notRun(error_code::TimedOut, "no time left to begin");
+        return notRun(error_code::TimedOut, "no time left to start the request");
     auto body = encodeGenerate(request);
     if (!succeeded(body))
         return errorOf(body);
@@ -89,7 +89,7 @@
     if (status != 0 && status != statusOk)
         return parseRefusal(status, refusal);
     if (!succeeded(reply))
-        return status == 0 ? errorOf(reply) : brokenOff(errorOf(reply));
+        return status == 0 ? errorOf(reply) : errorAfterStart(errorOf(reply));
     return reader.outcome();
 }
 
@@ -105,24 +105,24 @@
     api.cancel = [pool](const endpoint &engine, const request_id &request,
                         const std::string &attempt) {
         const auto call = postJson("/cancel", encodeCancel(request, attempt));
-        return unitOr(exchange(*pool, engine, call, config::targetCallTime));
+        return discardBody(exchange(*pool, engine, call, config::targetCallTime));
     };
     api.load = [pool](const endpoint &engine) {
         const auto body =
                 exchange(*pool, engine, {"GET", "/load", {}, {}, {}}, config::targetCallTime);
-        return parsedOr(body, parseLoad, "load report");
+        return parseReply(body, parseLoad, "load report");
     };
     api.order = [pool](const endpoint &engine, const engine_order &order, milliseconds timeLimit) {
         const auto call = postJson("/order", encodeOrder(order));
-        return unitOr(exchange(*pool, engine, call, timeLimit));
+        return discardBody(exchange(*pool, engine, call, timeLimit));
     };
     api.exportKv = [pool](const endpoint &engine, const request_id &request) {
         const auto call = postJson("/kv/export", encodeExport(request));
-        return parsedOr(exchange(*pool, engine, call, config::kvMoveTime), parseExport, "export");
+        return parseReply(exchange(*pool, engine, call, config::kvMoveTime), parseExport, "export");
     };
     api.importKv = [pool](const endpoint &engine, const std::string &handle) {
         const auto call = postJson("/kv/import", encodeImport(handle));
-        return unitOr(exchange(*pool, engine, call, config::kvMoveTime));
+        return discardBody(exchange(*pool, engine, call, config::kvMoveTime));
     };
     api.cacheEvents = [pool](const endpoint &engine, std::uint64_t after) -> result<cache_events> {
         const std::string path = "/cache-events?after=" + std::to_string(after);
@@ -132,7 +132,7 @@
             return errorOf(body);
         auto events = parseCacheEvents(valueOf(body), after);
         if (!events)
-            return brokenReply("cache events");
+            return malformedReply("cache events");
         return std::move(*events);
     };
     return api;
--- a/src/runner/http_service.cpp
+++ b/src/runner/http_service.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-/// Headers that belong to one connection (RFC 9110, 7.6.1), and those that frame or address a
-/// message and that each connection writes anew.
-constexpr std::array<std::string_view, 12> connectionHeaders = {
+/// Hop-by-hop headers (RFC 9110, 7.6.1), and the headers that frame or address a message, which are
+/// set anew for each connection.
+constexpr std::array<std::string_view, 12> hopByHopHeaders = {
         "connection",
         "keep-alive",
         "proxy-connection",
@@ -49,8 +49,8 @@
     return text.substr(first, text.find_last_not_of(blanks) - first + 1);
 }
 
-/// @returns The headers that a Connection header names, in lower case.
-std::vector<std::string> namedByConnection(const http_headers &headers)
+/// @returns The header names that Connection headers list, in lower case.
+std::vector<std::string> listedByConnection(const http_headers &headers)
 {
     std::vector<std::string> names;
     for (const auto &[name, value] : headers) {
@@ -71,12 +71,12 @@
                         const http_receiver &onPiece)
 {
     if (timeLimit <= milliseconds::zero())
-        return notRun(error_code::TimedOut, "no time left to begin");
-    http_request passed = request;
-    passed.headers = endToEndHeaders(request.headers);
+        return notRun(error_code::TimedOut, "no time left to start the request");
+    http_request forwarded = request;
+    forwarded.headers = endToEndHeaders(request.headers);
     bool hasHead = false;
     auto outcome = pool.stream(
-            service, passed, timeLimit,
+            service, forwarded, timeLimit,
             [&](const http_reply &head) {
                 hasHead = true;
                 http_reply stripped = head;
@@ -86,7 +86,7 @@
             onPiece);
     if (!succeeded(outcome)) {
         error failure = errorOf(outcome);
-        // A head that came back proves that bytes went out, whatever the transport says of it.
+        // A reply head proves that the request was sent, whatever the transport reports.
         if (hasHead)
             failure.ran = verdict::MayHaveRun;
         return failure;
@@ -103,7 +103,7 @@
     const int status = valueOf(reply).status;
     if (status >= firstServerError && status != statusNotImplemented)
         return mayHaveRun(error_code::Unavailable,
-                          "service answered " + std::to_string(status) + " to its load");
+                          "service answered " + std::to_string(status) + " to GET /load");
     return parseLoad(valueOf(reply).body).value_or(policy::load_report{});
 }
 
@@ -111,18 +111,17 @@
 
 http_headers endToEndHeaders(const http_headers &headers)
 {
-    const auto named = namedByConnection(headers);
-    http_headers kept;
+    const auto listed = listedByConnection(headers);
+    http_headers endToEnd;
     for (const auto &header : headers) {
         const std::string name = lowerCase(header.first);
-        const bool isOfConnection =
-                std::find(connectionHeaders.begin(), connectionHeaders.end(), name)
-                        != connectionHeaders.end()
-                || std::find(named.begin(), named.end(), name) != named.end();
-        if (!isOfConnection)
-            kept.push_back(header);
+        const bool isHopByHop = std::find(hopByHopHeaders.begin(), hopByHopHeaders.end(), name)
+                        != hopByHopHeaders.end()
+                || std::find(listed.begin(), listed.end(), name) != listed.end();
+        if (!isHopByHop)
+            endToEnd.push_back(header);
     }
-    return kept;
+    return endToEnd;
 }
 
 service_api httpServiceApi(const std::shared_ptr<http_pool> &pool)
--- a/src/runner/line_splitter.cpp
+++ b/src/runner/line_splitter.cpp
@@ -4,10 +4,10 @@
 
 bool line_splitter::append(std::string_view part)
 {
-    // An engine that never sends a newline would otherwise grow this buffer until the instance,
-    // with all its other streams, runs out of memory.
+    // Without this limit, an engine that never sends a newline would grow the buffer until the
+    // instance runs out of memory and all its other streams fail.
     if (partial.size() + part.size() > config::maxStreamLineBytes) {
-        tooLong = true;
+        hasLineTooLong = true;
         return false;
     }
     partial.append(part);
@@ -22,9 +22,9 @@
             return append(piece);
         if (!append(piece.substr(0, newline)))
             return false;
-        const bool goesOn = onLine(partial);
+        const bool wantsMore = onLine(partial);
         partial.clear();
-        if (!goesOn)
+        if (!wantsMore)
             return false;
         piece.remove_prefix(newline + 1);
     }
--- a/src/runner/line_splitter.h
+++ b/src/runner/line_splitter.h
@@ -8,23 +8,23 @@
 
 namespace poplarspool::runner {
 
-/// Puts a stream's pieces together to lines; a piece may hold any part of any number of lines.
+/// Splits a stream into lines; a received piece may contain parts of any number of lines.
 class line_splitter
 {
 public:
-    /// Takes one line, without its newline; returns false to stop.
+    /// Receives one line, without its newline; returns false to stop.
     using line_receiver = std::function<bool(std::string_view line)>;
 
-    /// @returns False where the receiver stopped or a line is above config::maxStreamLineBytes.
+    /// @returns False if the receiver stopped or a line exceeds config::maxStreamLineBytes.
     bool feed(std::string_view piece, const line_receiver &onLine);
 
-    bool isLineTooLong() const { return tooLong; }
+    bool isLineTooLong() const { return hasLineTooLong; }
 
 private:
     bool append(std::string_view part);
 
     std::string partial;
-    bool tooLong = false;
+    bool hasLineTooLong = false;
 };
 
 } // namespace poplarspool::runner
--- a/src/runner/stream_reader.cpp
+++ b/src/runner/stream_reader.cpp
@@ -9,10 +9,11 @@
 
 bool stream_reader::feed(std::string_view piece)
 {
-    const bool goesOn = lines.feed(piece, [this](std::string_view line) { return take(line); });
+    const bool wantsMore =
+            lines.feed(piece, [this](std::string_view line) { return handle(line); });
     if (lines.isLineTooLong())
-        return fail(error_code::Broken, "engine sent a line above the limit");
-    return goesOn;
+        return fail(error_code::Broken, "engine sent a line longer than the limit");
+    return wantsMore;
 }
 
 result<stream_end> stream_reader::outcome() const
@@ -21,9 +22,9 @@
         return *failure;
     if (end)
         return *end;
-    // A crashed engine's stream closes like a finished one where the transport has no length; taken
-    // for an end, the caller would get half an answer that looks whole.
-    return mayHaveRun(error_code::Broken, "stream stopped without its end event");
+    // Without a content length, the stream of a crashed engine closes like a finished one. If that
+    // counted as the end, the caller would get a partial answer that looks complete.
+    return mayHaveRun(error_code::Broken, "stream closed without an end event");
 }
 
 bool stream_reader::fail(error_code code, std::string message)
@@ -33,58 +34,60 @@
     return false;
 }
 
-bool stream_reader::take(std::string_view line)
+bool stream_reader::handle(std::string_view line)
 {
     const auto parsed = parseStreamLine(line);
     if (!parsed)
-        return fail(error_code::Broken, "engine sent a line that can't be read");
+        return fail(error_code::Broken, "engine sent a malformed line");
     if (end)
-        return fail(error_code::Broken, "engine went on after its end event");
-    return std::visit([this](const auto &entry) { return take(entry); }, *parsed);
+        return fail(error_code::Broken, "engine sent data after its end event");
+    return std::visit([this](const auto &entry) { return handle(entry); }, *parsed);
 }
 
-bool stream_reader::take(const stream_head &head)
+bool stream_reader::handle(const stream_head &head)
 {
-    // Two answers crossed in an engine or on a reused connection would give one caller the text of
-    // another; both names must match before the first token is taken.
+    // If an engine or a reused connection mixed up two answers, one caller would get the text of
+    // another. So request and attempt must match before the first token is accepted.
     if (hasHead || head.request != request.request.text || head.attempt != request.attempt)
-        return fail(error_code::Broken, "stream belongs to another attempt");
+        return fail(error_code::Broken,
+                    "stream header is repeated or names another request or attempt");
     hasHead = true;
     return true;
 }
 
-bool stream_reader::take(const stream_token &token)
+bool stream_reader::handle(const stream_token &token)
 {
     if (!hasHead)
-        return fail(error_code::Broken, "stream does not say whose it is");
+        return fail(error_code::Broken, "stream has no header line");
     if (token.index != nextIndex)
         return fail(error_code::Broken,
-                    "token " + std::to_string(token.index) + " came instead of "
+                    "received token " + std::to_string(token.index) + " instead of "
                             + std::to_string(nextIndex));
     if (token.index >= request.maxTokens)
-        return fail(error_code::Broken, "engine sent more tokens than were asked for");
+        return fail(error_code::Broken, "engine sent more tokens than requested");
     ++nextIndex;
     if (!onToken(token))
-        return fail(error_code::Cancelled, "given up by the receiver");
+        return fail(error_code::Cancelled, "cancelled by the receiver");
     return true;
 }
 
-bool stream_reader::take(const stream_end &last)
+bool stream_reader::handle(const stream_end &endEvent)
 {
     if (!hasHead)
-        return fail(error_code::Broken, "stream does not say whose it is");
-    if (last.outputTokens != nextIndex)
+        return fail(error_code::Broken, "stream has no header line");
+    if (endEvent.outputTokens != nextIndex)
         return fail(error_code::Broken,
-                    "end event counts " + std::to_string(last.outputTokens) + " tokens, "
-                            + std::to_string(nextIndex) + " came");
-    end = last;
+                    "end event counts " + std::to_string(endEvent.outputTokens) + " tokens, "
+                            + std::to_string(nextIndex) + " received");
+    end = endEvent;
     return true;
 }
 
-bool stream_reader::take(const stream_moved &moved)
+bool stream_reader::handle(const stream_moved &exported)
 {
-    if (moved.outputTokens != nextIndex)
-        return fail(error_code::Broken, "stream was exported with tokens missing");
+    if (exported.outputTokens != nextIndex)
+        return fail(error_code::Broken,
+                    "stream was exported, but not all its tokens were received");
     return fail(error_code::Cancelled, "stream was exported");
 }
 
--- a/src/runner/stream_reader.h
+++ b/src/runner/stream_reader.h
@@ -8,26 +8,26 @@
 
 namespace poplarspool::runner {
 
-/// Checks one stream while it arrives: its own attempt's, every index once and in order, and an
-/// explicit end that fits what was sent.
+/// Parses and validates one stream as it arrives: it must belong to the attempt, contain every
+/// index once and in order, and end with an end event that matches the number of tokens.
 class stream_reader
 {
 public:
     stream_reader(const generate_request &request, const token_receiver &onToken);
 
-    /// @returns False where nothing more is wanted.
+    /// @returns False if no more data is needed.
     bool feed(std::string_view piece);
 
-    /// @returns What became of the stream after its last piece; Broken where it has no end.
+    /// @returns The result of the stream after its last piece; Broken if it has no end event.
     result<stream_end> outcome() const;
     bool hasOutcome() const { return failure.has_value() || end.has_value(); }
 
 private:
-    bool take(std::string_view line);
-    bool take(const stream_head &head);
-    bool take(const stream_token &token);
-    bool take(const stream_end &last);
-    bool take(const stream_moved &moved);
+    bool handle(std::string_view line);
+    bool handle(const stream_head &head);
+    bool handle(const stream_token &token);
+    bool handle(const stream_end &endEvent);
+    bool handle(const stream_moved &exported);
     bool fail(error_code code, std::string message);
 
     const generate_request &request;
--- a/tests/caller/service_path_test.cpp
+++ b/tests/caller/service_path_test.cpp
@@ -30,8 +30,8 @@
     }
 
     // A rule forbids retries of calls under /receipts. The service would resolve some of these
-    // paths to that prefix while the rule does not match them, and a retry would create a receipt
-    // twice. They must be rejected with BadRequest, status 400.
+    // paths to /receipts/7 or another path under that prefix while the rule does not match them,
+    // and a retry would create a receipt twice. They must be rejected with BadRequest, status 400.
     void nonCanonicalPathsAreRejected()
     {
         for (const char *target :
--- a/tests/runner/engine_control_test.cpp
+++ b/tests/runner/engine_control_test.cpp
@@ -24,16 +24,16 @@
 class engine_control_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(engine_control_test);
-    CPPUNIT_TEST(reportsItsLoad);
-    CPPUNIT_TEST(refusesStaleOrders);
-    CPPUNIT_TEST(obeysStaleOrdersWhereTold);
-    CPPUNIT_TEST(orderCutsWhatRuns);
-    CPPUNIT_TEST(movesAStreamByItsKv);
-    CPPUNIT_TEST(cancelsByName);
-    CPPUNIT_TEST(seesGapsInCacheEvents);
+    CPPUNIT_TEST(loadIsReported);
+    CPPUNIT_TEST(staleOrdersAreRejected);
+    CPPUNIT_TEST(staleOrdersAreAppliedWithoutFencing);
+    CPPUNIT_TEST(orderCutsRunningStreams);
+    CPPUNIT_TEST(streamContinuesOnAnotherEngineFromItsKv);
+    CPPUNIT_TEST(cancelMatchesRequestAndAttempt);
+    CPPUNIT_TEST(gapsInCacheEventsAreDetected);
     CPPUNIT_TEST_SUITE_END();
 
-    void reportsItsLoad()
+    void loadIsReported()
     {
         engine_fixture fixture;
         const auto first = fixture.api.load(fixture.address);
@@ -46,9 +46,10 @@
         CPPUNIT_ASSERT(report.models == std::vector<policy::model_version>({{"m", "1"}}));
     }
 
-    // A writer that lost its authority sends its order late. The engine has already obeyed a higher
-    // number and refuses; the same order sent twice is no conflict.
-    void refusesStaleOrders()
+    // A writer that has lost its lease sends its order late. The engine must reject it, since it
+    // has already applied an order with the same or a higher fencing token; a repeat of the same
+    // order must be accepted.
+    void staleOrdersAreRejected()
     {
         engine_fixture fixture;
         const auto newer = orderFor(7, "new", policy::engine_role::Decode);
@@ -67,7 +68,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), fixture.engine.records().staleOrdersRefused);
     }
 
-    void obeysStaleOrdersWhereTold()
+    void staleOrdersAreAppliedWithoutFencing()
     {
         auto options = engine_fixture::fastOptions();
         options.respectsFence = false;
@@ -79,9 +80,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), fixture.engine.records().staleOrdersObeyed);
     }
 
-    // An engine does not wait for its streams when it is ordered to change: whoever orders without
-    // a drain sees the cut, at the caller (Broken) and in the engine's records.
-    void orderCutsWhatRuns()
+    // An engine does not wait for its streams when it is ordered to change. An order without a
+    // preceding drain cuts them: the stream fails as Broken and the engine records the cut.
+    void orderCutsRunningStreams()
     {
         engine_fixture fixture(slowOptions());
         const auto outcome = fixture.api.generate(
@@ -98,45 +99,47 @@
         CPPUNIT_ASSERT(valueOf(fixture.api.load(fixture.address)).isChanging);
     }
 
-    // The caller sees one whole answer although its engine has to go. The running stream's KV is
-    // exported, which ends the stream there with all its tokens sent; another engine fetches the KV
-    // and goes on from the next token without computing the prompt again.
-    void movesAStreamByItsKv()
+    // The caller must get one complete answer although its engine shuts down. Exporting the KV of
+    // the running stream ends it there after all its tokens were sent. Another engine imports the
+    // KV and continues from the next token without computing the prompt again.
+    void streamContinuesOnAnotherEngineFromItsKv()
     {
-        engine_fixture from(slowOptions());
-        engine_fixture to;
+        engine_fixture source(slowOptions());
+        engine_fixture destination;
         received_answer answer;
         auto request = engine_fixture::requestFor("r", 3000);
         request.prompt.assign(640, 'p');
         std::future<result<kv_export>> exported;
-        const auto take = answer.receiver();
-        const auto first = from.api.generate(from.address, request, [&](const stream_token &token) {
-            if (token.index == 2) {
-                exported = std::async(std::launch::async, [&] {
-                    return from.api.exportKv(from.address, request.request);
+        const auto onToken = answer.receiver();
+        const auto first =
+                source.api.generate(source.address, request, [&](const stream_token &token) {
+                    if (token.index == 2) {
+                        exported = std::async(std::launch::async, [&] {
+                            return source.api.exportKv(source.address, request.request);
+                        });
+                    }
+                    return onToken(token);
                 });
-            }
-            return take(token);
-        });
         CPPUNIT_ASSERT(errorOf(first).code == error_code::Cancelled);
-        const auto moved = exported.get();
-        CPPUNIT_ASSERT(succeeded(moved));
-        CPPUNIT_ASSERT(valueOf(moved).tokens >= 160);
+        const auto exportResult = exported.get();
+        CPPUNIT_ASSERT(succeeded(exportResult));
+        CPPUNIT_ASSERT(valueOf(exportResult).tokens >= 160);
 
-        CPPUNIT_ASSERT(succeeded(to.api.importKv(to.address, valueOf(moved).handle)));
-        const auto events = to.api.cacheEvents(to.address, 0);
+        CPPUNIT_ASSERT(succeeded(
+                destination.api.importKv(destination.address, valueOf(exportResult).handle)));
+        const auto events = destination.api.cacheEvents(destination.address, 0);
         CPPUNIT_ASSERT(valueOf(events).events.size() >= 10);
         request.attempt = "r-2";
         request.emitted = answer.tokens;
-        request.kvHandle = valueOf(moved).handle;
-        const auto second = to.api.generate(to.address, request, take);
+        request.kvHandle = valueOf(exportResult).handle;
+        const auto second = destination.api.generate(destination.address, request, onToken);
         CPPUNIT_ASSERT(succeeded(second));
         CPPUNIT_ASSERT_EQUAL(standin::standinAnswer(request.prompt, 3000), answer.text);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), from.engine.records().exported);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), from.engine.records().cut);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), source.engine.records().exported);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), source.engine.records().cut);
     }
 
-    void cancelsByName()
+    void cancelMatchesRequestAndAttempt()
     {
         engine_fixture fixture(slowOptions());
         const auto request = engine_fixture::requestFor("r", 10000);
@@ -154,9 +157,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), fixture.engine.records().cancelled);
     }
 
-    // A lost "evicted" event would keep a prefix on record that is gone. The jump in the sequence
-    // shows the loss even where the engine does not tell of it.
-    void seesGapsInCacheEvents()
+    // After a lost "evicted" event, a prefix that the engine no longer holds would stay on record.
+    // The jump in the sequence must reveal the loss even if the engine reports no gap.
+    void gapsInCacheEventsAreDetected()
     {
         const std::string events = "{\"events\":["
                                    "{\"sequence\":4,\"kind\":\"stored\",\"hash\":\"ff\"},"
--- a/tests/runner/engine_fixture.h
+++ b/tests/runner/engine_fixture.h
@@ -15,20 +15,21 @@
 
 namespace poplarspool::runner {
 
-/// Bound of every wait for something that must happen; passing it fails the test.
+/// Time-out of every wait for an expected event; exceeding it fails the test.
 constexpr milliseconds safetyTime{20000};
 
-/// Waits for a state that the other side reaches by itself.
-inline void awaitThat(const std::function<bool()> &holds)
+/// Waits until the condition holds, checking it every millisecond.
+inline void awaitThat(const std::function<bool()> &condition)
 {
-    const auto end = std::chrono::steady_clock::now() + safetyTime;
-    while (!holds()) {
-        CPPUNIT_ASSERT_MESSAGE("not reached in time", std::chrono::steady_clock::now() < end);
+    const auto deadline = std::chrono::steady_clock::now() + safetyTime;
+    while (!condition()) {
+        CPPUNIT_ASSERT_MESSAGE("condition was not reached in time",
+                               std::chrono::steady_clock::now() < deadline);
         std::this_thread::sleep_for(milliseconds(1));
     }
 }
 
-/// One stand-in engine and a client, both fast.
+/// A stand-in engine, by default faster than a real one, and its client.
 struct engine_fixture
 {
     explicit engine_fixture(standin::engine_options options = fastOptions()) : engine(options)
@@ -65,7 +66,7 @@
     endpoint address;
 };
 
-/// What one caller has got so far.
+/// The part of an answer that one caller has received so far.
 struct received_answer
 {
     std::string text;
--- a/tests/runner/engine_stream_test.cpp
+++ b/tests/runner/engine_stream_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// An engine that answers every request with the same bytes.
+/// An engine that sends the same reply to every request.
 class scripted_engine
 {
 public:
@@ -48,18 +48,18 @@
 class engine_stream_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(engine_stream_test);
-    CPPUNIT_TEST(answersWhole);
-    CPPUNIT_TEST(goesOnAfterACut);
-    CPPUNIT_TEST(misbehavingStreamsAreBroken);
+    CPPUNIT_TEST(completeAnswerIsStreamed);
+    CPPUNIT_TEST(secondTryContinuesACutStream);
+    CPPUNIT_TEST(inconsistentStreamsAreBroken);
     CPPUNIT_TEST(malformedStreamsAreBroken);
-    CPPUNIT_TEST(refusalsAreNotRunOnlyWhenSaid);
+    CPPUNIT_TEST(refusalIsNotRunOnlyIfTheEngineSaysSo);
     CPPUNIT_TEST(wrongModelIsNotRun);
-    CPPUNIT_TEST(nobodyThereIsNotRun);
-    CPPUNIT_TEST(givingUpCancelsAtTheEngine);
+    CPPUNIT_TEST(unreachableEngineIsNotRun);
+    CPPUNIT_TEST(receiverCancelsTheRequestOnTheEngine);
     CPPUNIT_TEST(frozenEngineTimesOut);
     CPPUNIT_TEST_SUITE_END();
 
-    void answersWhole()
+    void completeAnswerIsStreamed()
     {
         engine_fixture fixture;
         received_answer answer;
@@ -71,10 +71,11 @@
         CPPUNIT_ASSERT_EQUAL(standin::standinAnswer(request.prompt, 20), answer.text);
     }
 
-    // The caller sees one whole answer. The engine breaks the connection after 7 tokens, so the
-    // first try is Broken and may have run; a second try names the tokens that came and goes on
-    // behind them. Without the index check a repeat or a gap at the seam would pass unseen.
-    void goesOnAfterACut()
+    // The engine closes the connection after 7 tokens, so the first try fails as Broken and may
+    // have run. A second try sends the received tokens and continues after them; the caller must
+    // get one complete answer. Without the index check, a repeat or a gap where the two tries meet
+    // would go unnoticed.
+    void secondTryContinuesACutStream()
     {
         engine_fixture fixture;
         fixture.engine.setFault({standin::fault_mode::CutNext, 1, 7});
@@ -95,9 +96,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), fixture.engine.records().cut);
     }
 
-    // The caller must never take for whole what isn't its whole answer: a stream that ends well
-    // but without the end event, that names another attempt, or that repeats a token.
-    void misbehavingStreamsAreBroken()
+    // The caller must never get a wrong or partial answer as a complete one: a stream that closes
+    // normally but without the end event, that names another attempt, or that repeats a token.
+    void inconsistentStreamsAreBroken()
     {
         using standin::fault_mode;
         for (const auto mode : {fault_mode::EndEarly, fault_mode::Crossed, fault_mode::Repeat}) {
@@ -140,9 +141,9 @@
         }
     }
 
-    // A bare 503 can come from an engine that dies in the middle of the work. Only a reply that
-    // says that it did not begin may become "not run" at the caller.
-    void refusalsAreNotRunOnlyWhenSaid()
+    // A bare 503 can come from an engine that crashes while it runs the request. Only a reply that
+    // states that the request has not started may be reported as NotRun.
+    void refusalIsNotRunOnlyIfTheEngineSaysSo()
     {
         engine_fixture fixture;
         for (const std::string body : {"", "down", "{\"began\":true}", "{\"began\":0}", "{}"})
@@ -171,7 +172,7 @@
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::NotRun);
     }
 
-    void nobodyThereIsNotRun()
+    void unreachableEngineIsNotRun()
     {
         engine_fixture fixture;
         fixture.engine.stop();
@@ -181,7 +182,7 @@
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::NotRun);
     }
 
-    void givingUpCancelsAtTheEngine()
+    void receiverCancelsTheRequestOnTheEngine()
     {
         auto options = engine_fixture::fastOptions();
         options.speed = 1;
@@ -193,8 +194,8 @@
         awaitThat([&] { return fixture.engine.records().cancelled == 1; });
     }
 
-    // The caller gets its failure at its time limit, not when the engine wakes. The engine is
-    // frozen before the request arrives; as bytes were sent, the verdict can't be "not run".
+    // The engine is frozen before the request arrives. The call must fail at its time limit, not
+    // when the engine resumes; as bytes were sent, the verdict can't be NotRun.
     void frozenEngineTimesOut()
     {
         engine_fixture fixture;
--- a/tests/runner/service_test.cpp
+++ b/tests/runner/service_test.cpp
@@ -39,15 +39,15 @@
 class service_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(service_test);
-    CPPUNIT_TEST(passesRequestsOn);
+    CPPUNIT_TEST(requestIsForwarded);
     CPPUNIT_TEST(lostAnswerMayHaveRun);
-    CPPUNIT_TEST(passesRefusalsOn);
-    CPPUNIT_TEST(goneServiceIsNotRun);
-    CPPUNIT_TEST(dropsConnectionHeaders);
-    CPPUNIT_TEST(countsAsUpWithoutALoadPage);
+    CPPUNIT_TEST(refusalIsForwarded);
+    CPPUNIT_TEST(unreachableServiceIsNotRun);
+    CPPUNIT_TEST(hopByHopHeadersAreDropped);
+    CPPUNIT_TEST(serviceWithoutLoadPathCountsAsUp);
     CPPUNIT_TEST_SUITE_END();
 
-    void passesRequestsOn()
+    void requestIsForwarded()
     {
         service_fixture fixture;
         std::string body;
@@ -59,8 +59,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("k"), fixture.service.records().records.at(0).key);
     }
 
-    // The service books the order and dies before it answers. The caller must not read "not run":
-    // trusting that, it would send the order again and get two.
+    // The service processes the order and crashes before it replies. The verdict must not be
+    // NotRun: the caller would send the order again and it would be processed twice.
     void lostAnswerMayHaveRun()
     {
         service_fixture fixture;
@@ -72,7 +72,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), fixture.service.records().runs);
     }
 
-    void passesRefusalsOn()
+    void refusalIsForwarded()
     {
         service_fixture fixture;
         fixture.service.setFault({standin::service_fault_mode::Refuse, 1});
@@ -82,7 +82,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), fixture.service.records().runs);
     }
 
-    void goneServiceIsNotRun()
+    void unreachableServiceIsNotRun()
     {
         service_fixture fixture;
         fixture.service.stop();
@@ -91,7 +91,7 @@
         CPPUNIT_ASSERT(errorOf(reply).ran == verdict::NotRun);
     }
 
-    void dropsConnectionHeaders()
+    void hopByHopHeadersAreDropped()
     {
         const http_headers headers = {
                 {"Connection", "close, X-Hop"},
@@ -105,7 +105,7 @@
         CPPUNIT_ASSERT(endToEndHeaders(headers) == http_headers({{"X-Kept", "2"}}));
     }
 
-    void countsAsUpWithoutALoadPage()
+    void serviceWithoutLoadPathCountsAsUp()
     {
         service_fixture fixture;
         CPPUNIT_ASSERT(valueOf(fixture.api.load(fixture.address)).life > 0);
