--- a/include/poplarspool/operators/config_files.h
+++ b/include/poplarspool/operators/config_files.h
@@ -12,38 +12,40 @@
 
 namespace poplarspool::operators {
 
-/// One thing wrong in a file.
-struct fault
+/// A syntax or validation error in a configuration file.
+struct diagnostic
 {
     std::string file;
-    std::uint32_t line = 0; ///< From 1.
-    std::uint32_t column = 0;
-    std::string key; ///< Such as "runners[3].zone".
-    std::string message; ///< What is there and what was expected.
+    std::uint32_t line = 0; ///< 1-based.
+    std::uint32_t column = 0; ///< 1-based.
+    std::string key; ///< Path of the key, for example "runners[3].zone".
+    std::string message; ///< States the value found and the value expected.
 
-    bool operator==(const fault &) const = default;
+    bool operator==(const diagnostic &) const = default;
 };
 
 /// @returns `FILE:LINE:COL: KEY: message`.
-std::string lineOf(const fault &found);
+std::string lineOf(const diagnostic &entry);
 
-/// The value, or every fault found in one run.
+/// The parsed value, or all errors found in one pass over the file.
 template <class T>
-using checked = std::variant<T, std::vector<fault>>;
+using parse_result = std::variant<T, std::vector<diagnostic>>;
 
-checked<settings> parseSettings(const std::string &file, std::string_view text);
-checked<gateway::gateway_settings> parseGatewaySettings(const std::string &file,
-                                                        std::string_view text);
-checked<policy::inventory> parseInventory(const std::string &file, std::string_view text);
-checked<policy::rules> parseRules(const std::string &file, std::string_view text);
+parse_result<settings> parseSettings(const std::string &file, std::string_view text);
+parse_result<gateway::gateway_settings> parseGatewaySettings(const std::string &file,
+                                                             std::string_view text);
+parse_result<policy::inventory> parseInventory(const std::string &file, std::string_view text);
+parse_result<policy::rules> parseRules(const std::string &file, std::string_view text);
 
-/// Faults that only show between the two, such as a rule for a pool that isn't there.
-std::vector<fault> checkTogether(const std::string &inventoryFile, std::string_view inventoryText,
-                                 const std::string &rulesFile, std::string_view rulesText);
+/// Checks rules against an inventory, for example that each pool named by a rule exists.
+/// @returns The errors, located in the rules file; empty where one of the files is itself invalid.
+std::vector<diagnostic> checkTogether(const std::string &inventoryFile,
+                                      std::string_view inventoryText, const std::string &rulesFile,
+                                      std::string_view rulesText);
 
 enum class file_kind { Settings, Gateway, Inventory, Rules };
 
-/// @returns By the top-level keys that are there.
+/// @returns The kind of file with the most known top-level keys in `text`.
 file_kind guessKind(std::string_view text);
 
 } // namespace poplarspool::operators
--- a/include/poplarspool/operators/config_store.h
+++ b/include/poplarspool/operators/config_store.h
@@ -11,10 +11,10 @@
 
 namespace poplarspool::operators {
 
-/// One accepted change, as later heads remember it.
+/// An accepted change, as listed in the history of later heads.
 struct config_change
 {
-    std::uint64_t version = 0; ///< Of the head while this change was in force.
+    std::uint64_t version = 0; ///< Version of the head while this change was in force.
     std::string inventorySha;
     std::string rulesSha;
     std::string nonce;
@@ -24,16 +24,18 @@
     bool operator==(const config_change &) const = default;
 };
 
-/// The one object whose replacement is the acceptance of a configuration.
+/// The root object of the configuration in the store. A configuration is accepted once a
+/// conditional write has replaced this object.
 struct config_head
 {
-    std::string inventorySha; ///< SHA-256 of the text; names its body object.
+    std::string inventorySha; ///< SHA-256 of the text; part of the key of its body object.
     std::string rulesSha;
-    std::string nonce; ///< Of the writer: tells a lost answer's own write from another's.
+    /// Chosen by the writer: after a lost reply it tells the writer's own change from another one.
+    std::string nonce;
     std::string author;
     std::int64_t wallMs = 0;
-    /// Newest first, at most config::headHistory: a change that was accepted and replaced since
-    /// can still be told from one that never was.
+    /// Earlier changes, newest first, at most config::headHistory. Distinguishes a change that was
+    /// accepted and has been replaced since from one that was never accepted.
     std::vector<config_change> earlier;
 
     bool operator==(const config_head &) const = default;
@@ -42,7 +44,7 @@
 std::string textOf(const config_head &head);
 result<config_head> parseConfigHead(std::string_view text);
 
-// Keys in the store. Instances watch one prefix: the head and the order records.
+// Keys in the store. Instances watch one prefix, which holds the head and the order records.
 std::string watchedPrefix(const std::string &deployment);
 std::string headKey(const std::string &deployment);
 std::string orderKey(const std::string &deployment, const std::string &runner);
@@ -53,22 +55,24 @@
 {
     std::string inventoryText;
     std::string rulesText;
-    std::string nonce; ///< Same nonce, same change: may be sent again after a lost answer.
+    /// Identifies the change: a request with the same nonce may be sent again after a lost reply.
+    std::string nonce;
     std::string author;
-    std::optional<std::uint64_t> ifVersion; ///< Head that the operator saw; none: the present one.
+    /// Version of the head that the change replaces; without it, the current one.
+    std::optional<std::uint64_t> ifVersion;
 };
 
 struct apply_reply
 {
-    std::uint64_t version = 0; ///< Of the head.
+    std::uint64_t version = 0; ///< Version of the head with this change.
 
     bool operator==(const apply_reply &) const = default;
 };
 
-/// The configuration as it stands in the store.
+/// The accepted configuration, read from the store.
 struct stored_config
 {
-    std::uint64_t version = 0; ///< Of the head; 0 where nothing was accepted yet.
+    std::uint64_t version = 0; ///< Version of the head; 0 before the first accepted change.
     config_head head;
     std::string inventoryText;
     std::string rulesText;
@@ -76,12 +80,14 @@
     bool operator==(const stored_config &) const = default;
 };
 
-/// Reads the head and its bodies, and compares the bodies with their names.
+/// Reads the head and its bodies, and verifies the SHA-256 of each body.
+/// @returns Broken where the head is unreadable or a body does not match its hash.
 result<stored_config> readConfig(platform::object_store &store, const std::string &deployment);
 
-/// Writes bodies, then replaces the head by a conditional update. The texts have been checked.
-/// @returns Conflict (NotRun) that names the other change where another operator was first.
+/// Writes the bodies, then replaces the head with a conditional write. The caller has validated the
+/// texts.
+/// @returns Conflict (NotRun) that describes the other change where another operator was first.
 result<apply_reply> applyConfig(platform::object_store &store, const std::string &deployment,
-                                const apply_request &wanted, mono_time deadline);
+                                const apply_request &request, mono_time deadline);
 
 } // namespace poplarspool::operators
--- a/include/poplarspool/operators/operator_server.h
+++ b/include/poplarspool/operators/operator_server.h
@@ -16,8 +16,8 @@
 
 struct instance_status
 {
-    policy::member who;
-    bool inForce = false; ///< Has the accepted configuration applied.
+    policy::member instance;
+    bool inForce = false; ///< The instance has applied the accepted configuration.
 };
 
 struct runner_status
@@ -34,7 +34,7 @@
     std::uint32_t kvPiecesTotal = 0;
 };
 
-/// What `poplarspool status` shows.
+/// State of the fleet as seen by one instance; printed by `poplarspool status`.
 struct fleet_status
 {
     instance_id answeredBy;
@@ -46,30 +46,32 @@
 };
 
 std::string jsonOf(const fleet_status &status);
-/// @returns Lines for people: accepted version, in force on N of M, instances, runners.
+/// @returns Human-readable text: the accepted version, the number of instances that applied it, and
+///          tables of the instances and the runners.
 std::string textOf(const fleet_status &status);
 
 struct operator_handlers
 {
     std::function<fleet_status()> status;
-    /// Events of all instances that answer, cause before effect.
+    /// Events of all instances that reply, in causal order.
     std::function<std::vector<event>(const event_filter &)> timeline;
     std::function<result<apply_reply>(const apply_request &)> apply;
     /// The accepted configuration, read from the store (readConfig()).
     std::function<result<stored_config>()> config;
 };
 
-/// @returns A /status answer as the commands read it; Broken where it isn't one.
+/// Parses the body of a /status reply.
+/// @returns Broken where the body is not a valid status.
 result<fleet_status> parseFleetStatus(std::string_view json);
 
-/// @returns The listed instances that aren't dead.
-std::size_t countListed(const fleet_status &status);
+/// @returns The number of listed instances that aren't dead.
+std::size_t countLiveInstances(const fleet_status &status);
 
 /// @returns Whether `version` is applied by every listed instance that isn't dead.
 bool isInForce(const fleet_status &status, std::uint64_t version);
 
-/// HTTP for operators, on an address of its own: /status, /timeline, /metrics, /config. Where the
-/// settings name a key, nothing is answered without it.
+/// HTTP server for operators on a separate address: /status, /timeline, /metrics, /config. Where
+/// the settings contain the hash of a key, requests without this bearer key are rejected with 401.
 class operator_server
 {
 public:
--- a/src/app/gateway_command.cpp
+++ b/src/app/gateway_command.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Names the settings file where the command line doesn't.
+/// Environment variable with the path of the settings file, used without --settings.
 constexpr char settingsVariable[] = "POPLARSPOOL_SETTINGS";
 
 std::optional<gateway::gateway_settings> readSettings(const std::string &path, std::ostream &err)
@@ -22,13 +22,13 @@
     const auto text = operators::readFile(path, err);
     if (!text)
         return std::nullopt;
-    auto checked = operators::parseGatewaySettings(path, *text);
-    if (const auto *faults = std::get_if<std::vector<operators::fault>>(&checked)) {
-        for (const operators::fault &found : *faults)
-            err << lineOf(found) << '\n';
+    auto loaded = operators::parseGatewaySettings(path, *text);
+    if (const auto *diagnostics = std::get_if<std::vector<operators::diagnostic>>(&loaded)) {
+        for (const operators::diagnostic &entry : *diagnostics)
+            err << lineOf(entry) << '\n';
         return std::nullopt;
     }
-    return std::get<gateway::gateway_settings>(std::move(checked));
+    return std::get<gateway::gateway_settings>(std::move(loaded));
 }
 
 int serve(const std::string &path, const gateway::gateway_settings &choices, std::ostream &err)
@@ -36,46 +36,48 @@
     prepareProcess();
     setUpLog(choices.logLevel, log_stream::Output);
 
-    adapter::platform_gateway self(choices);
-    const result<unit> started = self.start();
+    adapter::platform_gateway server(choices);
+    const result<unit> started = server.start();
     if (!succeeded(started)) {
         err << "poplarspool gateway: " << nameOf(errorOf(started).code) << ": "
             << errorOf(started).message << '\n';
-        return operators::exitFailed;
+        return operators::exitFailure;
     }
     while (waitForSignal() == process_signal::Reload) {
-        // Broken settings change nothing: the process goes on with those that it has.
-        if (const auto changed = readSettings(path, err))
-            self.noteReload(*changed);
+        // An invalid file is reported and ignored; the current settings stay in effect.
+        if (const auto reloaded = readSettings(path, err))
+            server.noteReload(*reloaded);
     }
-    self.leave();
-    return operators::exitDone;
+    server.leave();
+    return operators::exitSuccess;
 }
 
 } // namespace
 
-int gatewayCommand(const std::vector<std::string> &words, std::ostream &out, std::ostream &err)
+int gatewayCommand(const std::vector<std::string> &arguments, std::ostream &out, std::ostream &err)
 {
     cxxopts::Options options("poplarspool gateway",
-                             "Passes callers' requests on to the runners that the platform's\n"
-                             "store lists. SIGTERM or SIGINT begins a graceful shutdown; SIGHUP\n"
-                             "reads the settings anew. Without --settings, the variable\n"
-                             "POPLARSPOOL_SETTINGS names the file.");
+                             "Forwards callers' requests to the runners listed in the platform's\n"
+                             "store. SIGTERM or SIGINT starts a graceful shutdown; SIGHUP reloads\n"
+                             "the settings. Without --settings, the environment variable\n"
+                             "POPLARSPOOL_SETTINGS gives the path of the file.");
     options.custom_help("[--settings FILE]");
-    options.add_options()("settings", "The instance's settings", cxxopts::value<std::string>(),
-                          "FILE");
-    const operators::words_or_exit parsed = operators::parseWords(options, words, out, err);
+    options.add_options()("settings", "Settings file of the instance",
+                          cxxopts::value<std::string>(), "FILE");
+    const operators::arguments_or_exit_code parsed =
+            operators::parseArguments(options, arguments, out, err);
     if (const int *status = std::get_if<int>(&parsed))
         return *status;
-    const auto &chosen = std::get<cxxopts::ParseResult>(parsed);
-    const char *variable = std::getenv(settingsVariable);
-    if (chosen.count("settings") == 0 && variable == nullptr)
-        return operators::refuseWords(options, "--settings is missing", err);
-    const std::string path = chosen.count("settings") != 0 ? chosen["settings"].as<std::string>()
-                                                           : std::string(variable);
+    const auto &parsedOptions = std::get<cxxopts::ParseResult>(parsed);
+    const char *settingsPath = std::getenv(settingsVariable);
+    if (parsedOptions.count("settings") == 0 && settingsPath == nullptr)
+        return operators::reportUsageError(options, "--settings is missing", err);
+    const std::string path = parsedOptions.count("settings") != 0
+            ? parsedOptions["settings"].as<std::string>()
+            : std::string(settingsPath);
     const auto choices = readSettings(path, err);
     if (!choices)
-        return operators::exitBadWords;
+        return operators::exitInvalidInput;
     return serve(path, *choices, err);
 }
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -16,32 +16,34 @@
 
 using namespace poplarspool;
 
-int versionCommand(const std::vector<std::string> &words, std::ostream &out, std::ostream &err)
+int versionCommand(const std::vector<std::string> &arguments, std::ostream &out, std::ostream &err)
 {
     cxxopts::Options options("poplarspool version", "Prints the program's version.");
     options.custom_help("");
-    const operators::words_or_exit parsed = operators::parseWords(options, words, out, err);
+    const operators::arguments_or_exit_code parsed =
+            operators::parseArguments(options, arguments, out, err);
     if (const int *status = std::get_if<int>(&parsed))
         return *status;
     out << "poplarspool " POPLARSPOOL_VERSION "\n";
-    return operators::exitDone;
+    return operators::exitSuccess;
 }
 
 struct subcommand
 {
     std::string_view name;
-    std::string_view meaning;
+    std::string_view description;
     int (*run)(const std::vector<std::string> &, std::ostream &, std::ostream &);
 };
 
 constexpr std::array subcommands{
         subcommand{"serve", "Run one entry instance", app::serveCommand},
-        subcommand{"gateway", "Run one instance that passes requests on to listed runners",
+        subcommand{"gateway", "Run one gateway instance that forwards requests to listed runners",
                    app::gatewayCommand},
-        subcommand{"check", "Check settings, inventories and rules", operators::checkCommand},
-        subcommand{"apply", "Make an inventory and rules the configuration",
+        subcommand{"check", "Validate settings, inventories and rules", operators::checkCommand},
+        subcommand{"apply", "Apply an inventory and rules as the configuration",
                    operators::applyCommand},
-        subcommand{"status", "Show configuration, instances and runners", operators::statusCommand},
+        subcommand{"status", "Show the configuration, instances and runners",
+                   operators::statusCommand},
         subcommand{"timeline", "Print the events of all instances", operators::timelineCommand},
         subcommand{"version", "Print the program's version", versionCommand},
 };
@@ -52,37 +54,39 @@
 {
     out << "Serves a fixed fleet of model engines and plain services.\n"
            "Usage:\n  poplarspool COMMAND [OPTION...]\n\nCommands:\n";
-    for (const subcommand &one : subcommands)
-        out << "  " << std::left << std::setw(nameWidth) << one.name << one.meaning << '\n';
+    for (const subcommand &command : subcommands)
+        out << "  " << std::left << std::setw(nameWidth) << command.name << command.description
+            << '\n';
     out << "\n`poplarspool COMMAND --help` shows the options of a command.\n";
 }
 
-int run(const std::vector<std::string> &words)
+int run(const std::vector<std::string> &arguments)
 {
-    const std::string first = words.empty() ? std::string() : words.front();
-    if (first == "--help" || first == "-h" || first == "help") {
+    const std::string name = arguments.empty() ? std::string() : arguments.front();
+    if (name == "--help" || name == "-h" || name == "help") {
         printUsage(std::cout);
-        return operators::exitDone;
+        return operators::exitSuccess;
     }
-    const auto found = std::find_if(subcommands.begin(), subcommands.end(),
-                                    [&first](const subcommand &one) { return one.name == first; });
-    if (found == subcommands.end()) {
-        std::cerr << "poplarspool: " << (first.empty() ? "no command" : "unknown command: " + first)
+    const auto match =
+            std::find_if(subcommands.begin(), subcommands.end(),
+                         [&name](const subcommand &command) { return command.name == name; });
+    if (match == subcommands.end()) {
+        std::cerr << "poplarspool: " << (name.empty() ? "no command" : "unknown command: " + name)
                   << "\n\n";
         printUsage(std::cerr);
-        return operators::exitBadWords;
+        return operators::exitInvalidInput;
     }
-    return found->run({words.begin() + 1, words.end()}, std::cout, std::cerr);
+    return match->run({arguments.begin() + 1, arguments.end()}, std::cout, std::cerr);
 }
 
 } // namespace
 
-int main(int count, char **words)
+int main(int argc, char **argv)
 {
     try {
-        return run({words + std::min(count, 1), words + count});
+        return run({argv + std::min(argc, 1), argv + argc});
     } catch (const std::exception &failure) {
         std::cerr << "poplarspool: " << failure.what() << '\n';
-        return operators::exitFailed;
+        return operators::exitFailure;
     }
 }
--- a/src/app/process.cpp
+++ b/src/app/process.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Each arena keeps the memory that its threads freed; with a thread per connection there would be
-/// many.
+/// Limits the number of malloc arenas. Each arena retains the memory that its threads freed, and
+/// with one thread per connection glibc would create many arenas.
 constexpr int mallocArenas = 2;
 
 } // namespace
@@ -18,7 +18,8 @@
 void prepareProcess()
 {
     blockSignals();
-    // A caller that goes away in the middle of a write must cost that write only, not the process.
+    // When a caller disconnects during a write, only that write must fail; by default SIGPIPE would
+    // end the process.
     std::signal(SIGPIPE, SIG_IGN);
     mallopt(M_ARENA_MAX, mallocArenas);
 }
--- a/src/app/process.h
+++ b/src/app/process.h
@@ -2,8 +2,8 @@
 
 namespace poplarspool::app {
 
-/// Sets up what all serving commands share: signals, memory arenas.
-/// @attention Before any thread is started.
+/// Sets up signal handling and memory arenas for the commands that run a server.
+/// @attention Call before any thread is started.
 void prepareProcess();
 
 } // namespace poplarspool::app
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -17,54 +17,57 @@
     prepareProcess();
     setUpLog(choices.logLevel, log_stream::Error);
 
-    node::instance self(choices);
-    const result<unit> started = self.start();
+    node::instance instance(choices);
+    const result<unit> started = instance.start();
     if (!succeeded(started)) {
         err << "poplarspool serve: " << nameOf(errorOf(started).code) << ": "
             << errorOf(started).message << '\n';
-        return operators::exitFailed;
+        return operators::exitFailure;
     }
     out << "instance=" << choices.instance.text << " zone=" << choices.zone.text
         << " callers=" << textOf(choices.callerAddress)
         << " operators=" << textOf(choices.operatorAddress)
         << " peers=" << textOf(choices.peerAddress) << std::endl;
 
-    // Settings are read at the start only; the signal must not end the process.
+    // Settings are read only at startup. SIGHUP is recorded as ignored and must not end the
+    // process.
     while (waitForSignal() == process_signal::Reload)
-        self.noteReload();
-    self.leave();
-    self.wait();
-    return operators::exitDone;
+        instance.noteReload();
+    instance.leave();
+    instance.wait();
+    return operators::exitSuccess;
 }
 
 } // namespace
 
-int serveCommand(const std::vector<std::string> &words, std::ostream &out, std::ostream &err)
+int serveCommand(const std::vector<std::string> &arguments, std::ostream &out, std::ostream &err)
 {
     cxxopts::Options options("poplarspool serve",
-                             "Runs one entry instance. SIGTERM or SIGINT begins a graceful\n"
-                             "shutdown: no new callers are sent here, running requests finish.");
+                             "Runs one entry instance. SIGTERM or SIGINT starts a graceful\n"
+                             "shutdown: callers are directed to other instances, and running\n"
+                             "requests finish.");
     options.custom_help("--settings FILE");
-    options.add_options()("settings", "The instance's settings", cxxopts::value<std::string>(),
-                          "FILE");
-    const operators::words_or_exit parsed = operators::parseWords(options, words, out, err);
+    options.add_options()("settings", "Settings file of the instance",
+                          cxxopts::value<std::string>(), "FILE");
+    const operators::arguments_or_exit_code parsed =
+            operators::parseArguments(options, arguments, out, err);
     if (const int *status = std::get_if<int>(&parsed))
         return *status;
-    const auto &chosen = std::get<cxxopts::ParseResult>(parsed);
-    if (chosen.count("settings") == 0)
-        return operators::refuseWords(options, "--settings is missing", err);
+    const auto &parsedOptions = std::get<cxxopts::ParseResult>(parsed);
+    if (parsedOptions.count("settings") == 0)
+        return operators::reportUsageError(options, "--settings is missing", err);
 
-    const std::string path = chosen["settings"].as<std::string>();
+    const std::string path = parsedOptions["settings"].as<std::string>();
     const auto text = operators::readFile(path, err);
     if (!text)
-        return operators::exitFailed;
-    const auto checked = operators::parseSettings(path, *text);
-    if (const auto *faults = std::get_if<std::vector<operators::fault>>(&checked)) {
-        for (const operators::fault &found : *faults)
-            err << lineOf(found) << '\n';
-        return operators::exitBadWords;
+        return operators::exitFailure;
+    const auto loaded = operators::parseSettings(path, *text);
+    if (const auto *diagnostics = std::get_if<std::vector<operators::diagnostic>>(&loaded)) {
+        for (const operators::diagnostic &entry : *diagnostics)
+            err << lineOf(entry) << '\n';
+        return operators::exitInvalidInput;
     }
-    return serve(std::get<settings>(checked), out, err);
+    return serve(std::get<settings>(loaded), out, err);
 }
 
 } // namespace poplarspool::app
--- a/src/operators/apply_command.cpp
+++ b/src/operators/apply_command.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds statusPollTime{200};
+constexpr std::chrono::milliseconds statusPollInterval{200};
 
-/// One run of the command, its words read.
-struct apply_run
+/// What the steps of one command run share.
+struct apply_context
 {
     const cxxopts::Options &options;
     operator_client &client;
@@ -30,112 +30,118 @@
 {
     cxxopts::Options options(
             "poplarspool apply",
-            "Checks an inventory and rules, and makes them the configuration of\n"
-            "all instances. Exit status: 0 accepted (with --wait: in force\n"
-            "everywhere), 1 not, or not known to be, 2 bad words or faulty files.");
+            "Validates an inventory and rules, and applies them as the configuration\n"
+            "of all instances. Exit status: 0 accepted (with --wait: in force on all\n"
+            "instances), 1 not accepted or unknown, 2 invalid arguments or files.");
     options.custom_help("--to IP:PORT --inventory FILE --rules FILE [OPTION...]");
     addClientOptions(options);
-    const auto text = [&options](const char *name, const char *meaning, const char *value) {
-        options.add_options()(name, meaning, cxxopts::value<std::string>(), value);
+    const auto text = [&options](const char *name, const char *description, const char *value) {
+        options.add_options()(name, description, cxxopts::value<std::string>(), value);
     };
-    text("inventory", "The inventory", "FILE");
-    text("rules", "The rules", "FILE");
-    text("author", "Who makes the change (default: the user)", "NAME");
-    text("nonce", "Names the change, to send the same one again (default: random)", "TEXT");
-    options.add_options()("if-version",
-                          "Only if this version is in place (default: the one at the start)",
-                          cxxopts::value<std::uint64_t>(), "N");
-    options.add_options()("wait", "Wait at most so long until it is in force everywhere",
+    text("inventory", "Inventory file", "FILE");
+    text("rules", "Rules file", "FILE");
+    text("author", "Author of the change (default: $USER)", "NAME");
+    text("nonce", "Identifies the change; needed to send the same one again (default: random)",
+         "TEXT");
+    options.add_options()(
+            "if-version",
+            "Apply only if this is the current version (default: the version read at the start)",
+            cxxopts::value<std::uint64_t>(), "N");
+    options.add_options()("wait", "Maximum time to wait until it is in force on all instances",
                           cxxopts::value<std::uint32_t>(), "SECONDS");
     return options;
 }
 
-std::string userName()
+std::string defaultAuthor()
 {
-    // Read once, before this command starts any thread.
+    // getenv() isn't thread-safe; this is called before the command starts any thread.
     const char *user = std::getenv("USER"); // NOLINT(concurrency-mt-unsafe)
     return user && *user ? user : "operator";
 }
 
-std::string textOr(const cxxopts::ParseResult &words, const std::string &name,
+std::string textOr(const cxxopts::ParseResult &arguments, const std::string &name,
                    const std::string &fallback)
 {
-    return words.count(name) != 0 ? words[name].as<std::string>() : fallback;
+    return arguments.count(name) != 0 ? arguments[name].as<std::string>() : fallback;
 }
 
-std::vector<fault> checkLocally(const std::string &inventoryFile, const std::string &rulesFile,
-                                const apply_request &wanted)
+std::vector<diagnostic> checkLocally(const std::string &inventoryFile, const std::string &rulesFile,
+                                     const apply_request &request)
 {
-    std::vector<fault> faults;
-    const auto collect = [&faults](const auto &outcome) {
-        if (const auto *found = std::get_if<std::vector<fault>>(&outcome))
-            faults.insert(faults.end(), found->begin(), found->end());
+    std::vector<diagnostic> diagnostics;
+    const auto collect = [&diagnostics](const auto &outcome) {
+        if (const auto *errors = std::get_if<std::vector<diagnostic>>(&outcome))
+            diagnostics.insert(diagnostics.end(), errors->begin(), errors->end());
     };
-    collect(parseInventory(inventoryFile, wanted.inventoryText));
-    collect(parseRules(rulesFile, wanted.rulesText));
-    if (faults.empty())
-        faults = checkTogether(inventoryFile, wanted.inventoryText, rulesFile, wanted.rulesText);
-    return faults;
+    collect(parseInventory(inventoryFile, request.inventoryText));
+    collect(parseRules(rulesFile, request.rulesText));
+    if (diagnostics.empty())
+        diagnostics =
+                checkTogether(inventoryFile, request.inventoryText, rulesFile, request.rulesText);
+    return diagnostics;
 }
 
-int printFaults(const std::vector<fault> &faults, std::ostream &out)
+int printDiagnostics(const std::vector<diagnostic> &diagnostics, std::ostream &out)
 {
-    for (const fault &found : faults)
-        out << lineOf(found) << '\n';
-    return exitBadWords;
+    for (const diagnostic &entry : diagnostics)
+        out << lineOf(entry) << '\n';
+    return exitInvalidInput;
 }
 
 result<http_reply> get(operator_client &client, const std::string &path)
 {
-    http_request request;
-    request.path = path;
-    result<http_reply> reply = client.call(request);
+    http_request httpRequest;
+    httpRequest.path = path;
+    result<http_reply> reply = client.call(httpRequest);
     if (succeeded(reply) && valueOf(reply).status != 200)
         return errorOfReply(valueOf(reply));
     return reply;
 }
 
-/// Ties the change to the configuration that is there now. All tries then replace this very one: a
-/// try that is sent again after a lost answer can't undo what someone else changed in between.
-result<unit> pinVersion(operator_client &client, apply_request &wanted)
+/// Makes the change conditional on the current version. Every try then replaces this version only:
+/// a try that is repeated after a lost reply can't overwrite a change accepted in the meantime.
+result<unit> pinVersion(operator_client &client, apply_request &request)
 {
     const result<http_reply> reply = get(client, "/config");
     if (!succeeded(reply))
         return errorOf(reply);
-    const result<stored_config> present = parseStoredConfig(valueOf(reply).body);
-    if (!succeeded(present))
-        return errorOf(present);
-    wanted.ifVersion = valueOf(present).version;
+    const result<stored_config> current = parseStoredConfig(valueOf(reply).body);
+    if (!succeeded(current))
+        return errorOf(current);
+    request.ifVersion = valueOf(current).version;
     return unit{};
 }
 
-/// @returns The accepted version, or the status to exit with.
-std::variant<std::uint64_t, int> send(const apply_run &run, const apply_request &wanted)
+/// Sends the change to the first instance that gives a final reply.
+/// @returns The accepted version, or the exit status.
+std::variant<std::uint64_t, int> sendChange(const apply_context &context,
+                                            const apply_request &request)
 {
-    http_request request;
-    request.method = "POST";
-    request.path = "/config";
-    request.contentType = "application/json";
-    request.body = textOf(wanted);
-    const result<http_reply> reply = run.client.call(request);
+    http_request httpRequest;
+    httpRequest.method = "POST";
+    httpRequest.path = "/config";
+    httpRequest.contentType = "application/json";
+    httpRequest.body = textOf(request);
+    const result<http_reply> reply = context.client.call(httpRequest);
     if (!succeeded(reply)) {
-        const int status = reportFailure(run.options, errorOf(reply), run.err);
+        const int status = reportFailure(context.options, errorOf(reply), context.err);
         if (errorOf(reply).ran == verdict::MayHaveRun)
-            run.err << "Whether it was accepted is not known. The same change again: add --nonce "
-                    << wanted.nonce << " --if-version " << *wanted.ifVersion << '\n';
+            context.err << "It is unknown whether the change was accepted. To send the same change "
+                           "again, add --nonce "
+                        << request.nonce << " --if-version " << *request.ifVersion << '\n';
         return status;
     }
-    const http_reply &answer = valueOf(reply);
-    if (const auto faults = parseFaults(answer.body); !faults.empty())
-        return printFaults(faults, run.out);
-    const result<apply_reply> accepted = parseApplyReply(answer.body);
-    if (answer.status != 200 || !succeeded(accepted))
-        return reportFailure(run.options, errorOfReply(answer), run.err);
+    const http_reply &response = valueOf(reply);
+    if (const auto diagnostics = parseDiagnostics(response.body); !diagnostics.empty())
+        return printDiagnostics(diagnostics, context.out);
+    const result<apply_reply> accepted = parseApplyReply(response.body);
+    if (response.status != 200 || !succeeded(accepted))
+        return reportFailure(context.options, errorOfReply(response), context.err);
     return valueOf(accepted).version;
 }
 
-/// @returns The status as the first instance that answers sees it.
-result<fleet_status> askStatus(operator_client &client)
+/// @returns The fleet status as seen by the first instance that replies.
+result<fleet_status> fetchStatus(operator_client &client)
 {
     const result<http_reply> reply = get(client, "/status");
     if (!succeeded(reply))
@@ -143,83 +149,90 @@
     return parseFleetStatus(valueOf(reply).body);
 }
 
-std::string laggards(const fleet_status &fleet)
+std::string instancesNotInForce(const fleet_status &fleet)
 {
     std::string names;
-    for (const instance_status &one : fleet.instances) {
-        if (!one.inForce && one.who.state != policy::member_state::Dead)
-            names.append(" ").append(one.who.id.text);
+    for (const instance_status &entry : fleet.instances) {
+        if (!entry.inForce && entry.instance.state != policy::member_state::Dead)
+            names.append(" ").append(entry.instance.id.text);
     }
     return names;
 }
 
-int waitUntilInForce(const apply_run &run, std::uint64_t version, std::chrono::seconds most)
+int waitUntilInForce(const apply_context &context, std::uint64_t version,
+                     std::chrono::seconds timeout)
 {
-    const auto deadline = std::chrono::steady_clock::now() + most;
-    std::string missing;
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
+    std::string pending;
     do {
-        const result<fleet_status> fleet = askStatus(run.client);
+        const result<fleet_status> fleet = fetchStatus(context.client);
         if (succeeded(fleet) && isInForce(valueOf(fleet), version)) {
-            run.out << "version " << version << " in force on all " << countListed(valueOf(fleet))
-                    << " instances that " << valueOf(fleet).answeredBy.text << " knows\n";
-            return exitDone;
+            context.out << "version " << version << " in force on all "
+                        << countLiveInstances(valueOf(fleet)) << " instances that "
+                        << valueOf(fleet).answeredBy.text << " knows\n";
+            return exitSuccess;
         }
-        missing = succeeded(fleet) ? laggards(valueOf(fleet)) : ' ' + errorOf(fleet).message;
-        std::this_thread::sleep_for(statusPollTime);
+        pending = succeeded(fleet) ? instancesNotInForce(valueOf(fleet))
+                                   : ' ' + errorOf(fleet).message;
+        std::this_thread::sleep_for(statusPollInterval);
     } while (std::chrono::steady_clock::now() < deadline);
-    run.err << run.options.program() << ": version " << version
-            << " is accepted but not in force everywhere; missing:" << missing << '\n';
-    return exitFailed;
+    context.err << context.options.program() << ": version " << version
+                << " is accepted but not in force everywhere; missing:" << pending << '\n';
+    return exitFailure;
 }
 
-int applyChange(const apply_run &run, const cxxopts::ParseResult &words, apply_request wanted)
+int applyChange(const apply_context &context, const cxxopts::ParseResult &arguments,
+                apply_request request)
 {
-    if (words.count("if-version") != 0) {
-        wanted.ifVersion = words["if-version"].as<std::uint64_t>();
+    if (arguments.count("if-version") != 0) {
+        request.ifVersion = arguments["if-version"].as<std::uint64_t>();
     } else {
-        const result<unit> pinned = pinVersion(run.client, wanted);
+        const result<unit> pinned = pinVersion(context.client, request);
         if (!succeeded(pinned))
-            return reportFailure(run.options, errorOf(pinned), run.err);
+            return reportFailure(context.options, errorOf(pinned), context.err);
     }
-    const auto sent = send(run, wanted);
+    const auto sent = sendChange(context, request);
     if (const int *status = std::get_if<int>(&sent))
         return *status;
     const std::uint64_t version = std::get<std::uint64_t>(sent);
-    run.out << "accepted as version " << version << '\n';
-    if (words.count("wait") == 0)
-        return exitDone;
-    return waitUntilInForce(run, version, std::chrono::seconds(words["wait"].as<std::uint32_t>()));
+    context.out << "accepted as version " << version << '\n';
+    if (arguments.count("wait") == 0)
+        return exitSuccess;
+    return waitUntilInForce(context, version,
+                            std::chrono::seconds(arguments["wait"].as<std::uint32_t>()));
 }
 
 } // namespace
 
-int applyCommand(const std::vector<std::string> &words, std::ostream &out, std::ostream &err)
+int applyCommand(const std::vector<std::string> &arguments, std::ostream &out, std::ostream &err)
 {
     cxxopts::Options options = applyOptions();
-    const words_or_exit parsed = parseWords(options, words, out, err);
+    const arguments_or_exit_code parsed = parseArguments(options, arguments, out, err);
     if (const int *status = std::get_if<int>(&parsed))
         return *status;
-    const auto &chosen = std::get<cxxopts::ParseResult>(parsed);
+    const auto &parsedOptions = std::get<cxxopts::ParseResult>(parsed);
     for (const char *name : {"inventory", "rules"}) {
-        if (chosen.count(name) == 0)
-            return refuseWords(options, std::string("--") + name + " is missing", err);
+        if (parsedOptions.count(name) == 0)
+            return reportUsageError(options, std::string("--") + name + " is missing", err);
     }
-    const auto client = clientOf(options, chosen, err);
+    const auto client = makeClient(options, parsedOptions, err);
     if (const int *status = std::get_if<int>(&client))
         return *status;
 
-    const std::string inventoryFile = chosen["inventory"].as<std::string>();
-    const std::string rulesFile = chosen["rules"].as<std::string>();
+    const std::string inventoryFile = parsedOptions["inventory"].as<std::string>();
+    const std::string rulesFile = parsedOptions["rules"].as<std::string>();
     const auto inventoryText = readFile(inventoryFile, err);
     const auto rulesText = readFile(rulesFile, err);
     if (!inventoryText || !rulesText)
-        return exitFailed;
-    apply_request wanted{*inventoryText, *rulesText, textOr(chosen, "nonce", randomHex128()),
-                         textOr(chosen, "author", userName()), std::nullopt};
-    if (const auto faults = checkLocally(inventoryFile, rulesFile, wanted); !faults.empty())
-        return printFaults(faults, out);
-    const auto &asked = std::get<std::unique_ptr<operator_client>>(client);
-    return applyChange({options, *asked, out, err}, chosen, std::move(wanted));
+        return exitFailure;
+    apply_request request{*inventoryText, *rulesText,
+                          textOr(parsedOptions, "nonce", randomHex128()),
+                          textOr(parsedOptions, "author", defaultAuthor()), std::nullopt};
+    if (const auto diagnostics = checkLocally(inventoryFile, rulesFile, request);
+        !diagnostics.empty())
+        return printDiagnostics(diagnostics, out);
+    const auto &operatorClient = std::get<std::unique_ptr<operator_client>>(client);
+    return applyChange({options, *operatorClient, out, err}, parsedOptions, std::move(request));
 }
 
 } // namespace poplarspool::operators
--- a/src/operators/command_line.cpp
+++ b/src/operators/command_line.cpp
@@ -8,32 +8,33 @@
 
 namespace poplarspool::operators {
 
-words_or_exit parseWords(cxxopts::Options &options, const std::vector<std::string> &words,
-                         std::ostream &out, std::ostream &err)
+arguments_or_exit_code parseArguments(cxxopts::Options &options,
+                                      const std::vector<std::string> &arguments, std::ostream &out,
+                                      std::ostream &err)
 {
     options.add_options()("h,help", "Print this help");
-    std::vector<const char *> arguments{options.program().c_str()};
-    for (const std::string &word : words)
-        arguments.push_back(word.c_str());
+    std::vector<const char *> argv{options.program().c_str()};
+    for (const std::string &argument : arguments)
+        argv.push_back(argument.c_str());
     try {
-        cxxopts::ParseResult parsed =
-                options.parse(static_cast<int>(arguments.size()), arguments.data());
+        cxxopts::ParseResult parsed = options.parse(static_cast<int>(argv.size()), argv.data());
         if (parsed.count("help") != 0) {
             out << options.help({""});
-            return exitDone;
+            return exitSuccess;
         }
         if (!parsed.unmatched().empty())
-            return refuseWords(options, "unknown word: " + parsed.unmatched().front(), err);
+            return reportUsageError(options, "unexpected argument: " + parsed.unmatched().front(),
+                                    err);
         return parsed;
     } catch (const cxxopts::exceptions::exception &failure) {
-        return refuseWords(options, failure.what(), err);
+        return reportUsageError(options, failure.what(), err);
     }
 }
 
-int refuseWords(const cxxopts::Options &options, const std::string &reason, std::ostream &err)
+int reportUsageError(const cxxopts::Options &options, const std::string &reason, std::ostream &err)
 {
     err << options.program() << ": " << reason << "\n\n" << options.help({""});
-    return exitBadWords;
+    return exitInvalidInput;
 }
 
 std::optional<std::string> readFile(const std::string &path, std::ostream &err)
--- a/src/operators/command_line.h
+++ b/src/operators/command_line.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Options need no regular expressions, and g++ 12 takes libstdc++'s for uninitialized memory under
-// AddressSanitizer.
+// The options need no regular expressions, and under AddressSanitizer g++ 12 reports uninitialized
+// memory in libstdc++'s <regex>.
 #ifndef CXXOPTS_NO_REGEX
 #define CXXOPTS_NO_REGEX
 #endif
@@ -12,24 +12,26 @@
 #include <variant>
 #include <vector>
 
-/// What the subcommands share: words, files, exit statuses.
+/// Shared by the subcommands: argument parsing, file reading and exit statuses.
 namespace poplarspool::operators {
 
-inline constexpr int exitDone = 0;
-inline constexpr int exitFailed = 1;
-inline constexpr int exitBadWords = 2;
+inline constexpr int exitSuccess = 0;
+inline constexpr int exitFailure = 1;
+inline constexpr int exitInvalidInput = 2; ///< Invalid arguments or invalid files.
 
-/// The parsed words, or the status to exit with: help was asked for, or a word is unknown.
-using words_or_exit = std::variant<cxxopts::ParseResult, int>;
+/// The parsed arguments, or the exit status where help was printed or the arguments are invalid.
+using arguments_or_exit_code = std::variant<cxxopts::ParseResult, int>;
 
-/// Adds --help, parses, and prints help or what is wrong with the words.
-words_or_exit parseWords(cxxopts::Options &options, const std::vector<std::string> &words,
-                         std::ostream &out, std::ostream &err);
+/// Adds --help and parses the arguments. Prints the help or a usage error.
+arguments_or_exit_code parseArguments(cxxopts::Options &options,
+                                      const std::vector<std::string> &arguments, std::ostream &out,
+                                      std::ostream &err);
 
-/// Says what is wrong with the words, and how they go.
-int refuseWords(const cxxopts::Options &options, const std::string &reason, std::ostream &err);
+/// Prints the reason and the usage.
+/// @returns exitInvalidInput.
+int reportUsageError(const cxxopts::Options &options, const std::string &reason, std::ostream &err);
 
-/// @returns None where the file can't be read; says so.
+/// @returns The content; nullopt, after an error message, where the file can't be read.
 std::optional<std::string> readFile(const std::string &path, std::ostream &err);
 
 } // namespace poplarspool::operators
--- a/src/operators/config_diff.cpp
+++ b/src/operators/config_diff.cpp
@@ -15,10 +15,10 @@
 {
     std::vector<std::string> entries;
 
-    void came(std::string_view label, std::string_view name) { add('+', label, name); }
-    void went(std::string_view label, std::string_view name) { add('-', label, name); }
+    void added(std::string_view label, std::string_view name) { add('+', label, name); }
+    void removed(std::string_view label, std::string_view name) { add('-', label, name); }
     void changed(std::string_view label, std::string_view name) { add('~', label, name); }
-    void changedKey(std::string_view key) { entries.push_back('~' + std::string(key)); }
+    void keyChanged(std::string_view key) { entries.push_back('~' + std::string(key)); }
 
 private:
     void add(char sign, std::string_view label, std::string_view name)
@@ -29,19 +29,21 @@
     }
 };
 
-/// @param keyOf Names an item; @param changeOf says in which keys two of one name differ.
-template <class Item, class KeyOf, class ChangeOf>
+/// Compares two lists of named items.
+/// @param nameOf Returns the name of an item.
+/// @param changeOf Returns the keys in which two items of the same name differ.
+template <class Item, class NameOf, class ChangeOf>
 void compareItems(diff_list &diff, const std::string &label, const std::vector<Item> &from,
-                  const std::vector<Item> &to, KeyOf keyOf, ChangeOf changeOf)
+                  const std::vector<Item> &to, NameOf nameOf, ChangeOf changeOf)
 {
     std::map<std::string, const Item *> before;
     for (const Item &item : from)
-        before.emplace(keyOf(item), &item);
+        before.emplace(nameOf(item), &item);
     for (const Item &item : to) {
-        const std::string key = keyOf(item);
+        const std::string key = nameOf(item);
         const auto old = before.find(key);
         if (old == before.end()) {
-            diff.came(label, key);
+            diff.added(label, key);
             continue;
         }
         if (!(*old->second == item))
@@ -49,7 +51,7 @@
         before.erase(old);
     }
     for (const auto &[key, item] : before)
-        diff.went(label, key);
+        diff.removed(label, key);
 }
 
 std::string runnerChange(const runner_spec &from, const runner_spec &to)
@@ -86,17 +88,17 @@
 const auto idText = [](const auto &item) { return item.id.text; };
 const auto nameText = [](const auto &item) { return item.name; };
 
-void compareFleets(diff_list &diff, const policy::inventory &from, const policy::inventory &to)
+void compareInventories(diff_list &diff, const policy::inventory &from, const policy::inventory &to)
 {
     if (from.deployment != to.deployment)
-        diff.changedKey("deployment");
+        diff.keyChanged("deployment");
     if (from.zones != to.zones)
-        diff.changedKey("zones");
+        diff.keyChanged("zones");
     compareItems(diff, "pool", from.pools, to.pools, idText, noDetail<policy::pool_spec>);
     compareItems(diff, "runner", from.runners, to.runners, idText, runnerChange);
 }
 
-void compareBooks(diff_list &diff, const policy::rules &from, const policy::rules &to)
+void compareRules(diff_list &diff, const policy::rules &from, const policy::rules &to)
 {
     compareItems(diff, "class", from.classes, to.classes, nameText,
                  noDetail<policy::priority_class>);
@@ -106,13 +108,13 @@
     const auto poolText = [](const policy::plan_rule &plan) { return plan.pool.text; };
     compareItems(diff, "plan", from.plans, to.plans, poolText, noDetail<policy::plan_rule>);
     if (from.addressKeepTime != to.addressKeepTime)
-        diff.changedKey("address_keep_seconds");
+        diff.keyChanged("address_keep_seconds");
     if (from.claimKeepTime != to.claimKeepTime)
-        diff.changedKey("claim_keep_seconds");
+        diff.keyChanged("claim_keep_seconds");
     if (from.retryShare != to.retryShare)
-        diff.changedKey("retry_share");
+        diff.keyChanged("retry_share");
     if (from.drainTime != to.drainTime)
-        diff.changedKey("drain_seconds");
+        diff.keyChanged("drain_seconds");
 }
 
 } // namespace
@@ -120,11 +122,12 @@
 std::vector<std::string> differences(const configuration &from, const configuration &to)
 {
     diff_list diff;
-    compareFleets(diff, from.fleet, to.fleet);
-    compareBooks(diff, from.book, to.book);
-    // Equal sets may stand in another order, which counts for classes and request rules.
+    compareInventories(diff, from.fleet, to.fleet);
+    compareRules(diff, from.ruleSet, to.ruleSet);
+    // The items may be equal but ordered differently; the order of classes and of request rules has
+    // a meaning.
     if (diff.entries.empty() && !(from == to))
-        diff.changedKey("order of classes or requests");
+        diff.keyChanged("order of classes or requests");
     return diff.entries;
 }
 
--- a/src/operators/config_diff.h
+++ b/src/operators/config_diff.h
@@ -6,22 +6,23 @@
 #include <string>
 #include <vector>
 
-/// What differs between two configurations, short enough for a message.
+/// Differences between two configurations, short enough for an error message.
 namespace poplarspool::operators {
 
 struct configuration
 {
     policy::inventory fleet;
-    policy::rules book;
+    policy::rules ruleSet;
 
     bool operator==(const configuration &) const = default;
 };
 
-/// @returns One entry per difference: "+runner a" (came), "-runner b" (went) or "~runner c
-///          (draining)" (changed, with the keys that did).
+/// @returns One entry per difference: "+runner a" (added), "-runner b" (removed) or "~runner c
+///          (draining)" (changed, with the changed keys).
 std::vector<std::string> differences(const configuration &from, const configuration &to);
 
-/// @returns The first few differences in one line; "nothing" where there are none.
+/// @returns The first few differences in one line and the number of the others; "nothing" where
+///          there are none.
 std::string summaryOf(const std::vector<std::string> &differences);
 
 } // namespace poplarspool::operators
--- a/src/operators/config_files.cpp
+++ b/src/operators/config_files.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool knows(const std::vector<key_row> &rows, std::string_view name)
+bool isKnown(const std::vector<key_row> &rows, std::string_view name)
 {
     return std::any_of(rows.begin(), rows.end(), [name](const key_row &row) {
         const std::string_view key = row.key;
@@ -23,16 +23,16 @@
     const std::vector<key_row> rows = rowsOfKind(kind);
     std::size_t known = 0;
     for (const auto &[name, node] : root)
-        known += knows(rows, name.str()) ? 1 : 0;
+        known += isKnown(rows, name.str()) ? 1 : 0;
     return known;
 }
 
 } // namespace
 
-std::string lineOf(const fault &found)
+std::string lineOf(const diagnostic &entry)
 {
-    return found.file + ':' + std::to_string(found.line) + ':' + std::to_string(found.column) + ": "
-            + found.key + ": " + found.message;
+    return entry.file + ':' + std::to_string(entry.line) + ':' + std::to_string(entry.column) + ": "
+            + entry.key + ": " + entry.message;
 }
 
 std::string_view nameOf(file_kind kind)
@@ -67,7 +67,7 @@
 
 file_kind guessKind(std::string_view text)
 {
-    fault_sink ignored("");
+    diagnostic_sink ignored("");
     const toml::table root = parseToml(text, ignored);
     file_kind best = file_kind::Settings;
     for (const file_kind kind : {file_kind::Gateway, file_kind::Inventory, file_kind::Rules}) {
@@ -77,18 +77,20 @@
     return best;
 }
 
-std::vector<fault> checkTogether(const std::string &inventoryFile, std::string_view inventoryText,
-                                 const std::string &rulesFile, std::string_view rulesText)
+std::vector<diagnostic> checkTogether(const std::string &inventoryFile,
+                                      std::string_view inventoryText, const std::string &rulesFile,
+                                      std::string_view rulesText)
 {
-    const checked<policy::inventory> fleet = parseInventory(inventoryFile, inventoryText);
-    const checked<policy::rules> book = parseRules(rulesFile, rulesText);
+    const parse_result<policy::inventory> fleet = parseInventory(inventoryFile, inventoryText);
+    const parse_result<policy::rules> ruleSet = parseRules(rulesFile, rulesText);
     if (!std::holds_alternative<policy::inventory>(fleet)
-        || !std::holds_alternative<policy::rules>(book))
+        || !std::holds_alternative<policy::rules>(ruleSet))
         return {};
-    fault_sink faults(rulesFile);
-    const toml::table root = parseToml(rulesText, faults);
-    checkRulesFor(std::get<policy::inventory>(fleet), std::get<policy::rules>(book), root, faults);
-    return faults.sorted();
+    diagnostic_sink diagnostics(rulesFile);
+    const toml::table root = parseToml(rulesText, diagnostics);
+    checkRulesAgainst(std::get<policy::inventory>(fleet), std::get<policy::rules>(ruleSet), root,
+                      diagnostics);
+    return diagnostics.sorted();
 }
 
 } // namespace poplarspool::operators
--- a/src/operators/config_head.cpp
+++ b/src/operators/config_head.cpp
@@ -56,7 +56,7 @@
         return head;
     } catch (const json::exception &failure) {
         return notRun(error_code::Broken,
-                      std::string("the configuration's head is unreadable: ") + failure.what());
+                      std::string("cannot parse the configuration head: ") + failure.what());
     }
 }
 
--- a/src/operators/config_store.cpp
+++ b/src/operators/config_store.cpp
@@ -16,50 +16,51 @@
 
 using platform::object_store;
 
-/// The head as it was read; version 0 where there is none yet.
-struct present_head
+/// The head as read from the store; version 0 where none exists yet.
+struct current_head
 {
     std::uint64_t version = 0;
     config_head head;
 };
 
-result<present_head> readHead(object_store &store, const std::string &deployment)
+result<current_head> readHead(object_store &store, const std::string &deployment)
 {
     const result<platform::object> found = store.get(headKey(deployment));
     if (!succeeded(found)) {
         if (errorOf(found).code == error_code::NotFound)
-            return present_head{};
+            return current_head{};
         return errorOf(found);
     }
     const result<config_head> head = parseConfigHead(valueOf(found).value);
     if (!succeeded(head))
         return errorOf(head);
-    return present_head{valueOf(found).version, valueOf(head)};
+    return current_head{valueOf(found).version, valueOf(head)};
 }
 
-config_change changeOf(const present_head &present)
+config_change changeOf(const current_head &current)
 {
-    const config_head &head = present.head;
-    return {present.version, head.inventorySha, head.rulesSha,
+    const config_head &head = current.head;
+    return {current.version, head.inventorySha, head.rulesSha,
             head.nonce,      head.author,       head.wallMs};
 }
 
-/// @returns The version at which the change with that nonce was accepted.
-std::optional<std::uint64_t> acceptedAt(const present_head &present, const std::string &nonce)
+/// @returns The version at which the change with this nonce was accepted; nullopt where it isn't in
+///          the history.
+std::optional<std::uint64_t> versionOfChange(const current_head &current, const std::string &nonce)
 {
-    if (present.version != 0 && present.head.nonce == nonce)
-        return present.version;
-    for (const config_change &change : present.head.earlier) {
+    if (current.version != 0 && current.head.nonce == nonce)
+        return current.version;
+    for (const config_change &change : current.head.earlier) {
         if (change.nonce == nonce)
             return change.version;
     }
     return std::nullopt;
 }
 
-/// @returns Whether the head remembers every change since it had that version.
-bool remembersSince(const present_head &present, std::uint64_t version)
+/// @returns Whether the history of the head contains every change after `version`.
+bool coversHistorySince(const current_head &current, std::uint64_t version)
 {
-    const auto &earlier = present.head.earlier;
+    const auto &earlier = current.head.earlier;
     if (version == 0)
         return earlier.size() < config::headHistory;
     return std::any_of(earlier.begin(), earlier.end(), [version](const config_change &change) {
@@ -67,32 +68,33 @@
     });
 }
 
-config_head headAfter(const present_head &present, const apply_request &wanted)
+config_head nextHead(const current_head &current, const apply_request &request)
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
-    config_head next{sha256Hex(wanted.inventoryText),
-                     sha256Hex(wanted.rulesText),
-                     wanted.nonce,
-                     wanted.author,
+    config_head next{sha256Hex(request.inventoryText),
+                     sha256Hex(request.rulesText),
+                     request.nonce,
+                     request.author,
                      std::chrono::duration_cast<milliseconds>(now).count(),
                      {}};
-    if (present.version == 0)
+    if (current.version == 0)
         return next;
-    next.earlier.push_back(changeOf(present));
-    next.earlier.insert(next.earlier.end(), present.head.earlier.begin(),
-                        present.head.earlier.end());
+    next.earlier.push_back(changeOf(current));
+    next.earlier.insert(next.earlier.end(), current.head.earlier.begin(),
+                        current.head.earlier.end());
     next.earlier.resize(std::min(next.earlier.size(), config::headHistory));
     return next;
 }
 
-/// An inventory of another deployment, sent here by mistake, would replace the whole fleet: every
-/// runner of this one would count as withdrawn.
-std::optional<error> refuseForeign(const std::string &deployment, const apply_request &wanted)
+/// Rejects an inventory of another deployment. Accepting one by mistake would replace the whole
+/// fleet: every runner of this deployment would count as removed.
+std::optional<error> checkDeployment(const std::string &deployment, const apply_request &request)
 {
-    const checked<policy::inventory> parsed = parseInventory("inventory", wanted.inventoryText);
+    const parse_result<policy::inventory> parsed =
+            parseInventory("inventory", request.inventoryText);
     const auto *fleet = std::get_if<policy::inventory>(&parsed);
     if (!fleet)
-        return notRun(error_code::BadRequest, "the inventory has faults");
+        return notRun(error_code::BadRequest, "the inventory is invalid");
     if (fleet->deployment == deployment)
         return std::nullopt;
     return notRun(error_code::BadRequest,
@@ -100,7 +102,8 @@
                           + deployment + '"');
 }
 
-/// A body is named by its content, so one that is already there is the one wanted.
+/// Writes a body under the hash of its content. A body that already exists under this key has the
+/// same content.
 result<unit> writeBody(object_store &store, const std::string &deployment, const std::string &text,
                        mono_time deadline)
 {
@@ -108,7 +111,7 @@
     const auto written = store.put(key, text, platform::mustNotExist, deadline);
     if (succeeded(written) || errorOf(written).code == error_code::Conflict)
         return unit{};
-    // The head, whose replacement is the acceptance, has not been touched.
+    // The change is accepted only when the head is replaced, and the head has not been written yet.
     error failure = errorOf(written);
     failure.ran = verdict::NotRun;
     return failure;
@@ -121,20 +124,20 @@
     if (!succeeded(found))
         return errorOf(found);
     if (sha256Hex(valueOf(found).value) != sha256)
-        return notRun(error_code::Broken, "body " + sha256 + " does not have the content it names");
+        return notRun(error_code::Broken, "body " + sha256 + " does not match its SHA-256");
     return valueOf(found).value;
 }
 
 std::optional<configuration> parseBoth(const std::string &inventoryText,
                                        const std::string &rulesText)
 {
-    checked<policy::inventory> fleet = parseInventory("inventory", inventoryText);
-    checked<policy::rules> book = parseRules("rules", rulesText);
+    parse_result<policy::inventory> fleet = parseInventory("inventory", inventoryText);
+    parse_result<policy::rules> ruleSet = parseRules("rules", rulesText);
     if (!std::holds_alternative<policy::inventory>(fleet)
-        || !std::holds_alternative<policy::rules>(book))
+        || !std::holds_alternative<policy::rules>(ruleSet))
         return std::nullopt;
     return configuration{std::get<policy::inventory>(std::move(fleet)),
-                         std::get<policy::rules>(std::move(book))};
+                         std::get<policy::rules>(std::move(ruleSet))};
 }
 
 std::optional<configuration> readChange(object_store &store, const std::string &deployment,
@@ -147,7 +150,7 @@
     return parseBoth(valueOf(inventoryText), valueOf(rulesText));
 }
 
-std::string wallText(std::int64_t wallMs)
+std::string formatUtc(std::int64_t wallMs)
 {
     const std::time_t time = wallMs / 1000;
     std::tm parts{};
@@ -157,56 +160,55 @@
     return out.str();
 }
 
-std::string diffText(const std::optional<configuration> &from,
-                     const std::optional<configuration> &to)
+std::string describeDifferences(const std::optional<configuration> &from,
+                                const std::optional<configuration> &to)
 {
     if (!from || !to)
         return "unknown";
     return summaryOf(differences(*from, *to));
 }
 
-/// Shows the accepted change and the one that came too late, each against the configuration that
-/// the late one was made for where that is still remembered.
-error conflictOf(object_store &store, const std::string &deployment, const present_head &present,
-                 const apply_request &wanted, std::uint64_t madeFor)
+/// Describes the accepted change and the rejected one. Both are compared with the configuration
+/// that the rejected one is based on, where the history still contains it.
+error conflictOf(object_store &store, const std::string &deployment, const current_head &current,
+                 const apply_request &request, std::uint64_t baseVersion)
 {
-    const auto ours = parseBoth(wanted.inventoryText, wanted.rulesText);
+    const auto requested = parseBoth(request.inventoryText, request.rulesText);
     std::ostringstream text;
-    text << "the configuration is at version " << present.version << ", not " << madeFor;
-    if (present.version == 0)
+    text << "the configuration is at version " << current.version << ", not " << baseVersion;
+    if (current.version == 0)
         return notRun(error_code::Conflict, text.str());
-    const auto theirs = readChange(store, deployment, changeOf(present));
-    const auto &earlier = present.head.earlier;
-    const auto base =
-            std::find_if(earlier.begin(), earlier.end(), [madeFor](const config_change &change) {
-                return change.version == madeFor;
-            });
-    text << ": " << present.head.author << " changed it at " << wallText(present.head.wallMs);
+    const auto accepted = readChange(store, deployment, changeOf(current));
+    const auto &earlier = current.head.earlier;
+    const auto base = std::find_if(
+            earlier.begin(), earlier.end(),
+            [baseVersion](const config_change &change) { return change.version == baseVersion; });
+    text << ": " << current.head.author << " changed it at " << formatUtc(current.head.wallMs);
     if (base != earlier.end()) {
         const auto before = readChange(store, deployment, *base);
-        text << " [" << diffText(before, theirs) << "]; the change of " << wanted.author << " is ["
-             << diffText(before, ours) << ']';
+        text << " [" << describeDifferences(before, accepted) << "]; the change of "
+             << request.author << " is [" << describeDifferences(before, requested) << ']';
     }
-    text << "; from the accepted one to that of " << wanted.author << ": ["
-         << diffText(theirs, ours) << ']';
+    text << "; difference from the accepted configuration to that of " << request.author << ": ["
+         << describeDifferences(accepted, requested) << ']';
     return notRun(error_code::Conflict, text.str());
 }
 
-/// Finds out what became of a head that was written with no clear answer. The write was conditional
-/// on `before`: once the head has moved on, it has either been accepted, which the head remembers,
-/// or never will be.
-result<apply_reply> resolve(object_store &store, const std::string &deployment,
-                            const present_head &before, const apply_request &wanted,
-                            const error &failure)
+/// Determines the outcome of a head write whose reply was lost or ambiguous. The write was
+/// conditional on `before`: once the head has another version, the write has either been accepted,
+/// and is then in the history of the head, or it can no longer succeed.
+result<apply_reply> resolveUnknownOutcome(object_store &store, const std::string &deployment,
+                                          const current_head &before, const apply_request &request,
+                                          const error &failure)
 {
-    const result<present_head> after = readHead(store, deployment);
+    const result<current_head> after = readHead(store, deployment);
     if (!succeeded(after))
         return failure;
-    const present_head &present = valueOf(after);
-    if (const auto version = acceptedAt(present, wanted.nonce))
+    const current_head &current = valueOf(after);
+    if (const auto version = versionOfChange(current, request.nonce))
         return apply_reply{*version};
-    if (present.version != before.version && remembersSince(present, before.version))
-        return conflictOf(store, deployment, present, wanted, before.version);
+    if (current.version != before.version && coversHistorySince(current, before.version))
+        return conflictOf(store, deployment, current, request, before.version);
     return failure;
 }
 
@@ -214,45 +216,45 @@
 
 result<stored_config> readConfig(object_store &store, const std::string &deployment)
 {
-    const result<present_head> present = readHead(store, deployment);
-    if (!succeeded(present))
-        return errorOf(present);
-    if (valueOf(present).version == 0)
+    const result<current_head> current = readHead(store, deployment);
+    if (!succeeded(current))
+        return errorOf(current);
+    if (valueOf(current).version == 0)
         return stored_config{};
-    const config_head &head = valueOf(present).head;
+    const config_head &head = valueOf(current).head;
     const auto inventoryText = readBody(store, deployment, head.inventorySha);
     if (!succeeded(inventoryText))
         return errorOf(inventoryText);
     const auto rulesText = readBody(store, deployment, head.rulesSha);
     if (!succeeded(rulesText))
         return errorOf(rulesText);
-    return stored_config{valueOf(present).version, head, valueOf(inventoryText),
+    return stored_config{valueOf(current).version, head, valueOf(inventoryText),
                          valueOf(rulesText)};
 }
 
 result<apply_reply> applyConfig(object_store &store, const std::string &deployment,
-                                const apply_request &wanted, mono_time deadline)
+                                const apply_request &request, mono_time deadline)
 {
-    if (auto refusal = refuseForeign(deployment, wanted))
-        return *std::move(refusal);
-    const result<present_head> read = readHead(store, deployment);
-    if (!succeeded(read))
-        return notRun(errorOf(read).code, errorOf(read).message, errorOf(read).retryAfter);
-    const present_head &before = valueOf(read);
-    if (const auto version = acceptedAt(before, wanted.nonce))
+    if (auto mismatch = checkDeployment(deployment, request))
+        return *std::move(mismatch);
+    const result<current_head> head = readHead(store, deployment);
+    if (!succeeded(head))
+        return notRun(errorOf(head).code, errorOf(head).message, errorOf(head).retryAfter);
+    const current_head &before = valueOf(head);
+    if (const auto version = versionOfChange(before, request.nonce))
         return apply_reply{*version};
-    if (wanted.ifVersion && *wanted.ifVersion != before.version)
-        return conflictOf(store, deployment, before, wanted, *wanted.ifVersion);
-    for (const std::string *text : {&wanted.inventoryText, &wanted.rulesText}) {
+    if (request.ifVersion && *request.ifVersion != before.version)
+        return conflictOf(store, deployment, before, request, *request.ifVersion);
+    for (const std::string *text : {&request.inventoryText, &request.rulesText}) {
         const result<unit> written = writeBody(store, deployment, *text, deadline);
         if (!succeeded(written))
             return errorOf(written);
     }
-    const auto replaced = store.put(headKey(deployment), textOf(headAfter(before, wanted)),
+    const auto replaced = store.put(headKey(deployment), textOf(nextHead(before, request)),
                                     before.version, deadline);
     if (succeeded(replaced))
         return apply_reply{valueOf(replaced)};
-    return resolve(store, deployment, before, wanted, errorOf(replaced));
+    return resolveUnknownOutcome(store, deployment, before, request, errorOf(replaced));
 }
 
 } // namespace poplarspool::operators
--- a/src/operators/cross_checks.cpp
+++ b/src/operators/cross_checks.cpp
@@ -16,27 +16,27 @@
 using policy::runner_kind;
 using policy::runner_spec;
 
-/// Adds faults at the places of keys of one file.
+/// Reports errors at the locations of keys in one file.
 struct checker
 {
     const toml::table &root;
-    fault_sink &faults;
+    diagnostic_sink &diagnostics;
 
-    void refuse(const std::string &key, std::string message) const
+    void report(const std::string &key, std::string message) const
     {
-        faults.add(regionOf(root, key), key, std::move(message));
+        diagnostics.add(regionOf(root, key), key, std::move(message));
     }
 
-    /// Names left empty were refused when they were read.
-    void refuseUnknown(const std::string &key, const std::string &name,
+    /// Reports a name that isn't in `known`. Empty names were already reported by the reader.
+    void reportUnknown(const std::string &key, const std::string &name,
                        const std::vector<std::string> &known, std::string_view what) const
     {
         if (name.empty() || std::find(known.begin(), known.end(), name) != known.end())
             return;
         std::string message = "is \"" + name + "\", expected " + std::string(what);
-        const std::string nearest = nearestOf(name, known);
-        message += nearest.empty() ? "; there is none" : "; the nearest is \"" + nearest + '"';
-        refuse(key, std::move(message));
+        const std::string closest = closestMatch(name, known);
+        message += closest.empty() ? "; none is defined" : "; the nearest is \"" + closest + '"';
+        report(key, std::move(message));
     }
 };
 
@@ -45,10 +45,11 @@
     return std::string(list) + '[' + std::to_string(index) + ']' + std::string(name);
 }
 
-/// Refuses values that came before. @param textOfItem Empty texts are not compared.
+/// Reports items whose text repeats that of an earlier item.
+/// @param textOfItem Returns the text of an item; empty texts are not compared.
 template <class Items, class TextOf>
-void refuseRepeats(const checker &check, const Items &items, std::string_view list,
-                   std::string_view name, TextOf textOfItem)
+void reportDuplicates(const checker &check, const Items &items, std::string_view list,
+                      std::string_view name, TextOf textOfItem)
 {
     std::map<std::string, std::size_t> seen;
     for (std::size_t index = 0; index < items.size(); ++index) {
@@ -59,9 +60,9 @@
         if (isNew)
             continue;
         const auto line = regionOf(check.root, keyAt(list, first->second, name)).begin.line;
-        check.refuse(keyAt(list, index, name),
-                     "is \"" + text + "\", which " + keyAt(list, first->second, name) + " in line "
-                             + std::to_string(line) + " already is");
+        check.report(keyAt(list, index, name),
+                     "is \"" + text + "\", already used by " + keyAt(list, first->second, name)
+                             + " (line " + std::to_string(line) + ")");
     }
 }
 
@@ -86,16 +87,16 @@
     if (pool.id.text.empty())
         return;
     if (pool.kind == runner_kind::Engine && pool.serves.empty())
-        check.refuse(keyAt("pools", index, ".serves"), "is missing, expected a model to serve");
+        check.report(keyAt("pools", index, ".serves"), "is missing, expected a model to serve");
     if (pool.kind == runner_kind::Engine && !pool.service.empty())
-        check.refuse(keyAt("pools", index, ".service"), "is for pools of kind \"service\"");
+        check.report(keyAt("pools", index, ".service"), "is for pools of kind \"service\"");
     if (pool.kind == runner_kind::Service && pool.service.empty())
-        check.refuse(keyAt("pools", index, ".service"), "is missing, expected a service's name");
+        check.report(keyAt("pools", index, ".service"), "is missing, expected a service's name");
     if (pool.kind == runner_kind::Service && !pool.serves.empty())
-        check.refuse(keyAt("pools", index, ".serves"), "is for pools of kind \"engine\"");
+        check.report(keyAt("pools", index, ".serves"), "is for pools of kind \"engine\"");
 }
 
-bool canServe(const runner_spec &spec, const pool_spec &pool)
+bool canServeAny(const runner_spec &spec, const pool_spec &pool)
 {
     return std::any_of(pool.serves.begin(), pool.serves.end(),
                        [&spec](const model_version &wanted) {
@@ -108,10 +109,10 @@
                  std::size_t index)
 {
     const std::string key = keyAt("runners", index, ".may_carry");
-    if (pool.kind == runner_kind::Engine && !pool.serves.empty() && !canServe(spec, pool))
-        check.refuse(key, "has none of the models that pool \"" + pool.id.text + "\" serves");
+    if (pool.kind == runner_kind::Engine && !pool.serves.empty() && !canServeAny(spec, pool))
+        check.report(key, "has none of the models that pool \"" + pool.id.text + "\" serves");
     if (pool.kind == runner_kind::Service && !spec.mayCarry.empty())
-        check.refuse(key, "is for engines, but pool \"" + pool.id.text + "\" has services");
+        check.report(key, "is for engines, but pool \"" + pool.id.text + "\" has services");
 }
 
 void checkRunners(const checker &check, const inventory &fleet)
@@ -120,8 +121,8 @@
     const auto zones = textsOf(fleet.zones, [](const zone_id &zone) { return zone.text; });
     for (std::size_t index = 0; index < fleet.runners.size(); ++index) {
         const runner_spec &spec = fleet.runners[index];
-        check.refuseUnknown(keyAt("runners", index, ".pool"), spec.pool.text, pools, "a pool's id");
-        check.refuseUnknown(keyAt("runners", index, ".zone"), spec.zone.text, zones,
+        check.reportUnknown(keyAt("runners", index, ".pool"), spec.pool.text, pools, "a pool's id");
+        check.reportUnknown(keyAt("runners", index, ".zone"), spec.zone.text, zones,
                             "one of the zones");
         if (const pool_spec *pool = policy::findPool(fleet, spec.pool))
             checkRunner(check, spec, *pool, index);
@@ -131,11 +132,12 @@
 void checkRequest(const checker &check, const request_rule &rule, std::size_t index)
 {
     if (!rule.model.empty() && !rule.service.empty())
-        check.refuse(keyAt("requests", index, ".service"),
-                     "stands beside model; no request has both, so the rule never matches");
+        check.report(
+                keyAt("requests", index, ".service"),
+                "can't be combined with model: no request has both, so the rule would never match");
     if (!rule.pathPrefix.empty() && rule.service.empty())
-        check.refuse(keyAt("requests", index, ".path_prefix"),
-                     "needs service beside it: only a service's paths are compared");
+        check.report(keyAt("requests", index, ".path_prefix"),
+                     "requires service: paths are only compared for requests to a service");
 }
 
 std::vector<std::string> modelsOf(const inventory &fleet)
@@ -171,80 +173,82 @@
 void checkPlan(const checker &check, const inventory &fleet, const policy::plan_rule &plan,
                std::size_t index)
 {
-    check.refuseUnknown(keyAt("plans", index, ".pool"), plan.pool.text, enginePoolsOf(fleet),
+    check.reportUnknown(keyAt("plans", index, ".pool"), plan.pool.text, enginePoolsOf(fleet),
                         "the id of a pool of engines");
     const auto inPool = [&plan](const runner_spec &spec) { return spec.pool == plan.pool; };
     const auto engines = std::count_if(fleet.runners.begin(), fleet.runners.end(), inPool);
     if (engines > 0 && plan.minEngines > engines)
-        check.refuse(keyAt("plans", index, ".min_engines"),
+        check.report(keyAt("plans", index, ".min_engines"),
                      "is " + std::to_string(plan.minEngines) + ", but the pool has "
                              + std::to_string(engines) + " engines");
 }
 
 } // namespace
 
-void checkInventory(const inventory_file &read, const toml::table &root, fault_sink &faults)
-{
-    const checker check{root, faults};
-    const inventory &fleet = read.fleet;
-    refuseRepeats(check, fleet.zones, "zones", "", [](const zone_id &zone) { return zone.text; });
-    refuseRepeats(check, fleet.pools, "pools", ".id", idText);
-    refuseRepeats(check, fleet.pools, "pools", ".service",
-                  [](const pool_spec &pool) { return pool.service; });
-    refuseRepeats(check, fleet.runners, "runners", ".id", idText);
-    refuseRepeats(check, fleet.runners, "runners", ".address", addressText);
-    refuseRepeats(check, read.defaults, "runner_defaults", ".pool",
-                  [](const runner_spec &spec) { return spec.pool.text; });
+void checkInventory(const inventory_file &file, const toml::table &root,
+                    diagnostic_sink &diagnostics)
+{
+    const checker check{root, diagnostics};
+    const inventory &fleet = file.fleet;
+    reportDuplicates(check, fleet.zones, "zones", "",
+                     [](const zone_id &zone) { return zone.text; });
+    reportDuplicates(check, fleet.pools, "pools", ".id", idText);
+    reportDuplicates(check, fleet.pools, "pools", ".service",
+                     [](const pool_spec &pool) { return pool.service; });
+    reportDuplicates(check, fleet.runners, "runners", ".id", idText);
+    reportDuplicates(check, fleet.runners, "runners", ".address", addressText);
+    reportDuplicates(check, file.runnerDefaults, "runner_defaults", ".pool",
+                     [](const runner_spec &spec) { return spec.pool.text; });
     const auto pools = textsOf(fleet.pools, idText);
-    for (std::size_t index = 0; index < read.defaults.size(); ++index)
-        check.refuseUnknown(keyAt("runner_defaults", index, ".pool"),
-                            read.defaults[index].pool.text, pools, "a pool's id");
+    for (std::size_t index = 0; index < file.runnerDefaults.size(); ++index)
+        check.reportUnknown(keyAt("runner_defaults", index, ".pool"),
+                            file.runnerDefaults[index].pool.text, pools, "a pool's id");
     for (std::size_t index = 0; index < fleet.pools.size(); ++index)
         checkPool(check, fleet.pools[index], index);
     checkRunners(check, fleet);
 }
 
-void checkRules(const rules &book, const toml::table &root, fault_sink &faults)
+void checkRules(const rules &ruleSet, const toml::table &root, diagnostic_sink &diagnostics)
 {
-    const checker check{root, faults};
+    const checker check{root, diagnostics};
     const toml::array *classList = root["classes"].as_array();
     if (!root.contains("classes") || (classList && classList->empty()))
-        check.refuse("classes", "is missing, expected at least one class");
-    refuseRepeats(check, book.classes, "classes", ".name", nameText);
-    refuseRepeats(check, book.callers, "callers", ".id", idText);
-    refuseRepeats(check, book.callers, "callers", ".key_sha256",
-                  [](const policy::caller_rule &caller) { return caller.keySha256; });
-    refuseRepeats(check, book.requests, "requests", ".name", nameText);
-    refuseRepeats(check, book.plans, "plans", ".pool",
-                  [](const policy::plan_rule &plan) { return plan.pool.text; });
-    const auto classes = textsOf(book.classes, nameText);
-    const auto callers = textsOf(book.callers, idText);
-    for (std::size_t index = 0; index < book.callers.size(); ++index)
-        check.refuseUnknown(keyAt("callers", index, ".class"), book.callers[index].priorityClass,
+        check.report("classes", "is missing, expected at least one class");
+    reportDuplicates(check, ruleSet.classes, "classes", ".name", nameText);
+    reportDuplicates(check, ruleSet.callers, "callers", ".id", idText);
+    reportDuplicates(check, ruleSet.callers, "callers", ".key_sha256",
+                     [](const policy::caller_rule &caller) { return caller.keySha256; });
+    reportDuplicates(check, ruleSet.requests, "requests", ".name", nameText);
+    reportDuplicates(check, ruleSet.plans, "plans", ".pool",
+                     [](const policy::plan_rule &plan) { return plan.pool.text; });
+    const auto classes = textsOf(ruleSet.classes, nameText);
+    const auto callers = textsOf(ruleSet.callers, idText);
+    for (std::size_t index = 0; index < ruleSet.callers.size(); ++index)
+        check.reportUnknown(keyAt("callers", index, ".class"), ruleSet.callers[index].priorityClass,
                             classes, "a class's name");
-    for (std::size_t index = 0; index < book.requests.size(); ++index) {
-        const request_rule &rule = book.requests[index];
-        check.refuseUnknown(keyAt("requests", index, ".class"), rule.priorityClass, classes,
+    for (std::size_t index = 0; index < ruleSet.requests.size(); ++index) {
+        const request_rule &rule = ruleSet.requests[index];
+        check.reportUnknown(keyAt("requests", index, ".class"), rule.priorityClass, classes,
                             "a class's name");
-        check.refuseUnknown(keyAt("requests", index, ".caller"), rule.caller.text, callers,
+        check.reportUnknown(keyAt("requests", index, ".caller"), rule.caller.text, callers,
                             "a caller's id");
         checkRequest(check, rule, index);
     }
 }
 
-void checkRulesFor(const inventory &fleet, const rules &book, const toml::table &root,
-                   fault_sink &faults)
+void checkRulesAgainst(const inventory &fleet, const rules &ruleSet, const toml::table &root,
+                       diagnostic_sink &diagnostics)
 {
-    const checker check{root, faults};
-    for (std::size_t index = 0; index < book.requests.size(); ++index) {
-        const request_rule &rule = book.requests[index];
-        check.refuseUnknown(keyAt("requests", index, ".model"), rule.model, modelsOf(fleet),
+    const checker check{root, diagnostics};
+    for (std::size_t index = 0; index < ruleSet.requests.size(); ++index) {
+        const request_rule &rule = ruleSet.requests[index];
+        check.reportUnknown(keyAt("requests", index, ".model"), rule.model, modelsOf(fleet),
                             "a model that a pool serves");
-        check.refuseUnknown(keyAt("requests", index, ".service"), rule.service, servicesOf(fleet),
+        check.reportUnknown(keyAt("requests", index, ".service"), rule.service, servicesOf(fleet),
                             "a service of the inventory");
     }
-    for (std::size_t index = 0; index < book.plans.size(); ++index)
-        checkPlan(check, fleet, book.plans[index], index);
+    for (std::size_t index = 0; index < ruleSet.plans.size(); ++index)
+        checkPlan(check, fleet, ruleSet.plans[index], index);
 }
 
 } // namespace poplarspool::operators
--- a/src/operators/cross_checks.h
+++ b/src/operators/cross_checks.h
@@ -2,17 +2,19 @@
 
 #include "operators/file_keys.h"
 
-/// Faults that only show between the keys of a file, or between two files.
+/// Checks that involve several keys of a file, or two files.
 namespace poplarspool::operators {
 
-/// Duplicates, unknown pools and zones, keys that don't fit the pool's kind.
-void checkInventory(const inventory_file &read, const toml::table &root, fault_sink &faults);
+/// Reports duplicates, unknown pools and zones, and keys that don't apply to the kind of the pool.
+void checkInventory(const inventory_file &file, const toml::table &root,
+                    diagnostic_sink &diagnostics);
 
-/// Duplicates, unknown classes and callers, request rules that can't match.
-void checkRules(const policy::rules &book, const toml::table &root, fault_sink &faults);
+/// Reports duplicates, unknown classes and callers, and request rules that can't match.
+void checkRules(const policy::rules &ruleSet, const toml::table &root,
+                diagnostic_sink &diagnostics);
 
-/// Rules that name pools, models or services which the inventory doesn't have.
-void checkRulesFor(const policy::inventory &fleet, const policy::rules &book,
-                   const toml::table &root, fault_sink &faults);
+/// Reports rules that name pools, models or services missing from the inventory.
+void checkRulesAgainst(const policy::inventory &fleet, const policy::rules &ruleSet,
+                       const toml::table &root, diagnostic_sink &diagnostics);
 
 } // namespace poplarspool::operators
--- a/src/operators/file_keys.h
+++ b/src/operators/file_keys.h
@@ -8,14 +8,16 @@
 
 #include <vector>
 
-/// The declared keys of each of the four files.
+/// The declared keys of the four kinds of files.
 namespace poplarspool::operators {
 
-/// An inventory file as it stands, before the pools' defaults went into the runners.
+/// The content of an inventory file. The runners in `fleet` have inherited the defaults of their
+/// pool.
 struct inventory_file
 {
     policy::inventory fleet;
-    std::vector<policy::runner_spec> defaults; ///< `runner_defaults`: at most one per pool.
+    /// The tables `runner_defaults`, at most one per pool.
+    std::vector<policy::runner_spec> runnerDefaults;
 };
 
 const table_keys<settings> &settingsKeys();
--- a/src/operators/fleet_status.cpp
+++ b/src/operators/fleet_status.cpp
@@ -19,15 +19,15 @@
 
 ordered_json jsonOf(const instance_status &status)
 {
-    const member &who = status.who;
-    return {{"instance", who.id.text},
-            {"zone", who.zone.text},
-            {"state", policy::nameOf(who.state)},
-            {"caller_address", textOf(who.callerAddress)},
-            {"peer_address", textOf(who.peerAddress)},
-            {"incarnation", who.life},
-            {"applied_version", who.appliedVersion},
-            {"open_streams", who.openStreams},
+    const member &instance = status.instance;
+    return {{"instance", instance.id.text},
+            {"zone", instance.zone.text},
+            {"state", policy::nameOf(instance.state)},
+            {"caller_address", textOf(instance.callerAddress)},
+            {"peer_address", textOf(instance.peerAddress)},
+            {"incarnation", instance.life},
+            {"applied_version", instance.appliedVersion},
+            {"open_streams", instance.openStreams},
             {"in_force", status.inForce}};
 }
 
@@ -63,16 +63,16 @@
 
 instance_status instanceOf(const json &value)
 {
-    member who;
-    who.id.text = value.at("instance").get<std::string>();
-    who.zone.text = value.at("zone").get<std::string>();
-    who.state = stateOf(value.at("state").get<std::string>());
-    who.callerAddress = endpointOf(value.at("caller_address"));
-    who.peerAddress = endpointOf(value.at("peer_address"));
-    who.life = value.at("incarnation").get<incarnation>();
-    who.appliedVersion = value.at("applied_version").get<std::uint64_t>();
-    who.openStreams = value.at("open_streams").get<std::uint32_t>();
-    return {who, value.at("in_force").get<bool>()};
+    member instance;
+    instance.id.text = value.at("instance").get<std::string>();
+    instance.zone.text = value.at("zone").get<std::string>();
+    instance.state = stateOf(value.at("state").get<std::string>());
+    instance.callerAddress = endpointOf(value.at("caller_address"));
+    instance.peerAddress = endpointOf(value.at("peer_address"));
+    instance.life = value.at("incarnation").get<incarnation>();
+    instance.appliedVersion = value.at("applied_version").get<std::uint64_t>();
+    instance.openStreams = value.at("open_streams").get<std::uint32_t>();
+    return {instance, value.at("in_force").get<bool>()};
 }
 
 runner_status runnerOf(const json &value)
@@ -89,29 +89,29 @@
             value.at("kv_pieces_total").get<std::uint32_t>()};
 }
 
-bool counts(const instance_status &status)
+bool isCounted(const instance_status &status)
 {
-    return status.who.state != member_state::Dead;
+    return status.instance.state != member_state::Dead;
 }
 
-struct share_in_force
+struct in_force_count
 {
-    std::size_t on = 0;
-    std::size_t of = 0;
+    std::size_t applied = 0;
+    std::size_t total = 0;
 };
 
-share_in_force shareOf(const fleet_status &status)
+in_force_count countInForce(const fleet_status &status)
 {
-    share_in_force share;
-    for (const instance_status &one : status.instances) {
-        share.of += counts(one) ? 1 : 0;
-        share.on += counts(one) && one.inForce ? 1 : 0;
+    in_force_count count;
+    for (const instance_status &entry : status.instances) {
+        count.total += isCounted(entry) ? 1 : 0;
+        count.applied += isCounted(entry) && entry.inForce ? 1 : 0;
     }
-    return share;
+    return count;
 }
 
-/// Lines whose columns stand below each other.
-std::string columnsOf(const std::vector<std::vector<std::string>> &lines)
+/// @returns The lines with their columns aligned.
+std::string alignColumns(const std::vector<std::vector<std::string>> &lines)
 {
     std::vector<std::size_t> widths;
     for (const auto &line : lines) {
@@ -142,24 +142,25 @@
 {
     std::vector<std::vector<std::string>> lines{
             {"INSTANCE", "ZONE", "STATE", "ADDRESS", "STREAMS", "APPLIED", "IN FORCE"}};
-    for (const instance_status &one : status.instances)
-        lines.push_back({one.who.id.text, one.who.zone.text,
-                         std::string(policy::nameOf(one.who.state)), textOf(one.who.callerAddress),
-                         std::to_string(one.who.openStreams),
-                         std::to_string(one.who.appliedVersion), one.inForce ? "yes" : "no"});
-    return columnsOf(lines);
+    for (const instance_status &entry : status.instances)
+        lines.push_back(
+                {entry.instance.id.text, entry.instance.zone.text,
+                 std::string(policy::nameOf(entry.instance.state)),
+                 textOf(entry.instance.callerAddress), std::to_string(entry.instance.openStreams),
+                 std::to_string(entry.instance.appliedVersion), entry.inForce ? "yes" : "no"});
+    return alignColumns(lines);
 }
 
 std::string runnerLines(const fleet_status &status)
 {
     std::vector<std::vector<std::string>> lines{
             {"RUNNER", "POOL", "STATE", "ROLE", "RUNNING", "QUEUED", "KV PIECES"}};
-    for (const runner_status &one : status.runners)
+    for (const runner_status &entry : status.runners)
         lines.push_back(
-                {one.runner, one.pool, stateText(one), one.role, std::to_string(one.running),
-                 std::to_string(one.queued),
-                 std::to_string(one.kvPiecesUsed) + '/' + std::to_string(one.kvPiecesTotal)});
-    return columnsOf(lines);
+                {entry.runner, entry.pool, stateText(entry), entry.role,
+                 std::to_string(entry.running), std::to_string(entry.queued),
+                 std::to_string(entry.kvPiecesUsed) + '/' + std::to_string(entry.kvPiecesTotal)});
+    return alignColumns(lines);
 }
 
 } // namespace
@@ -167,16 +168,16 @@
 std::string jsonOf(const fleet_status &status)
 {
     ordered_json instances = ordered_json::array();
-    for (const instance_status &one : status.instances)
-        instances.push_back(jsonOf(one));
+    for (const instance_status &entry : status.instances)
+        instances.push_back(jsonOf(entry));
     ordered_json runners = ordered_json::array();
-    for (const runner_status &one : status.runners)
-        runners.push_back(jsonOf(one));
-    const share_in_force share = shareOf(status);
+    for (const runner_status &entry : status.runners)
+        runners.push_back(jsonOf(entry));
+    const in_force_count count = countInForce(status);
     return dumpJson({{"answered_by", status.answeredBy.text},
                      {"accepted_version", status.acceptedVersion},
-                     {"in_force_on", share.on},
-                     {"in_force_of", share.of},
+                     {"in_force_on", count.applied},
+                     {"in_force_of", count.total},
                      {"fresh", status.isFresh},
                      {"store_reachable", status.isStoreReachable},
                      {"instances", std::move(instances)},
@@ -185,13 +186,13 @@
 
 std::string textOf(const fleet_status &status)
 {
-    const share_in_force share = shareOf(status);
+    const in_force_count count = countInForce(status);
     std::ostringstream out;
     out << "answered by " << status.answeredBy.text << '\n'
-        << "configuration " << status.acceptedVersion << " accepted, in force on " << share.on
-        << " of " << share.of << '\n'
-        << "view " << (status.isFresh ? "fresh" : "not fresh: new work is refused") << ", store "
-        << (status.isStoreReachable ? "reachable" : "not reachable") << "\n\n"
+        << "configuration " << status.acceptedVersion << " accepted, in force on " << count.applied
+        << " of " << count.total << '\n'
+        << "view " << (status.isFresh ? "fresh" : "not fresh: new requests are refused")
+        << ", store " << (status.isStoreReachable ? "reachable" : "not reachable") << "\n\n"
         << instanceLines(status) << '\n'
         << runnerLines(status);
     return out.str();
@@ -206,28 +207,29 @@
         status.acceptedVersion = value.at("accepted_version").get<std::uint64_t>();
         status.isFresh = value.at("fresh").get<bool>();
         status.isStoreReachable = value.at("store_reachable").get<bool>();
-        for (const json &one : value.at("instances"))
-            status.instances.push_back(instanceOf(one));
-        for (const json &one : value.at("runners"))
-            status.runners.push_back(runnerOf(one));
+        for (const json &entry : value.at("instances"))
+            status.instances.push_back(instanceOf(entry));
+        for (const json &entry : value.at("runners"))
+            status.runners.push_back(runnerOf(entry));
         return status;
     } catch (const json::exception &failure) {
-        return notRun(error_code::Broken, std::string("unreadable status: ") + failure.what());
+        return notRun(error_code::Broken,
+                      std::string("cannot parse the status reply: ") + failure.what());
     }
 }
 
-std::size_t countListed(const fleet_status &status)
+std::size_t countLiveInstances(const fleet_status &status)
 {
-    return shareOf(status).of;
+    return countInForce(status).total;
 }
 
 bool isInForce(const fleet_status &status, std::uint64_t version)
 {
-    // An instance that hasn't heard of the change yet calls the one before in force.
+    // An instance that hasn't received the change yet reports the previous version as in force.
     if (status.acceptedVersion < version)
         return false;
-    const share_in_force share = shareOf(status);
-    return share.of > 0 && share.on == share.of;
+    const in_force_count count = countInForce(status);
+    return count.total > 0 && count.applied == count.total;
 }
 
 } // namespace poplarspool::operators
--- a/src/operators/gateway_file.cpp
+++ b/src/operators/gateway_file.cpp
@@ -13,8 +13,9 @@
 
 constexpr std::size_t maxDuties = 16;
 
-/// Below it, no watch could wait; above it, nobody would call it in time.
-auto newsTimeRule()
+/// Bounds of the times that limit how late a change of the store takes effect: below 500 ms a watch
+/// could not wait for changes, above 60 s a change would count as late.
+auto updateDelayRule()
 {
     return timeRule<milliseconds>(milliseconds(500), milliseconds(60000));
 }
@@ -47,11 +48,11 @@
                            "Where metrics are read, at /metrics."),
             requiredKey<s>("store.address", "", &s::storeAddress, endpointRule(),
                            "The platform's metadata store."),
-            optionalKey<s>("store.settle_ms", "ms", &s::settleTime, newsTimeRule(),
+            optionalKey<s>("store.settle_ms", "ms", &s::settleTime, updateDelayRule(),
                            "For which news may be late after the store was away or silent."),
-            optionalKey<s>("store.runners_ms", "ms", &s::runnersBound, newsTimeRule(),
+            optionalKey<s>("store.runners_ms", "ms", &s::runnersBound, updateDelayRule(),
                            "After it has said so, a runner that leaves gets no new request."),
-            optionalKey<s>("store.routes_ms", "ms", &s::routesBound, newsTimeRule(),
+            optionalKey<s>("store.routes_ms", "ms", &s::routesBound, updateDelayRule(),
                            "After the store has taken them, new routes are in force."),
     };
 }
@@ -108,31 +109,32 @@
 
 using named_address = std::pair<std::string, endpoint>;
 
-/// Two on one address: the second one could not bind.
-void checkDiffer(const std::vector<named_address> &bound, const toml::table &root,
-                 fault_sink &faults)
+/// Reports addresses that are used twice; binding the second socket would fail.
+void checkDistinct(const std::vector<named_address> &bound, const toml::table &root,
+                   diagnostic_sink &diagnostics)
 {
     for (std::size_t i = 0; i < bound.size(); ++i) {
         for (std::size_t k = 0; k < i; ++k) {
             if (bound[i].second.isValid() && bound[i].second == bound[k].second)
-                faults.add(regionOf(root, bound[i].first), bound[i].first,
-                           "is the same address as " + bound[k].first);
+                diagnostics.add(regionOf(root, bound[i].first), bound[i].first,
+                                "is the same address as " + bound[k].first);
         }
     }
 }
 
-void checkAddresses(const gateway_settings &choices, const toml::table &root, fault_sink &faults)
+void checkAddresses(const gateway_settings &choices, const toml::table &root,
+                    diagnostic_sink &diagnostics)
 {
-    checkDiffer({{"caller.address", choices.callerAddress},
-                 {"readiness.address", choices.readinessAddress},
-                 {"directory.address", choices.directoryAddress},
-                 {"metrics.address", choices.metricsAddress}},
-                root, faults);
-    checkDiffer({{"peer.address", choices.peerAddress},
-                 {"peer.load_address", choices.loadAddress},
-                 {"peer.share_store_news", gateway::newsAddressOf(choices)},
-                 {"duties.kinds", gateway::usageAddressOf(choices)}},
-                root, faults);
+    checkDistinct({{"caller.address", choices.callerAddress},
+                   {"readiness.address", choices.readinessAddress},
+                   {"directory.address", choices.directoryAddress},
+                   {"metrics.address", choices.metricsAddress}},
+                  root, diagnostics);
+    checkDistinct({{"peer.address", choices.peerAddress},
+                   {"peer.load_address", choices.loadAddress},
+                   {"peer.share_store_news", gateway::newsAddressOf(choices)},
+                   {"duties.kinds", gateway::usageAddressOf(choices)}},
+                  root, diagnostics);
 }
 
 } // namespace
@@ -143,17 +145,17 @@
     return keys;
 }
 
-checked<gateway_settings> parseGatewaySettings(const std::string &file, std::string_view text)
+parse_result<gateway_settings> parseGatewaySettings(const std::string &file, std::string_view text)
 {
-    fault_sink faults(file);
+    diagnostic_sink diagnostics(file);
     gateway_settings choices;
-    const toml::table root = parseToml(text, faults);
-    if (!faults.isEmpty())
-        return faults.sorted();
-    readTable(root, "", gatewayKeys(), choices, faults);
-    checkAddresses(choices, root, faults);
-    if (!faults.isEmpty())
-        return faults.sorted();
+    const toml::table root = parseToml(text, diagnostics);
+    if (!diagnostics.isEmpty())
+        return diagnostics.sorted();
+    readTable(root, "", gatewayKeys(), choices, diagnostics);
+    checkAddresses(choices, root, diagnostics);
+    if (!diagnostics.isEmpty())
+        return diagnostics.sorted();
     return choices;
 }
 
--- a/src/operators/inventory_file.cpp
+++ b/src/operators/inventory_file.cpp
@@ -14,8 +14,8 @@
 using policy::runner_kind;
 using policy::runner_spec;
 
-constexpr double leastRate = 0.001;
-constexpr double mostRate = 1e9;
+constexpr double minRate = 0.001;
+constexpr double maxRate = 1e9;
 
 table_keys<model_version> modelKeys()
 {
@@ -46,8 +46,8 @@
     };
 }
 
-/// What a runner is like; runner_defaults may set these too.
-table_keys<runner_spec> traitKeys()
+/// Keys of runners that runner_defaults may also set.
+table_keys<runner_spec> propertyKeys()
 {
     using r = runner_spec;
     return {
@@ -62,9 +62,9 @@
             optionalKey<r>("piece_tokens", "tokens", &r::pieceTokens,
                            integerRule<std::uint32_t>(1, 4096), "Tokens that one piece holds."),
             optionalKey<r>("prefill_tokens_per_second", "tokens/s", &r::prefillTokensPerSecond,
-                           realRule(leastRate, mostRate), "Of the whole engine."),
+                           realRule(minRate, maxRate), "Of the whole engine."),
             optionalKey<r>("decode_tokens_per_second", "tokens/s", &r::decodeTokensPerSecond,
-                           realRule(leastRate, mostRate),
+                           realRule(minRate, maxRate),
                            "Of the whole engine, all streams together."),
             optionalKey<r>("concurrency", "requests", &r::concurrency,
                            integerRule<std::uint32_t>(1, 65536), "Requests that it runs at once."),
@@ -84,8 +84,8 @@
             requiredKey<r>("zone", "", &r::zone, idRule<zone_id>(nameRule()), "Its zone."),
             requiredKey<r>("address", "", &r::address, endpointRule(), "Where it listens."),
     };
-    for (key_decl<r> &trait : traitKeys())
-        keys.push_back(std::move(trait));
+    for (key_decl<r> &declared : propertyKeys())
+        keys.push_back(std::move(declared));
     return keys;
 }
 
@@ -96,32 +96,32 @@
             requiredKey<r>("pool", "", &r::pool, idRule<pool_id>(nameRule()),
                            "Whose runners inherit these values."),
     };
-    for (key_decl<r> &trait : traitKeys())
-        keys.push_back(std::move(trait));
+    for (key_decl<r> &declared : propertyKeys())
+        keys.push_back(std::move(declared));
     return keys;
 }
 
-/// What a runner starts from before its own keys are read.
-runner_spec inheritedBy(const toml::table &runner, const std::vector<runner_spec> &defaults)
+/// @returns The defaults of the runner's pool, to which its own keys are then applied.
+runner_spec inheritedBy(const toml::table &runner, const std::vector<runner_spec> &runnerDefaults)
 {
     const std::string pool = runner["pool"].value_or(std::string());
     const auto samePool = [&pool](const runner_spec &spec) { return spec.pool.text == pool; };
-    const auto found = std::find_if(defaults.begin(), defaults.end(), samePool);
-    return found == defaults.end() ? runner_spec{} : *found;
+    const auto found = std::find_if(runnerDefaults.begin(), runnerDefaults.end(), samePool);
+    return found == runnerDefaults.end() ? runner_spec{} : *found;
 }
 
-/// Declared after runner_defaults, so that the defaults have been read.
+/// Must be declared after runner_defaults, so that the defaults have been read.
 key_decl<inventory_file> runnersKey()
 {
     const table_keys<runner_spec> keys = runnerKeys();
     key_row row{"runners", "", "none", "at most " + std::to_string(config::maxRunners) + " tables",
                 "The fixed fleet."};
     std::vector<key_row> nested = rowsOf(keys);
-    auto read = [keys](const read_place &place, inventory_file &into) {
-        forEachTable(place, config::maxRunners,
+    auto read = [keys](const value_location &location, inventory_file &into) {
+        forEachTable(location, config::maxRunners,
                      [&](const toml::table &table, const std::string &path) {
-                         runner_spec spec = inheritedBy(table, into.defaults);
-                         readTable(table, path, keys, spec, place.faults);
+                         runner_spec spec = inheritedBy(table, into.runnerDefaults);
+                         readTable(table, path, keys, spec, location.diagnostics);
                          into.fleet.runners.push_back(std::move(spec));
                      });
     };
@@ -151,7 +151,7 @@
                            "Availability zones."),
             tablesKey<f>("pools", pools, poolKeys(), config::maxPools,
                          "Runners that serve the same purpose."),
-            tablesKey<f>("runner_defaults", &f::defaults, defaultsKeys(), config::maxPools,
+            tablesKey<f>("runner_defaults", &f::runnerDefaults, defaultsKeys(), config::maxPools,
                          "Values that the runners of one pool inherit."),
             runnersKey(),
     };
@@ -165,20 +165,20 @@
     return keys;
 }
 
-checked<policy::inventory> parseInventory(const std::string &file, std::string_view text)
+parse_result<policy::inventory> parseInventory(const std::string &file, std::string_view text)
 {
-    fault_sink faults(file);
-    inventory_file read;
-    const toml::table root = parseToml(text, faults);
-    if (!faults.isEmpty())
-        return faults.sorted();
-    readTable(root, "", inventoryKeys(), read, faults);
-    checkInventory(read, root, faults);
-    if (!faults.isEmpty())
-        return faults.sorted();
-    std::sort(read.fleet.runners.begin(), read.fleet.runners.end(),
+    diagnostic_sink diagnostics(file);
+    inventory_file contents;
+    const toml::table root = parseToml(text, diagnostics);
+    if (!diagnostics.isEmpty())
+        return diagnostics.sorted();
+    readTable(root, "", inventoryKeys(), contents, diagnostics);
+    checkInventory(contents, root, diagnostics);
+    if (!diagnostics.isEmpty())
+        return diagnostics.sorted();
+    std::sort(contents.fleet.runners.begin(), contents.fleet.runners.end(),
               [](const runner_spec &a, const runner_spec &b) { return a.id.text < b.id.text; });
-    return read.fleet;
+    return contents.fleet;
 }
 
 } // namespace poplarspool::operators
--- a/src/operators/key_table.cpp
+++ b/src/operators/key_table.cpp
@@ -11,8 +11,8 @@
     std::ostringstream out;
     out << "| key | unit | default | bounds | meaning |\n|---|---|---|---|---|\n";
     for (const key_row &row : rowsOfKind(kind))
-        out << "| `" << row.key << "` | " << row.unit << " | " << row.fallback << " | "
-            << row.bounds << " | " << row.meaning << " |\n";
+        out << "| `" << row.key << "` | " << row.unit << " | " << row.defaultValue << " | "
+            << row.bounds << " | " << row.description << " |\n";
     return out.str();
 }
 
--- a/src/operators/key_table.h
+++ b/src/operators/key_table.h
@@ -6,7 +6,7 @@
 
 namespace poplarspool::operators {
 
-/// @returns The keys of one kind of file as a Markdown table; docs/SETTINGS.md holds it.
+/// @returns The keys of one kind of file as a Markdown table, as included in docs/SETTINGS.md.
 std::string keyTableOf(file_kind kind);
 
 } // namespace poplarspool::operators
--- a/src/operators/operator_client.cpp
+++ b/src/operators/operator_client.cpp
@@ -11,15 +11,15 @@
 
 constexpr int unprocessable = 422;
 
-/// Whether another instance would answer the same.
-bool isSettled(const http_reply &reply)
+/// @returns Whether any other instance would give the same reply, so that no other one is tried.
+bool isFinalReply(const http_reply &reply)
 {
     return reply.status == 200 || reply.status == unprocessable
             || (reply.status >= 400 && reply.status < 500 && reply.status != 429);
 }
 
-/// @returns The addresses, or none where one is not an IP number with a port.
-std::vector<endpoint> endpointsOf(const std::vector<std::string> &texts)
+/// @returns The addresses; empty where one of them is not an IP address with a port.
+std::vector<endpoint> parseEndpoints(const std::vector<std::string> &texts)
 {
     std::vector<endpoint> addresses;
     for (const std::string &text : texts) {
@@ -31,7 +31,7 @@
     return addresses;
 }
 
-std::string withoutTrailingBlanks(std::string text)
+std::string trimTrailingWhitespace(std::string text)
 {
     text.erase(text.find_last_not_of(" \t\r\n") + 1);
     return text;
@@ -45,45 +45,47 @@
 
 result<http_reply> operator_client::call(const http_request &request)
 {
-    http_request sent = request;
+    http_request authorizedRequest = request;
     if (!key.empty())
-        sent.headers.emplace_back("Authorization", "Bearer " + key);
-    error last = notRun(error_code::Unavailable, "no address to ask");
+        authorizedRequest.headers.emplace_back("Authorization", "Bearer " + key);
+    error lastFailure = notRun(error_code::Unavailable, "no instance address given");
     bool mayHaveRun = false;
     for (const endpoint &address : addresses) {
-        result<http_reply> reply = pool.send(address, sent, config::operatorCallTime);
-        if (succeeded(reply) && isSettled(valueOf(reply)))
+        result<http_reply> reply = pool.send(address, authorizedRequest, config::operatorCallTime);
+        if (succeeded(reply) && isFinalReply(valueOf(reply)))
             return reply;
-        last = succeeded(reply) ? errorOfReply(valueOf(reply)) : errorOf(reply);
-        last.message = textOf(address) + ": " + last.message;
-        mayHaveRun = mayHaveRun || last.ran == verdict::MayHaveRun;
+        lastFailure = succeeded(reply) ? errorOfReply(valueOf(reply)) : errorOf(reply);
+        lastFailure.message = textOf(address) + ": " + lastFailure.message;
+        mayHaveRun = mayHaveRun || lastFailure.ran == verdict::MayHaveRun;
     }
-    last.ran = mayHaveRun ? verdict::MayHaveRun : verdict::NotRun;
-    return last;
+    lastFailure.ran = mayHaveRun ? verdict::MayHaveRun : verdict::NotRun;
+    return lastFailure;
 }
 
 void addClientOptions(cxxopts::Options &options)
 {
-    options.add_options()("to", "Operators' addresses of instances, asked in this order",
+    options.add_options()("to", "Operator addresses of instances, tried in this order",
                           cxxopts::value<std::vector<std::string>>(), "IP:PORT[,IP:PORT]");
-    options.add_options()("key-file", "File with the operators' key", cxxopts::value<std::string>(),
-                          "FILE");
+    options.add_options()("key-file", "File with the operators' bearer key",
+                          cxxopts::value<std::string>(), "FILE");
 }
 
 std::variant<std::unique_ptr<operator_client>, int>
-clientOf(const cxxopts::Options &options, const cxxopts::ParseResult &words, std::ostream &err)
+makeClient(const cxxopts::Options &options, const cxxopts::ParseResult &arguments,
+           std::ostream &err)
 {
-    if (words.count("to") == 0)
-        return refuseWords(options, "--to is missing", err);
-    std::vector<endpoint> addresses = endpointsOf(words["to"].as<std::vector<std::string>>());
+    if (arguments.count("to") == 0)
+        return reportUsageError(options, "--to is missing", err);
+    std::vector<endpoint> addresses =
+            parseEndpoints(arguments["to"].as<std::vector<std::string>>());
     if (addresses.empty())
-        return refuseWords(options, "--to: expected IP:PORT[,IP:PORT]", err);
+        return reportUsageError(options, "--to: expected IP:PORT[,IP:PORT]", err);
     std::string key;
-    if (words.count("key-file") != 0) {
-        const auto text = readFile(words["key-file"].as<std::string>(), err);
+    if (arguments.count("key-file") != 0) {
+        const auto text = readFile(arguments["key-file"].as<std::string>(), err);
         if (!text)
-            return exitFailed;
-        key = withoutTrailingBlanks(*text);
+            return exitFailure;
+        key = trimTrailingWhitespace(*text);
     }
     return std::make_unique<operator_client>(std::move(addresses), std::move(key));
 }
@@ -92,7 +94,7 @@
 {
     err << options.program() << ": " << nameOf(failure.code) << ": " << failure.message << " ("
         << nameOf(failure.ran) << ")\n";
-    return exitFailed;
+    return exitFailure;
 }
 
 } // namespace poplarspool::operators
--- a/src/operators/operator_client.h
+++ b/src/operators/operator_client.h
@@ -13,15 +13,17 @@
 
 namespace poplarspool::operators {
 
-/// Calls the operators' address of one of several instances, the next one where one fails.
+/// Calls the operator address of one of several instances; on failure it tries the next one.
 class operator_client
 {
 public:
-    /// @param key Bearer key; empty where the deployment has none.
+    /// @param key Bearer key; empty where the instances require none.
     operator_client(std::vector<endpoint> addresses, std::string key);
 
-    /// @returns The first answer that settles the matter, or the last failure. Its verdict is
-    ///          NotRun only where no try can have had an effect.
+    /// Tries the addresses in order until a reply is final, that is, any other instance would give
+    /// the same one.
+    /// @returns The final reply, or the last failure. The verdict of the failure is NotRun only
+    ///          where no try can have had an effect.
     result<http_reply> call(const http_request &request);
 
 private:
@@ -34,11 +36,13 @@
 /// Adds --to and --key-file.
 void addClientOptions(cxxopts::Options &options);
 
-/// @returns The client that the words ask for, or the status to exit with.
+/// @returns A client for --to and --key-file, or the exit status after an error message.
 std::variant<std::unique_ptr<operator_client>, int>
-clientOf(const cxxopts::Options &options, const cxxopts::ParseResult &words, std::ostream &err);
+makeClient(const cxxopts::Options &options, const cxxopts::ParseResult &arguments,
+           std::ostream &err);
 
 /// Prints a failure as `COMMAND: CODE: message (verdict)`.
+/// @returns exitFailure.
 int reportFailure(const cxxopts::Options &options, const error &failure, std::ostream &err);
 
 } // namespace poplarspool::operators
--- a/src/operators/operator_server.cpp
+++ b/src/operators/operator_server.cpp
@@ -39,8 +39,8 @@
     return replyWith(200, "application/json", std::move(body));
 }
 
-/// A path and its query.
-struct target
+/// The target of an HTTP request: its path and query.
+struct request_target
 {
     std::string path;
     httplib::Params query;
@@ -52,14 +52,14 @@
     }
 };
 
-target targetOf(const std::string &pathWithQuery)
+request_target parseTarget(const std::string &pathWithQuery)
 {
-    const std::size_t mark = std::min(pathWithQuery.find('?'), pathWithQuery.size());
-    target split;
-    split.path = pathWithQuery.substr(0, mark);
-    if (mark < pathWithQuery.size())
-        httplib::detail::parse_query_text(pathWithQuery.substr(mark + 1), split.query);
-    return split;
+    const std::size_t queryStart = std::min(pathWithQuery.find('?'), pathWithQuery.size());
+    request_target parsed;
+    parsed.path = pathWithQuery.substr(0, queryStart);
+    if (queryStart < pathWithQuery.size())
+        httplib::detail::parse_query_text(pathWithQuery.substr(queryStart + 1), parsed.query);
+    return parsed;
 }
 
 ordered_json eventJson(const event &entry)
@@ -74,37 +74,38 @@
             {"fields", std::move(fields)}};
 }
 
-std::vector<fault> faultsOf(const apply_request &wanted)
+std::vector<diagnostic> validate(const apply_request &request)
 {
-    std::vector<fault> faults;
-    const auto collect = [&faults](const auto &outcome) {
-        if (const auto *found = std::get_if<std::vector<fault>>(&outcome))
-            faults.insert(faults.end(), found->begin(), found->end());
+    std::vector<diagnostic> diagnostics;
+    const auto collect = [&diagnostics](const auto &outcome) {
+        if (const auto *found = std::get_if<std::vector<diagnostic>>(&outcome))
+            diagnostics.insert(diagnostics.end(), found->begin(), found->end());
     };
-    collect(parseInventory("inventory", wanted.inventoryText));
-    collect(parseRules("rules", wanted.rulesText));
-    if (faults.empty())
-        faults = checkTogether("inventory", wanted.inventoryText, "rules", wanted.rulesText);
-    return faults;
+    collect(parseInventory("inventory", request.inventoryText));
+    collect(parseRules("rules", request.rulesText));
+    if (diagnostics.empty())
+        diagnostics = checkTogether("inventory", request.inventoryText, "rules", request.rulesText);
+    return diagnostics;
 }
 
-/// @returns What is wrong with a change beside its texts' content; empty where nothing is.
-std::string refusalOf(const apply_request &wanted)
+/// Checks the nonce and the author of a change.
+/// @returns An error message; empty where both are valid.
+std::string checkMetadata(const apply_request &request)
 {
     const auto isBounded = [](const std::string &text) {
         return !text.empty() && text.size() <= config::maxNameBytes;
     };
-    if (!isBounded(wanted.nonce))
+    if (!isBounded(request.nonce))
         return "nonce: expected 1 to " + std::to_string(config::maxNameBytes) + " bytes";
-    if (!isBounded(wanted.author))
+    if (!isBounded(request.author))
         return "author: expected 1 to " + std::to_string(config::maxNameBytes) + " bytes";
     return "";
 }
 
-bool isTooLarge(const apply_request &wanted)
+bool isTooLarge(const apply_request &request)
 {
-    return wanted.inventoryText.size() > config::maxObjectBytes
-            || wanted.rulesText.size() > config::maxObjectBytes;
+    return request.inventoryText.size() > config::maxObjectBytes
+            || request.rulesText.size() > config::maxObjectBytes;
 }
 
 } // namespace
@@ -120,10 +121,10 @@
                   metrics, &events)
     { }
 
-    bool mayEnter(const http_request &request) const;
+    bool isAuthorized(const http_request &request) const;
     http_reply serve(const http_request &request) const;
-    http_reply read(const target &asked) const;
-    http_reply timeline(const target &asked) const;
+    http_reply handleGet(const request_target &target) const;
+    http_reply timeline(const request_target &target) const;
     http_reply config() const;
     http_reply apply(const std::string &body) const;
 
@@ -133,54 +134,55 @@
     http_server server;
 };
 
-bool operator_server::state::mayEnter(const http_request &request) const
+bool operator_server::state::isAuthorized(const http_request &request) const
 {
     if (keySha256.empty())
         return true;
     const std::string_view value = headerOf(request.headers, "Authorization");
     if (value.substr(0, bearerPrefix.size()) != bearerPrefix)
         return false;
-    const std::string given = sha256Hex(value.substr(bearerPrefix.size()));
-    // A comparison that stops at the first difference would let its duration tell how much fits.
-    return given.size() == keySha256.size()
-            && CRYPTO_memcmp(given.data(), keySha256.data(), given.size()) == 0;
+    const std::string hash = sha256Hex(value.substr(bearerPrefix.size()));
+    // Constant time: a comparison that stops at the first difference would leak through its
+    // duration how many leading bytes match.
+    return hash.size() == keySha256.size()
+            && CRYPTO_memcmp(hash.data(), keySha256.data(), hash.size()) == 0;
 }
 
 http_reply operator_server::state::serve(const http_request &request) const
 {
-    if (!mayEnter(request)) {
+    if (!isAuthorized(request)) {
         http_reply reply =
                 replyOf(notRun(error_code::Unauthorized, "the operators' key is missing or wrong"));
         reply.headers.emplace_back("WWW-Authenticate", "Bearer");
         return reply;
     }
-    const target asked = targetOf(request.path);
+    const request_target target = parseTarget(request.path);
     if (request.method == "GET" || request.method == "HEAD")
-        return read(asked);
-    if (request.method == "POST" && asked.path == "/config")
+        return handleGet(target);
+    if (request.method == "POST" && target.path == "/config")
         return apply(request.body);
-    return replyOf(
-            notRun(error_code::NotFound, "no such call: " + request.method + ' ' + asked.path));
+    return replyOf(notRun(error_code::NotFound,
+                          "no such endpoint: " + request.method + ' ' + target.path));
 }
 
-http_reply operator_server::state::read(const target &asked) const
+http_reply operator_server::state::handleGet(const request_target &target) const
 {
-    if (asked.path == "/status")
+    if (target.path == "/status")
         return jsonReply(operators::jsonOf(handlers.status()));
-    if (asked.path == "/timeline")
-        return timeline(asked);
-    if (asked.path == "/metrics")
+    if (target.path == "/timeline")
+        return timeline(target);
+    if (target.path == "/metrics")
         return replyWith(200, "text/plain; version=0.0.4", metrics.text());
-    if (asked.path == "/config")
+    if (target.path == "/config")
         return config();
-    return replyOf(notRun(error_code::NotFound, "no such page: " + asked.path));
+    return replyOf(notRun(error_code::NotFound, "no such endpoint: " + target.path));
 }
 
-http_reply operator_server::state::timeline(const target &asked) const
+http_reply operator_server::state::timeline(const request_target &target) const
 {
-    const event_filter filter{asked.valueOf("kind"), asked.valueOf("request"),
-                              asked.valueOf("runner")};
-    const bool isJson = asked.valueOf("format") == "json";
+    const event_filter filter{target.valueOf("kind"), target.valueOf("request"),
+                              target.valueOf("runner")};
+    const bool isJson = target.valueOf("format") == "json";
     std::string lines;
     for (const event &entry : handlers.timeline(filter))
         lines += (isJson ? dumpJson(eventJson(entry)) : lineOf(entry)) + '\n';
@@ -200,19 +202,19 @@
     const result<apply_request> parsed = parseApplyRequest(body);
     if (!succeeded(parsed))
         return replyOf(errorOf(parsed));
-    const apply_request &wanted = poplarspool::valueOf(parsed);
-    if (const std::string refusal = refusalOf(wanted); !refusal.empty())
-        return replyOf(notRun(error_code::BadRequest, refusal));
-    if (isTooLarge(wanted))
+    const apply_request &request = poplarspool::valueOf(parsed);
+    if (const std::string violation = checkMetadata(request); !violation.empty())
+        return replyOf(notRun(error_code::BadRequest, violation));
+    if (isTooLarge(request))
         return replyOf(notRun(error_code::TooLarge,
-                              "a file has more than " + std::to_string(config::maxObjectBytes)
-                                      + " bytes, the store's bound for one object"));
-    if (const auto faults = faultsOf(wanted); !faults.empty())
-        return replyWith(422, "application/json", dumpJson(operators::jsonOf(faults)));
-    const result<apply_reply> done = handlers.apply(wanted);
-    if (!succeeded(done))
-        return replyOf(errorOf(done));
-    return jsonReply(operators::textOf(poplarspool::valueOf(done)));
+                              "a file is larger than " + std::to_string(config::maxObjectBytes)
+                                      + " bytes, the store's limit for one object"));
+    if (const auto diagnostics = validate(request); !diagnostics.empty())
+        return replyWith(422, "application/json", dumpJson(operators::jsonOf(diagnostics)));
+    const result<apply_reply> applied = handlers.apply(request);
+    if (!succeeded(applied))
+        return replyOf(errorOf(applied));
+    return jsonReply(operators::textOf(poplarspool::valueOf(applied)));
 }
 
 operator_server::operator_server(const endpoint &bind, std::string keySha256,
--- a/src/operators/rules_file.cpp
+++ b/src/operators/rules_file.cpp
@@ -126,18 +126,18 @@
     return keys;
 }
 
-checked<rules> parseRules(const std::string &file, std::string_view text)
+parse_result<rules> parseRules(const std::string &file, std::string_view text)
 {
-    fault_sink faults(file);
-    rules book;
-    const toml::table root = parseToml(text, faults);
-    if (!faults.isEmpty())
-        return faults.sorted();
-    readTable(root, "", rulesKeys(), book, faults);
-    checkRules(book, root, faults);
-    if (!faults.isEmpty())
-        return faults.sorted();
-    return book;
+    diagnostic_sink diagnostics(file);
+    rules ruleSet;
+    const toml::table root = parseToml(text, diagnostics);
+    if (!diagnostics.isEmpty())
+        return diagnostics.sorted();
+    readTable(root, "", rulesKeys(), ruleSet, diagnostics);
+    checkRules(ruleSet, root, diagnostics);
+    if (!diagnostics.isEmpty())
+        return diagnostics.sorted();
+    return ruleSet;
 }
 
 } // namespace poplarspool::operators
--- a/src/operators/settings_file.cpp
+++ b/src/operators/settings_file.cpp
@@ -172,30 +172,32 @@
     return keys;
 }
 
-/// Two servers on one address: the second one could not bind. Peer TCP counts too.
-void checkAddresses(const settings &choices, const toml::table &root, fault_sink &faults)
+/// Reports servers on the same address, where the second one could not bind. The peer address
+/// counts too, since peers also connect by TCP.
+void checkAddresses(const settings &choices, const toml::table &root, diagnostic_sink &diagnostics)
 {
-    const auto refuse = [&](const std::string &key, const std::string &other) {
-        faults.add(regionOf(root, key), key, "is the same address as " + other);
+    const auto report = [&](const std::string &key, const std::string &other) {
+        diagnostics.add(regionOf(root, key), key, "is the same address as " + other);
     };
     if (choices.operatorAddress.isValid() && choices.operatorAddress == choices.callerAddress)
-        refuse("operator.address", "caller.address");
+        report("operator.address", "caller.address");
     if (choices.peerAddress.isValid() && choices.peerAddress == choices.callerAddress)
-        refuse("peer.address", "caller.address");
+        report("peer.address", "caller.address");
     if (choices.peerAddress.isValid() && choices.peerAddress == choices.operatorAddress)
-        refuse("peer.address", "operator.address");
+        report("peer.address", "operator.address");
 }
 
-void checkLeave(const settings &choices, const toml::table &root, fault_sink &faults)
+void checkLeave(const settings &choices, const toml::table &root, diagnostic_sink &diagnostics)
 {
     if (choices.leaveBound >= choices.leaveGrace)
         return;
     const auto inSeconds = [](milliseconds time) {
         return std::to_string(std::chrono::duration_cast<seconds>(time).count());
     };
-    faults.add(regionOf(root, "leave.bound_seconds"), "leave.bound_seconds",
-               "is " + inSeconds(choices.leaveBound) + ", expected at least leave.grace_seconds, "
-                       + inSeconds(choices.leaveGrace));
+    diagnostics.add(regionOf(root, "leave.bound_seconds"), "leave.bound_seconds",
+                    "is " + inSeconds(choices.leaveBound)
+                            + ", expected at least leave.grace_seconds, "
+                            + inSeconds(choices.leaveGrace));
 }
 
 } // namespace
@@ -206,18 +208,18 @@
     return keys;
 }
 
-checked<settings> parseSettings(const std::string &file, std::string_view text)
+parse_result<settings> parseSettings(const std::string &file, std::string_view text)
 {
-    fault_sink faults(file);
+    diagnostic_sink diagnostics(file);
     settings choices;
-    const toml::table root = parseToml(text, faults);
-    if (!faults.isEmpty())
-        return faults.sorted();
-    readTable(root, "", settingsKeys(), choices, faults);
-    checkAddresses(choices, root, faults);
-    checkLeave(choices, root, faults);
-    if (!faults.isEmpty())
-        return faults.sorted();
+    const toml::table root = parseToml(text, diagnostics);
+    if (!diagnostics.isEmpty())
+        return diagnostics.sorted();
+    readTable(root, "", settingsKeys(), choices, diagnostics);
+    checkAddresses(choices, root, diagnostics);
+    checkLeave(choices, root, diagnostics);
+    if (!diagnostics.isEmpty())
+        return diagnostics.sorted();
     return choices;
 }
 
--- a/src/operators/status_command.cpp
+++ b/src/operators/status_command.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// Gets a page of the first instance that answers.
-/// @returns The body, or the status to exit with.
-std::variant<std::string, int> getPage(const cxxopts::Options &options,
-                                       const cxxopts::ParseResult &words, const std::string &path,
-                                       std::ostream &err)
+/// Sends a GET request to the first instance that replies.
+/// @returns The body, or the exit status.
+std::variant<std::string, int> fetchBody(const cxxopts::Options &options,
+                                         const cxxopts::ParseResult &arguments,
+                                         const std::string &path, std::ostream &err)
 {
-    auto client = clientOf(options, words, err);
+    auto client = makeClient(options, arguments, err);
     if (const int *status = std::get_if<int>(&client))
         return *status;
     http_request request;
@@ -32,36 +32,36 @@
 
 } // namespace
 
-int statusCommand(const std::vector<std::string> &words, std::ostream &out, std::ostream &err)
+int statusCommand(const std::vector<std::string> &arguments, std::ostream &out, std::ostream &err)
 {
     cxxopts::Options options("poplarspool status",
                              "Shows the accepted configuration, where it is in force, the\n"
-                             "instances and the runners, as one instance sees them.");
+                             "instances and the runners, as seen by one instance.");
     options.custom_help("--to IP:PORT [OPTION...]");
     addClientOptions(options);
-    options.add_options()("json", "Print the answer as JSON");
-    const words_or_exit parsed = parseWords(options, words, out, err);
+    options.add_options()("json", "Print the reply as JSON");
+    const arguments_or_exit_code parsed = parseArguments(options, arguments, out, err);
     if (const int *status = std::get_if<int>(&parsed))
         return *status;
-    const auto &chosen = std::get<cxxopts::ParseResult>(parsed);
-    const auto page = getPage(options, chosen, "/status", err);
-    if (const int *status = std::get_if<int>(&page))
+    const auto &parsedOptions = std::get<cxxopts::ParseResult>(parsed);
+    const auto body = fetchBody(options, parsedOptions, "/status", err);
+    if (const int *status = std::get_if<int>(&body))
         return *status;
-    const auto fleet = parseFleetStatus(std::get<std::string>(page));
+    const auto fleet = parseFleetStatus(std::get<std::string>(body));
     if (!succeeded(fleet))
         return reportFailure(options, errorOf(fleet), err);
-    if (chosen.count("json") != 0)
-        out << std::get<std::string>(page) << '\n';
+    if (parsedOptions.count("json") != 0)
+        out << std::get<std::string>(body) << '\n';
     else
         out << textOf(valueOf(fleet));
-    return exitDone;
+    return exitSuccess;
 }
 
-int timelineCommand(const std::vector<std::string> &words, std::ostream &out, std::ostream &err)
+int timelineCommand(const std::vector<std::string> &arguments, std::ostream &out, std::ostream &err)
 {
     cxxopts::Options options("poplarspool timeline",
-                             "Prints the events of all instances that answer, cause before\n"
-                             "effect, one per line.");
+                             "Prints the events of all instances that reply in causal order,\n"
+                             "one per line.");
     options.custom_help("--to IP:PORT [OPTION...]");
     addClientOptions(options);
     const std::vector<std::string> filters{"request", "runner", "kind"};
@@ -69,23 +69,23 @@
         options.add_options()(filter, "Only events of this " + filter,
                               cxxopts::value<std::string>(), "NAME");
     options.add_options()("json", "Print each event as a JSON object");
-    const words_or_exit parsed = parseWords(options, words, out, err);
+    const arguments_or_exit_code parsed = parseArguments(options, arguments, out, err);
     if (const int *status = std::get_if<int>(&parsed))
         return *status;
-    const auto &chosen = std::get<cxxopts::ParseResult>(parsed);
+    const auto &parsedOptions = std::get<cxxopts::ParseResult>(parsed);
     httplib::Params query;
     for (const std::string &filter : filters) {
-        if (chosen.count(filter) != 0)
-            query.emplace(filter, chosen[filter].as<std::string>());
+        if (parsedOptions.count(filter) != 0)
+            query.emplace(filter, parsedOptions[filter].as<std::string>());
     }
-    if (chosen.count("json") != 0)
+    if (parsedOptions.count("json") != 0)
         query.emplace("format", "json");
     const std::string path = httplib::append_query_params("/timeline", query);
-    const auto page = getPage(options, chosen, path, err);
-    if (const int *status = std::get_if<int>(&page))
+    const auto body = fetchBody(options, parsedOptions, path, err);
+    if (const int *status = std::get_if<int>(&body))
         return *status;
-    out << std::get<std::string>(page);
-    return exitDone;
+    out << std::get<std::string>(body);
+    return exitSuccess;
 }
 
 } // namespace poplarspool::operators
--- a/src/operators/toml_reader.cpp
+++ b/src/operators/toml_reader.cpp
@@ -11,38 +11,38 @@
 
 constexpr std::size_t maxShownBytes = 60;
 
-std::string shorten(std::string text)
+std::string truncate(std::string text)
 {
     if (text.size() <= maxShownBytes)
         return text;
     return text.substr(0, maxShownBytes) + "…";
 }
 
-/// What stands at a node, short enough for a message.
-std::string shown(const toml::node &node)
+/// @returns The value of a node, short enough for an error message.
+std::string describe(const toml::node &node)
 {
     if (node.is_table())
         return "a table";
     if (node.is_array())
         return "an array";
     if (const auto *text = node.as_string())
-        return '"' + shorten(text->get()) + '"';
+        return '"' + truncate(text->get()) + '"';
     std::ostringstream out;
     node.visit([&out](const auto &value) {
         if constexpr (toml::is_value<decltype(value)>)
             out << value;
     });
-    return shorten(out.str());
+    return truncate(out.str());
 }
 
-std::string joined(std::string_view path, std::string_view name)
+std::string joinPath(std::string_view path, std::string_view name)
 {
     if (path.empty())
         return std::string(name);
     return std::string(path) + '.' + std::string(name);
 }
 
-/// The names that may follow `prefix` in one table.
+/// @returns The segments that may follow `prefix` in the declared keys of one table.
 std::vector<std::string> namesAfter(const std::string &prefix, const std::vector<bound_key> &keys)
 {
     std::vector<std::string> names;
@@ -59,22 +59,22 @@
 
 struct table_walk
 {
-    std::string path; ///< Of the outer table in the file.
+    std::string path; ///< Path of the outer table in the file.
     const std::vector<bound_key> &keys;
-    fault_sink &faults;
+    diagnostic_sink &diagnostics;
 };
 
-void refuseUnknown(const toml::key &name, const std::string &prefix, const table_walk &walk)
+void reportUnknown(const toml::key &name, const std::string &prefix, const table_walk &walk)
 {
-    const std::string nearest = nearestOf(name.str(), namesAfter(prefix, walk.keys));
+    const std::string nearest = closestMatch(name.str(), namesAfter(prefix, walk.keys));
     std::string message = "unknown key";
     if (!nearest.empty())
         message += ", the nearest known key is " + nearest;
-    walk.faults.add(name.source(), joined(walk.path, prefix + std::string(name.str())),
-                    std::move(message));
+    walk.diagnostics.add(name.source(), joinPath(walk.path, prefix + std::string(name.str())),
+                         std::move(message));
 }
 
-/// Finds keys that are declared nowhere, and values that stand where a table belongs.
+/// Reports undeclared keys, and values at keys where a table is expected.
 void checkNames(const toml::table &table, const std::string &prefix, const table_walk &walk)
 {
     for (const auto &[name, node] : table) {
@@ -83,108 +83,111 @@
         if (std::any_of(walk.keys.begin(), walk.keys.end(), isLeaf))
             continue;
         if (namesAfter(full + '.', walk.keys).empty())
-            refuseUnknown(name, prefix, walk);
+            reportUnknown(name, prefix, walk);
         else if (const toml::table *inner = node.as_table())
             checkNames(*inner, full + '.', walk);
         else
-            read_place{node, joined(walk.path, full), walk.faults}.fail("a table");
+            value_location{node, joinPath(walk.path, full), walk.diagnostics}.reportMismatch(
+                    "a table");
     }
 }
 
-/// What a dotted name leads to.
+/// Result of the lookup of a dotted name.
 struct found_node
 {
-    const toml::node *node = nullptr; ///< None where the key is missing.
-    const toml::node *nearest = nullptr; ///< The innermost node on the way.
+    const toml::node *node = nullptr; ///< nullptr where the key is missing.
+    const toml::node *nearest = nullptr; ///< The innermost existing node on the path.
 };
 
 found_node findNode(const toml::table &table, std::string_view name)
 {
-    const toml::node *at = &table;
+    const toml::node *current = &table;
     while (!name.empty()) {
         const std::size_t dot = std::min(name.find('.'), name.size());
-        const toml::table *inside = at->as_table();
-        const toml::node *next = inside ? inside->get(name.substr(0, dot)) : nullptr;
+        const toml::table *parent = current->as_table();
+        const toml::node *next = parent ? parent->get(name.substr(0, dot)) : nullptr;
         if (!next)
-            return {nullptr, at};
-        at = next;
+            return {nullptr, current};
+        current = next;
         name.remove_prefix(std::min(dot + 1, name.size()));
     }
-    return {at, at};
+    return {current, current};
 }
 
 } // namespace
 
-fault_sink::fault_sink(std::string file) : file(std::move(file)) { }
+diagnostic_sink::diagnostic_sink(std::string file) : file(std::move(file)) { }
 
-void fault_sink::add(const toml::source_region &where, const std::string &key, std::string message)
+void diagnostic_sink::add(const toml::source_region &where, const std::string &key,
+                          std::string message)
 {
-    found.push_back({file, where.begin.line, where.begin.column, key, std::move(message)});
+    entries.push_back({file, where.begin.line, where.begin.column, key, std::move(message)});
 }
 
-std::vector<fault> fault_sink::sorted() const
+std::vector<diagnostic> diagnostic_sink::sorted() const
 {
-    std::vector<fault> faults = found;
-    std::stable_sort(faults.begin(), faults.end(), [](const fault &a, const fault &b) {
-        return std::tie(a.line, a.column) < std::tie(b.line, b.column);
-    });
-    return faults;
+    std::vector<diagnostic> diagnostics = entries;
+    std::stable_sort(diagnostics.begin(), diagnostics.end(),
+                     [](const diagnostic &a, const diagnostic &b) {
+                         return std::tie(a.line, a.column) < std::tie(b.line, b.column);
+                     });
+    return diagnostics;
 }
 
-void read_place::fail(std::string_view expected) const
+void value_location::reportMismatch(std::string_view expected) const
 {
-    refuse("is " + shown(node) + ", expected " + std::string(expected));
+    report("is " + describe(node) + ", expected " + std::string(expected));
 }
 
-void read_place::refuse(std::string message) const
+void value_location::report(std::string message) const
 {
-    faults.add(node.source(), key, std::move(message));
+    diagnostics.add(node.source(), key, std::move(message));
 }
 
-void readBound(const toml::table &table, const std::string &path,
-               const std::vector<bound_key> &keys, fault_sink &faults)
+void readBoundKeys(const toml::table &table, const std::string &path,
+                   const std::vector<bound_key> &keys, diagnostic_sink &diagnostics)
 {
-    checkNames(table, "", {path, keys, faults});
+    checkNames(table, "", {path, keys, diagnostics});
     for (const bound_key &declared : keys) {
-        const std::string full = joined(path, declared.row.key);
+        const std::string full = joinPath(path, declared.row.key);
         const found_node found = findNode(table, declared.row.key);
         if (found.node)
-            declared.read({*found.node, full, faults});
+            declared.read({*found.node, full, diagnostics});
         else if (declared.isRequired && found.nearest->is_table())
-            faults.add(found.nearest->source(), full,
-                       "is missing, expected " + declared.row.bounds);
+            diagnostics.add(found.nearest->source(), full,
+                            "is missing, expected " + declared.row.bounds);
     }
 }
 
-void forEachTable(const read_place &place, std::size_t maxCount,
+void forEachTable(const value_location &location, std::size_t maxCount,
                   const std::function<void(const toml::table &, const std::string &)> &onTable)
 {
-    const toml::array *tables = place.node.as_array();
+    const toml::array *tables = location.node.as_array();
     if (!tables) {
-        place.fail("an array of tables");
+        location.reportMismatch("an array of tables");
         return;
     }
     if (tables->size() > maxCount) {
-        place.refuse("has " + std::to_string(tables->size()) + " tables, expected at most "
-                     + std::to_string(maxCount));
+        location.report("has " + std::to_string(tables->size()) + " tables, expected at most "
+                        + std::to_string(maxCount));
         return;
     }
     for (std::size_t index = 0; index < tables->size(); ++index) {
         const toml::node &node = *tables->get(index);
-        const std::string path = place.key + '[' + std::to_string(index) + ']';
+        const std::string path = location.key + '[' + std::to_string(index) + ']';
         if (const toml::table *table = node.as_table())
             onTable(*table, path);
         else
-            read_place{node, path, place.faults}.fail("a table");
+            value_location{node, path, location.diagnostics}.reportMismatch("a table");
     }
 }
 
-toml::table parseToml(std::string_view text, fault_sink &faults)
+toml::table parseToml(std::string_view text, diagnostic_sink &diagnostics)
 {
     try {
         return toml::parse(text, std::string_view());
     } catch (const toml::parse_error &failure) {
-        faults.add(failure.source(), "syntax", std::string(failure.description()));
+        diagnostics.add(failure.source(), "syntax", std::string(failure.description()));
         return {};
     }
 }
@@ -202,7 +205,7 @@
 
 namespace {
 
-/// Levenshtein's distance, one row at a time.
+/// Levenshtein distance, computed row by row.
 std::size_t editDistance(std::string_view a, std::string_view b)
 {
     std::vector<std::size_t> row(b.size() + 1);
@@ -221,12 +224,12 @@
 
 } // namespace
 
-std::string nearestOf(std::string_view word, const std::vector<std::string> &candidates)
+std::string closestMatch(std::string_view word, const std::vector<std::string> &candidates)
 {
-    const auto nearer = [word](const std::string &a, const std::string &b) {
+    const auto isCloser = [word](const std::string &a, const std::string &b) {
         return editDistance(word, a) < editDistance(word, b);
     };
-    const auto best = std::min_element(candidates.begin(), candidates.end(), nearer);
+    const auto best = std::min_element(candidates.begin(), candidates.end(), isCloser);
     return best == candidates.end() ? std::string() : *best;
 }
 
--- a/src/operators/value_rules.cpp
+++ b/src/operators/value_rules.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-std::string byteBounds(std::size_t least, std::size_t most)
+std::string byteBounds(std::size_t min, std::size_t max)
 {
-    return "text of " + std::to_string(least) + " to " + std::to_string(most) + " bytes";
+    return "text of " + std::to_string(min) + " to " + std::to_string(max) + " bytes";
 }
 
 bool isNameByte(char byte)
 {
-    const auto between = [byte](char low, char high) { return byte >= low && byte <= high; };
-    return between('a', 'z') || between('A', 'Z') || between('0', '9') || byte == '.' || byte == '_'
-            || byte == '-';
+    const auto isBetween = [byte](char low, char high) { return byte >= low && byte <= high; };
+    return isBetween('a', 'z') || isBetween('A', 'Z') || isBetween('0', '9') || byte == '.'
+            || byte == '_' || byte == '-';
 }
 
 bool isHexByte(char byte)
@@ -29,16 +29,16 @@
     return text.empty() ? "none" : '"' + text + '"';
 }
 
-/// A text rule out of its test.
-template <class Test>
-value_rule<std::string> testedText(std::string bounds, Test isFine)
+/// A rule for texts that satisfy a predicate.
+template <class Predicate>
+value_rule<std::string> validatedText(std::string bounds, Predicate isValid)
 {
-    auto read = [bounds, isFine](const read_place &place, std::string &into) {
-        auto text = place.node.value_exact<std::string>();
-        if (text && isFine(*text))
+    auto read = [bounds, isValid](const value_location &location, std::string &into) {
+        auto text = location.node.value_exact<std::string>();
+        if (text && isValid(*text))
             into = std::move(*text);
         else
-            place.fail(bounds);
+            location.reportMismatch(bounds);
     };
     return {bounds, read, showText};
 }
@@ -53,10 +53,10 @@
 
 } // namespace
 
-value_rule<std::string> textRule(std::size_t least, std::size_t most)
+value_rule<std::string> textRule(std::size_t min, std::size_t max)
 {
-    return testedText(byteBounds(least, most), [least, most](const std::string &text) {
-        return text.size() >= least && text.size() <= most;
+    return validatedText(byteBounds(min, max), [min, max](const std::string &text) {
+        return text.size() >= min && text.size() <= max;
     });
 }
 
@@ -64,22 +64,23 @@
 {
     const std::string bounds = "a name of 1 to " + std::to_string(config::maxNameBytes)
             + " letters, digits, '.', '_' or '-'";
-    return testedText(bounds, [](const std::string &text) {
+    return validatedText(bounds, [](const std::string &text) {
         return !text.empty() && text.size() <= config::maxNameBytes
                 && std::all_of(text.begin(), text.end(), isNameByte);
     });
 }
 
-value_rule<std::string> secretRule(std::size_t least, std::size_t most)
+value_rule<std::string> secretRule(std::size_t min, std::size_t max)
 {
-    const std::string bounds = byteBounds(least, most);
-    auto read = [bounds, least, most](const read_place &place, std::string &into) {
-        auto text = place.node.value_exact<std::string>();
-        // Faults end in logs and tickets: a secret that is too short must not show there.
+    const std::string bounds = byteBounds(min, max);
+    auto read = [bounds, min, max](const value_location &location, std::string &into) {
+        auto text = location.node.value_exact<std::string>();
+        // Error messages are copied to logs and tickets, so they must not contain the secret, not
+        // even one that is too short.
         if (!text)
-            place.refuse("is not text, expected " + bounds);
-        else if (text->size() < least || text->size() > most)
-            place.refuse("has " + std::to_string(text->size()) + " bytes, expected " + bounds);
+            location.report("is not text, expected " + bounds);
+        else if (text->size() < min || text->size() > max)
+            location.report("has " + std::to_string(text->size()) + " bytes, expected " + bounds);
         else
             into = std::move(*text);
     };
@@ -89,7 +90,7 @@
 value_rule<std::string> sha256Rule()
 {
     constexpr std::size_t hexBytes = 64;
-    return testedText("a SHA-256 in 64 lower-case hex digits", [](const std::string &text) {
+    return validatedText("a SHA-256 in 64 lower-case hex digits", [](const std::string &text) {
         return text.size() == hexBytes && std::all_of(text.begin(), text.end(), isHexByte);
     });
 }
@@ -97,34 +98,34 @@
 value_rule<std::string> pathRule()
 {
     const std::string bounds = "a path that begins with '/'";
-    return testedText(bounds, [](const std::string &text) {
+    return validatedText(bounds, [](const std::string &text) {
         return !text.empty() && text.front() == '/' && text.size() <= config::maxHeaderBytes;
     });
 }
 
 value_rule<bool> flagRule()
 {
-    auto read = [](const read_place &place, bool &into) {
-        if (const auto flag = place.node.value_exact<bool>())
+    auto read = [](const value_location &location, bool &into) {
+        if (const auto flag = location.node.value_exact<bool>())
             into = *flag;
         else
-            place.fail("true or false");
+            location.reportMismatch("true or false");
     };
     auto show = [](const bool &flag) { return std::string(flag ? "true" : "false"); };
     return {"true or false", read, show};
 }
 
-value_rule<double> realRule(double least, double most)
+value_rule<double> realRule(double min, double max)
 {
-    const std::string bounds = "a number from " + showReal(least) + " to " + showReal(most);
-    auto read = [bounds, least, most](const read_place &place, double &into) {
-        const bool isNumber = place.node.is_number();
-        const double number = place.node.value_or(least - 1);
-        // Written so that a NaN fails too.
-        if (isNumber && number >= least && number <= most)
+    const std::string bounds = "a number from " + showReal(min) + " to " + showReal(max);
+    auto read = [bounds, min, max](const value_location &location, double &into) {
+        const bool isNumber = location.node.is_number();
+        const double number = location.node.value_or(min - 1);
+        // In this form, the condition is also false for NaN.
+        if (isNumber && number >= min && number <= max)
             into = number;
         else
-            place.fail(bounds);
+            location.reportMismatch(bounds);
     };
     return {bounds, read, showReal};
 }
@@ -132,13 +133,13 @@
 value_rule<endpoint> endpointRule()
 {
     const std::string bounds = "\"IP:PORT\" with a port from 1 to 65535";
-    auto read = [bounds](const read_place &place, endpoint &into) {
-        const auto text = place.node.value_exact<std::string>();
+    auto read = [bounds](const value_location &location, endpoint &into) {
+        const auto text = location.node.value_exact<std::string>();
         const result<endpoint> parsed = parseEndpoint(text.value_or(""));
         if (succeeded(parsed) && valueOf(parsed).isValid())
             into = valueOf(parsed);
         else
-            place.fail(bounds);
+            location.reportMismatch(bounds);
     };
     auto show = [](const endpoint &address) {
         return address.isValid() ? '"' + textOf(address) + '"' : std::string("none");
@@ -146,19 +147,19 @@
     return {bounds, read, show};
 }
 
-std::optional<std::int64_t> readInteger(const read_place &place, std::int64_t least,
-                                        std::int64_t most)
+std::optional<std::int64_t> readInteger(const value_location &location, std::int64_t min,
+                                        std::int64_t max)
 {
-    const auto number = place.node.value_exact<std::int64_t>();
-    if (number && *number >= least && *number <= most)
+    const auto number = location.node.value_exact<std::int64_t>();
+    if (number && *number >= min && *number <= max)
         return number;
-    place.fail(integerBounds(least, most));
+    location.reportMismatch(integerBounds(min, max));
     return std::nullopt;
 }
 
-std::string integerBounds(std::int64_t least, std::int64_t most)
+std::string integerBounds(std::int64_t min, std::int64_t max)
 {
-    return "an integer from " + std::to_string(least) + " to " + std::to_string(most);
+    return "an integer from " + std::to_string(min) + " to " + std::to_string(max);
 }
 
 } // namespace poplarspool::operators
--- a/src/operators/wire_json.cpp
+++ b/src/operators/wire_json.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Calls `read` with the parsed text; whatever doesn't fit becomes one failure.
+/// Calls `read` with the parsed text. A syntax error, or a missing or mistyped field, gives an
+/// error with `code`.
 template <class T, class Read>
 result<T> parseWith(std::string_view text, error_code code, Read read)
 {
@@ -27,10 +28,10 @@
     return value.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
-ordered_json jsonOf(const std::vector<fault> &faults)
+ordered_json jsonOf(const std::vector<diagnostic> &diagnostics)
 {
     ordered_json list = ordered_json::array();
-    for (const fault &found : faults)
+    for (const diagnostic &found : diagnostics)
         list.push_back({{"file", found.file},
                         {"line", found.line},
                         {"column", found.column},
@@ -39,42 +40,42 @@
     return {{"faults", std::move(list)}};
 }
 
-std::vector<fault> parseFaults(std::string_view text)
+std::vector<diagnostic> parseDiagnostics(std::string_view text)
 {
     const auto read = [](const json &value) {
-        std::vector<fault> faults;
+        std::vector<diagnostic> diagnostics;
         for (const json &found : value.at("faults"))
-            faults.push_back(
+            diagnostics.push_back(
                     {found.at("file").get<std::string>(), found.at("line").get<std::uint32_t>(),
                      found.at("column").get<std::uint32_t>(), found.at("key").get<std::string>(),
                      found.at("message").get<std::string>()});
-        return faults;
+        return diagnostics;
     };
-    const auto faults = parseWith<std::vector<fault>>(text, error_code::Broken, read);
-    return succeeded(faults) ? valueOf(faults) : std::vector<fault>{};
+    const auto diagnostics = parseWith<std::vector<diagnostic>>(text, error_code::Broken, read);
+    return succeeded(diagnostics) ? valueOf(diagnostics) : std::vector<diagnostic>{};
 }
 
-std::string textOf(const apply_request &wanted)
+std::string textOf(const apply_request &request)
 {
-    ordered_json value = {{"inventory", wanted.inventoryText},
-                          {"rules", wanted.rulesText},
-                          {"nonce", wanted.nonce},
-                          {"author", wanted.author}};
-    if (wanted.ifVersion)
-        value["if_version"] = *wanted.ifVersion;
+    ordered_json value = {{"inventory", request.inventoryText},
+                          {"rules", request.rulesText},
+                          {"nonce", request.nonce},
+                          {"author", request.author}};
+    if (request.ifVersion)
+        value["if_version"] = *request.ifVersion;
     return dumpJson(value);
 }
 
 result<apply_request> parseApplyRequest(std::string_view text)
 {
     const auto read = [](const json &value) {
-        apply_request wanted{value.at("inventory").get<std::string>(),
-                             value.at("rules").get<std::string>(),
-                             value.at("nonce").get<std::string>(),
-                             value.at("author").get<std::string>(), std::nullopt};
+        apply_request request{value.at("inventory").get<std::string>(),
+                              value.at("rules").get<std::string>(),
+                              value.at("nonce").get<std::string>(),
+                              value.at("author").get<std::string>(), std::nullopt};
         if (value.contains("if_version"))
-            wanted.ifVersion = value.at("if_version").get<std::uint64_t>();
-        return wanted;
+            request.ifVersion = value.at("if_version").get<std::uint64_t>();
+        return request;
     };
     return parseWith<apply_request>(text, error_code::BadRequest, read);
 }
@@ -124,17 +125,18 @@
 error errorOfReply(const http_reply &reply)
 {
     const auto read = [](const json &value) {
-        const json &told = value.at("error");
-        const bool isNotRun = told.at("verdict").get<std::string>() == nameOf(verdict::NotRun);
-        return error{errorCodeOf(told.at("code").get<std::string>()),
-                     told.at("message").get<std::string>(),
+        const json &details = value.at("error");
+        const bool isNotRun = details.at("verdict").get<std::string>() == nameOf(verdict::NotRun);
+        return error{errorCodeOf(details.at("code").get<std::string>()),
+                     details.at("message").get<std::string>(),
                      isNotRun ? verdict::NotRun : verdict::MayHaveRun};
     };
     try {
         return read(parseJsonOrThrow(reply.body));
     } catch (const json::exception &) {
         return mayHaveRun(error_code::Broken,
-                          "answered " + std::to_string(reply.status) + " without a reason");
+                          "HTTP status " + std::to_string(reply.status)
+                                  + " without an error description");
     }
 }
 
--- a/src/operators/wire_json.h
+++ b/src/operators/wire_json.h
@@ -9,18 +9,18 @@
 #include <string_view>
 #include <vector>
 
-/// What goes over the operators' address, as JSON; the server and the commands share it.
+/// JSON encoding of the messages on the operator address; shared by the server and the commands.
 namespace poplarspool::operators {
 
-/// @returns Compact JSON; bytes that aren't UTF-8 are replaced.
+/// @returns Compact JSON; invalid UTF-8 is replaced.
 std::string dumpJson(const nlohmann::ordered_json &value);
 
 /// @returns `{"faults":[{"file","line","column","key","message"}]}`
-nlohmann::ordered_json jsonOf(const std::vector<fault> &faults);
-/// @returns The faults of a 422; none where the text is something else.
-std::vector<fault> parseFaults(std::string_view text);
+nlohmann::ordered_json jsonOf(const std::vector<diagnostic> &diagnostics);
+/// @returns The errors in the body of a 422 reply; empty where it is something else.
+std::vector<diagnostic> parseDiagnostics(std::string_view text);
 
-std::string textOf(const apply_request &wanted);
+std::string textOf(const apply_request &request);
 result<apply_request> parseApplyRequest(std::string_view text);
 
 std::string textOf(const apply_reply &reply);
@@ -29,7 +29,7 @@
 std::string textOf(const stored_config &config);
 result<stored_config> parseStoredConfig(std::string_view text);
 
-/// @returns The failure that a reply other than 200 tells of.
+/// @returns The error in the body of a reply with a status other than 200.
 error errorOfReply(const http_reply &reply);
 
 } // namespace poplarspool::operators
--- a/tests/operators/commands_test.cpp
+++ b/tests/operators/commands_test.cpp
@@ -30,28 +30,28 @@
 
 using command = int (*)(const std::vector<std::string> &, std::ostream &, std::ostream &);
 
-command_outcome run(command wanted, const std::vector<std::string> &words)
+command_outcome run(command function, const std::vector<std::string> &arguments)
 {
     std::ostringstream out;
     std::ostringstream err;
-    const int status = wanted(words, out, err);
+    const int status = function(arguments, out, err);
     return {status, out.str(), err.str()};
 }
 
-/// One instance's operators' address, with a store in memory behind it.
-class operators_bench
+/// The operator server of one instance, backed by an in-memory store.
+class operator_fixture
 {
 public:
-    explicit operators_bench(std::string keySha256 = "")
+    explicit operator_fixture(std::string keySha256 = "")
         : server({"127.0.0.1", 0}, std::move(keySha256), handlers(), metrics, events)
     {
         const auto started = server.start();
         CPPUNIT_ASSERT(succeeded(started));
         address = valueOf(started);
     }
-    ~operators_bench() { server.stop(); }
+    ~operator_fixture() { server.stop(); }
 
-    std::string to() const { return textOf(address); }
+    std::string addressText() const { return textOf(address); }
 
     result<http_reply> send(const std::string &method, const std::string &path,
                             const std::string &body = "", const std::string &key = "")
@@ -66,10 +66,10 @@
         return pool.send(address, request, std::chrono::seconds(30));
     }
 
-    /// Statuses asked for until the second instance has applied the configuration.
+    /// Number of status requests until the second instance has applied the configuration.
     std::atomic<int> statusesUntilInForce{1};
-    /// The first POST is accepted, but answered as if the store had been slow.
-    std::atomic<bool> losesFirstAnswer{false};
+    /// The first POST is accepted, but answered with a time-out of the store.
+    std::atomic<bool> losesFirstReply{false};
     memory_store memory;
 
 private:
@@ -78,8 +78,8 @@
         operator_handlers calls;
         calls.status = [this] { return status(); };
         calls.timeline = [](const event_filter &filter) { return timeline(filter); };
-        calls.apply = [this](const apply_request &wanted) { return apply(wanted); };
-        calls.config = [this] { return readConfig(memory.use(), deployment); };
+        calls.apply = [this](const apply_request &request) { return apply(request); };
+        calls.config = [this] { return readConfig(memory.client(), deployment); };
         return calls;
     }
 
@@ -87,7 +87,7 @@
     {
         fleet_status now;
         now.answeredBy = {"entry-1"};
-        now.acceptedVersion = valueOf(readConfig(memory.use(), deployment)).version;
+        now.acceptedVersion = valueOf(readConfig(memory.client(), deployment)).version;
         now.isFresh = true;
         now.isStoreReachable = true;
         now.instances.push_back({memberNamed("entry-1", member_state::Alive), true});
@@ -100,13 +100,13 @@
 
     static policy::member memberNamed(const std::string &name, member_state state)
     {
-        policy::member one;
-        one.id = {name};
-        one.zone = {"zone-a"};
-        one.callerAddress = {"127.0.0.1", 8001};
-        one.peerAddress = {"127.0.0.1", 8201};
-        one.state = state;
-        return one;
+        policy::member instance;
+        instance.id = {name};
+        instance.zone = {"zone-a"};
+        instance.callerAddress = {"127.0.0.1", 8001};
+        instance.peerAddress = {"127.0.0.1", 8201};
+        instance.state = state;
+        return instance;
     }
 
     static std::vector<event> timeline(const event_filter &filter)
@@ -114,21 +114,21 @@
         const std::vector<event> all{
                 {{1, 0}, {"entry-1"}, "request_started", {{"request", "r/1 &x"}}},
                 {{1, 1}, {"entry-2"}, "order_sent", {{"runner", "engine-1"}}}};
-        std::vector<event> chosen;
+        std::vector<event> matching;
         for (const event &entry : all) {
             if (matches(entry, filter))
-                chosen.push_back(entry);
+                matching.push_back(entry);
         }
-        return chosen;
+        return matching;
     }
 
-    result<apply_reply> apply(const apply_request &wanted)
+    result<apply_reply> apply(const apply_request &request)
     {
-        auto done = applyConfig(memory.use(), deployment, wanted,
-                                systemClock().mono() + std::chrono::seconds(30));
-        if (losesFirstAnswer.exchange(false))
+        auto applied = applyConfig(memory.client(), deployment, request,
+                                   systemClock().mono() + std::chrono::seconds(30));
+        if (losesFirstReply.exchange(false))
             return mayHaveRun(error_code::TimedOut, "the store did not answer");
-        return done;
+        return applied;
     }
 
     metrics_registry metrics;
@@ -138,13 +138,14 @@
     endpoint address;
 };
 
-std::vector<std::string> applyWords(const std::string &to, const std::string &inventory,
-                                    const std::vector<std::string> &more = {})
+std::vector<std::string> applyArguments(const std::string &addressText,
+                                        const std::string &inventory,
+                                        const std::vector<std::string> &more = {})
 {
-    std::vector<std::string> words{"--to",    to,        "--inventory", inventory,
-                                   "--rules", rulesFile, "--author",    "ana"};
-    words.insert(words.end(), more.begin(), more.end());
-    return words;
+    std::vector<std::string> arguments{"--to",    addressText, "--inventory", inventory,
+                                       "--rules", rulesFile,   "--author",    "ana"};
+    arguments.insert(arguments.end(), more.begin(), more.end());
+    return arguments;
 }
 
 bool contains(const std::string &text, const std::string &part)
@@ -158,97 +159,105 @@
 {
     CPPUNIT_TEST_SUITE(commands_test);
     CPPUNIT_TEST(applyWaitsUntilInForce);
-    CPPUNIT_TEST(applySurvivesALostAnswer);
-    CPPUNIT_TEST(applyGoesToTheNextAddress);
-    CPPUNIT_TEST(applyRefusesAnOldVersion);
-    CPPUNIT_TEST(applyChecksFirst);
-    CPPUNIT_TEST(statusShowsTheFleet);
-    CPPUNIT_TEST(statusSurvivesItsJson);
+    CPPUNIT_TEST(applySucceedsAfterLostReply);
+    CPPUNIT_TEST(applyTriesNextAddress);
+    CPPUNIT_TEST(applyRejectsOutdatedVersion);
+    CPPUNIT_TEST(applyValidatesBeforeConnecting);
+    CPPUNIT_TEST(statusShowsInstancesAndRunners);
+    CPPUNIT_TEST(statusRoundTripsThroughJson);
     CPPUNIT_TEST(timelineIsFiltered);
-    CPPUNIT_TEST(keyIsDemanded);
-    CPPUNIT_TEST(badChangesAreRefused);
-    CPPUNIT_TEST(badWordsGiveUsage);
+    CPPUNIT_TEST(requestWithoutKeyIsRejected);
+    CPPUNIT_TEST(invalidChangesAreRejected);
+    CPPUNIT_TEST(invalidArgumentsPrintUsage);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void applyWaitsUntilInForce()
     {
-        operators_bench bench;
-        bench.statusesUntilInForce = 3;
+        operator_fixture fixture;
+        fixture.statusesUntilInForce = 3;
         const auto outcome =
-                run(applyCommand, applyWords(bench.to(), inventoryFile, {"--wait", "60"}));
+                run(applyCommand,
+                    applyArguments(fixture.addressText(), inventoryFile, {"--wait", "60"}));
         CPPUNIT_ASSERT_EQUAL_MESSAGE(outcome.err, 0, outcome.status);
         CPPUNIT_ASSERT(contains(outcome.out, "in force on all 2 instances that entry-1 knows"));
-        CPPUNIT_ASSERT(bench.statusesUntilInForce <= 0);
+        CPPUNIT_ASSERT(fixture.statusesUntilInForce <= 0);
     }
 
-    // The first instance accepts the change, but can't say so. The command asks the next address
-    // with the same nonce and the same pinned version, and reports the one version there is.
-    void applySurvivesALostAnswer()
+    // The first instance accepts the change, but replies with a time-out. The command retries at
+    // the next address with the same nonce and the same pinned version. The change must be applied
+    // once, and the command must print its version.
+    void applySucceedsAfterLostReply()
     {
-        operators_bench bench;
-        bench.losesFirstAnswer = true;
-        const auto outcome =
-                run(applyCommand, applyWords(bench.to() + ',' + bench.to(), inventoryFile));
+        operator_fixture fixture;
+        fixture.losesFirstReply = true;
+        const auto outcome = run(
+                applyCommand,
+                applyArguments(fixture.addressText() + ',' + fixture.addressText(), inventoryFile));
         CPPUNIT_ASSERT_EQUAL_MESSAGE(outcome.err, 0, outcome.status);
-        const auto stored = valueOf(readConfig(bench.memory.use(), deployment));
+        const auto stored = valueOf(readConfig(fixture.memory.client(), deployment));
         CPPUNIT_ASSERT_EQUAL("accepted as version " + std::to_string(stored.version) + '\n',
                              outcome.out);
         CPPUNIT_ASSERT(stored.head.earlier.empty());
     }
 
-    void applyGoesToTheNextAddress()
+    void applyTriesNextAddress()
     {
-        operators_bench bench;
-        // Port 1 on loopback: nobody listens, so the connection is refused.
+        operator_fixture fixture;
+        // No server listens on loopback port 1, so the connection is refused.
         const auto outcome =
-                run(applyCommand, applyWords("127.0.0.1:1," + bench.to(), inventoryFile));
+                run(applyCommand,
+                    applyArguments("127.0.0.1:1," + fixture.addressText(), inventoryFile));
         CPPUNIT_ASSERT_EQUAL_MESSAGE(outcome.err, 0, outcome.status);
-        const auto alone = run(applyCommand, applyWords("127.0.0.1:1", inventoryFile));
-        CPPUNIT_ASSERT_EQUAL(1, alone.status);
-        CPPUNIT_ASSERT_MESSAGE(alone.err, contains(alone.err, "(not_run)"));
+        const auto unreachable = run(applyCommand, applyArguments("127.0.0.1:1", inventoryFile));
+        CPPUNIT_ASSERT_EQUAL(1, unreachable.status);
+        CPPUNIT_ASSERT_MESSAGE(unreachable.err, contains(unreachable.err, "(not_run)"));
     }
 
-    void applyRefusesAnOldVersion()
+    void applyRejectsOutdatedVersion()
     {
-        operators_bench bench;
-        CPPUNIT_ASSERT_EQUAL(0, run(applyCommand, applyWords(bench.to(), inventoryFile)).status);
-        const auto late =
-                run(applyCommand, applyWords(bench.to(), drainFile, {"--if-version", "0"}));
-        CPPUNIT_ASSERT_EQUAL(1, late.status);
-        CPPUNIT_ASSERT_MESSAGE(late.err, contains(late.err, "conflict: "));
-        CPPUNIT_ASSERT_MESSAGE(late.err, contains(late.err, "[~runner engine-4 (draining)]"));
-        CPPUNIT_ASSERT_EQUAL(0, run(applyCommand, applyWords(bench.to(), drainFile)).status);
+        operator_fixture fixture;
+        CPPUNIT_ASSERT_EQUAL(
+                0, run(applyCommand, applyArguments(fixture.addressText(), inventoryFile)).status);
+        const auto outdated =
+                run(applyCommand,
+                    applyArguments(fixture.addressText(), drainFile, {"--if-version", "0"}));
+        CPPUNIT_ASSERT_EQUAL(1, outdated.status);
+        CPPUNIT_ASSERT_MESSAGE(outdated.err, contains(outdated.err, "conflict: "));
+        CPPUNIT_ASSERT_MESSAGE(outdated.err,
+                               contains(outdated.err, "[~runner engine-4 (draining)]"));
+        CPPUNIT_ASSERT_EQUAL(
+                0, run(applyCommand, applyArguments(fixture.addressText(), drainFile)).status);
     }
 
-    void applyChecksFirst()
+    void applyValidatesBeforeConnecting()
     {
         const auto outcome =
-                run(applyCommand, applyWords("127.0.0.1:1", "examples/faulty/inventory.toml"));
+                run(applyCommand, applyArguments("127.0.0.1:1", "examples/faulty/inventory.toml"));
         CPPUNIT_ASSERT_EQUAL(2, outcome.status);
         CPPUNIT_ASSERT(contains(outcome.out, "examples/faulty/inventory.toml:17:8: "));
     }
 
-    void statusShowsTheFleet()
+    void statusShowsInstancesAndRunners()
     {
-        operators_bench bench;
-        const auto outcome = run(statusCommand, {"--to", bench.to()});
+        operator_fixture fixture;
+        const auto outcome = run(statusCommand, {"--to", fixture.addressText()});
         CPPUNIT_ASSERT_EQUAL_MESSAGE(outcome.err, 0, outcome.status);
         CPPUNIT_ASSERT(contains(outcome.out, "in force on 2 of 2"));
         CPPUNIT_ASSERT(contains(outcome.out, "up,draining"));
-        const auto json = run(statusCommand, {"--to", bench.to(), "--json"});
+        const auto json = run(statusCommand, {"--to", fixture.addressText(), "--json"});
         CPPUNIT_ASSERT(contains(json.out, R"("in_force_on":2,"in_force_of":2)"));
     }
 
-    void statusSurvivesItsJson()
+    void statusRoundTripsThroughJson()
     {
         fleet_status status;
         status.answeredBy = {"entry-1"};
         status.acceptedVersion = 7;
-        policy::member who;
-        who.id = {"entry-1"};
-        who.callerAddress = {"127.0.0.1", 8001};
-        status.instances.push_back({who, true});
+        policy::member instance;
+        instance.id = {"entry-1"};
+        instance.callerAddress = {"127.0.0.1", 8001};
+        status.instances.push_back({instance, true});
         const auto parsed = parseFleetStatus(jsonOf(status));
         CPPUNIT_ASSERT(succeeded(parsed));
         CPPUNIT_ASSERT_EQUAL(textOf(status), textOf(valueOf(parsed)));
@@ -259,16 +268,17 @@
 
     void timelineIsFiltered()
     {
-        operators_bench bench;
-        const auto all = run(timelineCommand, {"--to", bench.to()});
+        operator_fixture fixture;
+        const auto all = run(timelineCommand, {"--to", fixture.addressText()});
         CPPUNIT_ASSERT_EQUAL_MESSAGE(all.err, 0, all.status);
         CPPUNIT_ASSERT(contains(all.out, "event=request_started"));
         CPPUNIT_ASSERT(contains(all.out, "event=order_sent"));
-        const auto some = run(timelineCommand, {"--to", bench.to(), "--request", "r/1 &x"});
-        CPPUNIT_ASSERT(contains(some.out, "event=request_started"));
-        CPPUNIT_ASSERT(!contains(some.out, "event=order_sent"));
-        const auto json =
-                run(timelineCommand, {"--to", bench.to(), "--runner", "engine-1", "--json"});
+        const auto filtered =
+                run(timelineCommand, {"--to", fixture.addressText(), "--request", "r/1 &x"});
+        CPPUNIT_ASSERT(contains(filtered.out, "event=request_started"));
+        CPPUNIT_ASSERT(!contains(filtered.out, "event=order_sent"));
+        const auto json = run(timelineCommand,
+                              {"--to", fixture.addressText(), "--runner", "engine-1", "--json"});
         CPPUNIT_ASSERT_EQUAL(
                 std::string(R"({"wall_ms":1,"count":1,"instance":"entry-2","event":"order_sent",)"
                             R"("fields":{"runner":"engine-1"}})"
@@ -276,47 +286,47 @@
                 json.out);
     }
 
-    void keyIsDemanded()
+    void requestWithoutKeyIsRejected()
     {
-        operators_bench bench(sha256Hex("right"));
+        operator_fixture fixture(sha256Hex("right"));
         for (const char *path : {"/status", "/timeline", "/metrics", "/config", "/nothing"}) {
-            CPPUNIT_ASSERT_EQUAL(401, valueOf(bench.send("GET", path)).status);
-            CPPUNIT_ASSERT_EQUAL(401, valueOf(bench.send("GET", path, "", "wrong")).status);
+            CPPUNIT_ASSERT_EQUAL(401, valueOf(fixture.send("GET", path)).status);
+            CPPUNIT_ASSERT_EQUAL(401, valueOf(fixture.send("GET", path, "", "wrong")).status);
         }
-        CPPUNIT_ASSERT_EQUAL(401, valueOf(bench.send("POST", "/config", "{}")).status);
-        CPPUNIT_ASSERT_EQUAL(200, valueOf(bench.send("GET", "/metrics", "", "right")).status);
-        CPPUNIT_ASSERT_EQUAL(404, valueOf(bench.send("GET", "/nothing", "", "right")).status);
+        CPPUNIT_ASSERT_EQUAL(401, valueOf(fixture.send("POST", "/config", "{}")).status);
+        CPPUNIT_ASSERT_EQUAL(200, valueOf(fixture.send("GET", "/metrics", "", "right")).status);
+        CPPUNIT_ASSERT_EQUAL(404, valueOf(fixture.send("GET", "/nothing", "", "right")).status);
     }
 
-    void badChangesAreRefused()
+    void invalidChangesAreRejected()
     {
-        operators_bench bench;
-        CPPUNIT_ASSERT_EQUAL(400, valueOf(bench.send("POST", "/config", "{")).status);
+        operator_fixture fixture;
+        CPPUNIT_ASSERT_EQUAL(400, valueOf(fixture.send("POST", "/config", "{")).status);
         CPPUNIT_ASSERT_EQUAL(
                 400,
-                valueOf(bench.send("POST", "/config",
-                                   R"({"inventory":"","rules":"","nonce":"","author":"a"})"))
+                valueOf(fixture.send("POST", "/config",
+                                     R"({"inventory":"","rules":"","nonce":"","author":"a"})"))
                         .status);
-        const auto faulty = bench.send("POST", "/config",
-                                       R"({"inventory":"","rules":"x=","nonce":"n","author":"a"})");
-        CPPUNIT_ASSERT_EQUAL(422, valueOf(faulty).status);
-        CPPUNIT_ASSERT(contains(valueOf(faulty).body, R"("key":"deployment")"));
-        CPPUNIT_ASSERT(contains(valueOf(faulty).body, R"("key":"syntax")"));
+        const auto invalid = fixture.send(
+                "POST", "/config", R"({"inventory":"","rules":"x=","nonce":"n","author":"a"})");
+        CPPUNIT_ASSERT_EQUAL(422, valueOf(invalid).status);
+        CPPUNIT_ASSERT(contains(valueOf(invalid).body, R"("key":"deployment")"));
+        CPPUNIT_ASSERT(contains(valueOf(invalid).body, R"("key":"syntax")"));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
-                             valueOf(readConfig(bench.memory.use(), deployment)).version);
+                             valueOf(readConfig(fixture.memory.client(), deployment)).version);
     }
 
-    void badWordsGiveUsage()
+    void invalidArgumentsPrintUsage()
     {
-        for (const command one : {applyCommand, statusCommand, timelineCommand}) {
-            for (const auto &words :
+        for (const command function : {applyCommand, statusCommand, timelineCommand}) {
+            for (const auto &arguments :
                  {std::vector<std::string>{"--two", "x"}, std::vector<std::string>{"word"},
                   std::vector<std::string>{}, std::vector<std::string>{"--to", "localhost:1"}}) {
-                const auto outcome = run(one, words);
+                const auto outcome = run(function, arguments);
                 CPPUNIT_ASSERT_EQUAL(2, outcome.status);
                 CPPUNIT_ASSERT(contains(outcome.err, "Usage:"));
             }
-            CPPUNIT_ASSERT_EQUAL(0, run(one, {"--help"}).status);
+            CPPUNIT_ASSERT_EQUAL(0, run(function, {"--help"}).status);
         }
     }
 };
--- a/tests/operators/config_files_test.cpp
+++ b/tests/operators/config_files_test.cpp
@@ -28,31 +28,31 @@
     std::string err;
 };
 
-command_outcome check(const std::vector<std::string> &words)
+command_outcome runCheck(const std::vector<std::string> &arguments)
 {
     std::ostringstream out;
     std::ostringstream err;
-    const int status = checkCommand(words, out, err);
+    const int status = checkCommand(arguments, out, err);
     return {status, out.str(), err.str()};
 }
 
-std::string exampleOf(const std::string &folder, const std::string &name)
+std::string examplePath(const std::string &folder, const std::string &name)
 {
     return "examples/" + folder + '/' + name + ".toml";
 }
 
 template <class T>
-std::string linesOf(const checked<T> &outcome)
+std::string linesOf(const parse_result<T> &outcome)
 {
     std::string lines;
-    if (const auto *faults = std::get_if<std::vector<fault>>(&outcome)) {
-        for (const fault &found : *faults)
+    if (const auto *diagnostics = std::get_if<std::vector<diagnostic>>(&outcome)) {
+        for (const diagnostic &found : *diagnostics)
             lines += lineOf(found) + '\n';
     }
     return lines;
 }
 
-const std::string settingsHead = R"(instance = "a"
+const std::string minimalSettings = R"(instance = "a"
 zone = "z"
 deployment = "d"
 caller.address = "127.0.0.1:1"
@@ -65,28 +65,28 @@
 class config_files_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(config_files_test);
-    CPPUNIT_TEST(examplesPass);
-    CPPUNIT_TEST(threeFaultsGiveThreeLines);
-    CPPUNIT_TEST(jsonNamesEachFault);
-    CPPUNIT_TEST(badWordsGiveUsage);
-    CPPUNIT_TEST(settingsPageIsUpToDate);
-    CPPUNIT_TEST(syntaxErrorIsOneFault);
-    CPPUNIT_TEST(missingAndMisplacedKeysAreFaults);
-    CPPUNIT_TEST(wrongTypesAndNumbersAreFaults);
-    CPPUNIT_TEST(rulesNeedAClass);
-    CPPUNIT_TEST(secretIsNotShown);
+    CPPUNIT_TEST(exampleFilesAreValid);
+    CPPUNIT_TEST(eachErrorIsPrintedOnItsOwnLine);
+    CPPUNIT_TEST(jsonContainsEachError);
+    CPPUNIT_TEST(invalidArgumentsPrintUsage);
+    CPPUNIT_TEST(settingsPageContainsAllKeyTables);
+    CPPUNIT_TEST(syntaxErrorIsReportedOnce);
+    CPPUNIT_TEST(missingAndMisplacedKeysAreReported);
+    CPPUNIT_TEST(wrongTypesAndOutOfRangeNumbersAreReported);
+    CPPUNIT_TEST(rulesRequireAClass);
+    CPPUNIT_TEST(secretIsNotInErrorMessages);
     CPPUNIT_TEST(settingsAreRead);
     CPPUNIT_TEST(gatewaySettingsAreRead);
-    CPPUNIT_TEST(gatewaySettingsNameTheirFaults);
-    CPPUNIT_TEST(theNewsPortMustBeFree);
-    CPPUNIT_TEST(defaultsAreInherited);
-    CPPUNIT_TEST(poolsMustFitTheirKind);
-    CPPUNIT_TEST(rulesMustFitTheInventory);
-    CPPUNIT_TEST(kindIsGuessed);
+    CPPUNIT_TEST(gatewaySettingsErrorsAreReported);
+    CPPUNIT_TEST(storeUpdatePortMustNotBeInUse);
+    CPPUNIT_TEST(runnersInheritPoolDefaults);
+    CPPUNIT_TEST(poolKeysMustMatchKind);
+    CPPUNIT_TEST(rulesMustMatchInventory);
+    CPPUNIT_TEST(fileKindIsDetected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void examplesPass()
+    void exampleFilesAreValid()
     {
         const std::vector<std::pair<std::string, std::vector<std::string>>> deployments{
                 {"lanka",
@@ -100,19 +100,19 @@
         for (const auto &[folder, names] : deployments) {
             std::vector<std::string> files;
             for (const std::string &name : names)
-                files.push_back(exampleOf(folder, name));
-            const command_outcome outcome = check(files);
+                files.push_back(examplePath(folder, name));
+            const command_outcome outcome = runCheck(files);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(outcome.out + outcome.err, 0, outcome.status);
         }
         CPPUNIT_ASSERT_EQUAL(
                 std::string("examples/lanka/inventory.toml: ok (inventory, 13 runners)\n"),
-                check({"examples/lanka/inventory.toml"}).out);
+                runCheck({"examples/lanka/inventory.toml"}).out);
         CPPUNIT_ASSERT_EQUAL(
                 std::string("examples/totara/inventory.toml: ok (inventory, 22 runners)\n"),
-                check({"examples/totara/inventory.toml"}).out);
+                runCheck({"examples/totara/inventory.toml"}).out);
     }
 
-    void threeFaultsGiveThreeLines()
+    void eachErrorIsPrintedOnItsOwnLine()
     {
         const std::vector<std::pair<std::string, std::string>> expected{
                 {"settings",
@@ -126,47 +126,48 @@
                  "is \"zone-a\"\n"
                  ":25:13: runners[1].kv_pieces: is \"many\", expected an integer from 1 to "
                  "10000000\n"
-                 ":28:6: runners[2].id: is \"engine-1\", which runners[0].id in line 15 already "
-                 "is\n"},
+                 ":28:6: runners[2].id: is \"engine-1\", already used by runners[0].id "
+                 "(line 15)\n"},
                 {"rules",
                  ":2:1: classes[0].rank: is missing, expected an integer from 0 to 1000\n"
                  ":8:9: requests[0].class: is \"life\", expected a class's name; the nearest is "
                  "\"live\"\n"
                  ":9:10: requests[0].repeat: is \"once\", expected \"allowed\" or \"never\"\n"}};
         for (const auto &[name, lines] : expected) {
-            const std::string file = exampleOf("faulty", name);
+            const std::string file = examplePath("faulty", name);
             std::string withFile;
             std::istringstream in(lines);
             for (std::string line; std::getline(in, line);)
                 withFile.append(file).append(line).append("\n");
-            const command_outcome outcome = check({file});
+            const command_outcome outcome = runCheck({file});
             CPPUNIT_ASSERT_EQUAL(withFile, outcome.out);
             CPPUNIT_ASSERT_EQUAL(2, outcome.status);
         }
     }
 
-    void jsonNamesEachFault()
+    void jsonContainsEachError()
     {
-        const command_outcome outcome = check({"--json", "examples/faulty/rules.toml"});
+        const command_outcome outcome = runCheck({"--json", "examples/faulty/rules.toml"});
         CPPUNIT_ASSERT_EQUAL(2, outcome.status);
         CPPUNIT_ASSERT(outcome.out.find(R"("line":9,"column":10,"key":"requests[0].repeat")")
                        != std::string::npos);
         CPPUNIT_ASSERT(outcome.out.find(R"("kind":"rules","ok":false)") != std::string::npos);
     }
 
-    void badWordsGiveUsage()
+    void invalidArgumentsPrintUsage()
     {
-        for (const auto &words : {std::vector<std::string>{"--jsn"}, std::vector<std::string>{}}) {
-            const command_outcome outcome = check(words);
+        for (const auto &arguments :
+             {std::vector<std::string>{"--jsn"}, std::vector<std::string>{}}) {
+            const command_outcome outcome = runCheck(arguments);
             CPPUNIT_ASSERT_EQUAL(2, outcome.status);
             CPPUNIT_ASSERT(outcome.err.find("Usage:") != std::string::npos);
         }
-        CPPUNIT_ASSERT_EQUAL(0, check({"--help"}).status);
-        CPPUNIT_ASSERT_EQUAL(1, check({"examples/no-such-file.toml"}).status);
-        CPPUNIT_ASSERT_EQUAL(1, check({"examples"}).status);
+        CPPUNIT_ASSERT_EQUAL(0, runCheck({"--help"}).status);
+        CPPUNIT_ASSERT_EQUAL(1, runCheck({"examples/no-such-file.toml"}).status);
+        CPPUNIT_ASSERT_EQUAL(1, runCheck({"examples"}).status);
     }
 
-    void settingsPageIsUpToDate()
+    void settingsPageContainsAllKeyTables()
     {
         const std::string page = contentOf("docs/SETTINGS.md");
         for (const file_kind kind :
@@ -177,29 +178,29 @@
         }
     }
 
-    void syntaxErrorIsOneFault()
+    void syntaxErrorIsReportedOnce()
     {
         const auto outcome = parseRules("f", "retry_share = 0.1\nclasses = [\n");
-        const auto &faults = std::get<std::vector<fault>>(outcome);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, faults.size());
-        CPPUNIT_ASSERT_EQUAL(std::string("syntax"), faults[0].key);
-        CPPUNIT_ASSERT(faults[0].line >= 2);
+        const auto &diagnostics = std::get<std::vector<diagnostic>>(outcome);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, diagnostics.size());
+        CPPUNIT_ASSERT_EQUAL(std::string("syntax"), diagnostics[0].key);
+        CPPUNIT_ASSERT(diagnostics[0].line >= 2);
     }
 
-    void missingAndMisplacedKeysAreFaults()
+    void missingAndMisplacedKeysAreReported()
     {
-        const std::string text = settingsHead + "peer = 7\nlog.level = \"loud\"\n";
+        const std::string text = minimalSettings + "peer = 7\nlog.level = \"loud\"\n";
         CPPUNIT_ASSERT_EQUAL(
                 std::string("f:7:8: peer: is 7, expected a table\n"
                             "f:8:13: log.level: is \"loud\", expected \"debug\" or \"info\" or "
                             "\"warn\" or \"error\" or \"off\"\n"),
                 linesOf(parseSettings("f", text)));
-        const std::string noPeer = linesOf(parseSettings("f", settingsHead));
+        const std::string noPeer = linesOf(parseSettings("f", minimalSettings));
         CPPUNIT_ASSERT(noPeer.find("peer.address: is missing") != std::string::npos);
         CPPUNIT_ASSERT(noPeer.find("peer.key: is missing") != std::string::npos);
     }
 
-    void wrongTypesAndNumbersAreFaults()
+    void wrongTypesAndOutOfRangeNumbersAreReported()
     {
         const std::string lines = linesOf(parseRules("f",
                                                      "retry_share = nan\n"
@@ -215,19 +216,19 @@
                 lines);
     }
 
-    void rulesNeedAClass()
+    void rulesRequireAClass()
     {
         const std::string message = "classes: is missing, expected at least one class\n";
         CPPUNIT_ASSERT_EQUAL("f:1:1: " + message, linesOf(parseRules("f", "retry_share = 0\n")));
         CPPUNIT_ASSERT_EQUAL("f:1:11: " + message, linesOf(parseRules("f", "classes = []\n")));
     }
 
-    // Faults end up in logs and tickets. A key that is too short must be refused without being
-    // shown: the message gives its length only.
-    void secretIsNotShown()
+    // Error messages are copied to logs and tickets. The message about a key that is too short must
+    // contain its length, but not the key.
+    void secretIsNotInErrorMessages()
     {
         const std::string text =
-                settingsHead + "peer = { address = \"127.0.0.1:3\", key = \"hush\" }\n";
+                minimalSettings + "peer = { address = \"127.0.0.1:3\", key = \"hush\" }\n";
         const std::string lines = linesOf(parseSettings("f", text));
         CPPUNIT_ASSERT(lines.find("peer.key: has 4 bytes, expected") != std::string::npos);
         CPPUNIT_ASSERT(lines.find("hush") == std::string::npos);
@@ -235,7 +236,7 @@
 
     void settingsAreRead()
     {
-        const std::string text = settingsHead
+        const std::string text = minimalSettings
                 + "peer = { address = \"127.0.0.1:3\", key = \"0123456789abcdef\", seeds = "
                   "[\"[::1]:9\"] }\n"
                   "leave = { grace_seconds = 3, bound_seconds = 4 }\n"
@@ -260,10 +261,10 @@
         CPPUNIT_ASSERT_EQUAL(std::uint16_t{7381}, choices.loadAddress.port);
         CPPUNIT_ASSERT_EQUAL(52.0, choices.retryExtra);
         CPPUNIT_ASSERT(guessKind(contentOf(path)) == file_kind::Gateway);
-        CPPUNIT_ASSERT_EQUAL(0, check({path}).status);
+        CPPUNIT_ASSERT_EQUAL(0, runCheck({path}).status);
     }
 
-    void gatewaySettingsNameTheirFaults()
+    void gatewaySettingsErrorsAreReported()
     {
         std::string text = contentOf("examples/gateway/settings.toml");
         text.replace(text.find("8141"), 4, "8149");
@@ -274,9 +275,9 @@
                 linesOf(parseGatewaySettings("f", text)));
     }
 
-    /// News of the store come at the port after the peers': where another socket is bound there,
-    /// the instance could not start.
-    void theNewsPortMustBeFree()
+    // Store updates are received on the port after that of peer.address. Without this check, an
+    // instance with another socket on that port would fail only at startup.
+    void storeUpdatePortMustNotBeInUse()
     {
         std::string text = contentOf("examples/gateway/settings.toml");
         text.insert(text.find("load_address"), "share_store_news = true\n");
@@ -289,7 +290,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint16_t{7381}, gateway::newsAddressOf(choices).port);
     }
 
-    void defaultsAreInherited()
+    void runnersInheritPoolDefaults()
     {
         const auto outcome = parseInventory("f", sampleInventory() + "kv_pieces = 256\n");
         CPPUNIT_ASSERT_EQUAL(std::string(), linesOf(outcome));
@@ -302,7 +303,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runners[1].mayCarry.size());
     }
 
-    void poolsMustFitTheirKind()
+    void poolKeysMustMatchKind()
     {
         const std::string text = "deployment = \"d\"\nzones = [\"z\", \"z\"]\n"
                                  "[[pools]]\nid = \"e\"\nkind = \"engine\"\nservice = \"s\"\n"
@@ -310,7 +311,7 @@
                                  "[[runners]]\nid = \"r\"\npool = \"t\"\nzone = \"z\"\n"
                                  "address = \"127.0.0.1:1\"\n";
         CPPUNIT_ASSERT_EQUAL(
-                std::string("f:2:15: zones[1]: is \"z\", which zones[0] in line 2 already is\n"
+                std::string("f:2:15: zones[1]: is \"z\", already used by zones[0] (line 2)\n"
                             "f:3:1: pools[0].serves: is missing, expected a model to serve\n"
                             "f:6:11: pools[0].service: is for pools of kind \"service\"\n"
                             "f:7:1: pools[1].service: is missing, expected a service's name\n"
@@ -319,24 +320,24 @@
                 linesOf(parseInventory("f", text)));
     }
 
-    void rulesMustFitTheInventory()
+    void rulesMustMatchInventory()
     {
         const std::string rules = sampleRules()
                 + "[[requests]]\nname = \"r\"\nmodel = \"demo-7\"\n"
                   "[[plans]]\npool = \"llm\"\nmin_engines = 3\n";
         CPPUNIT_ASSERT_EQUAL(std::string(), linesOf(parseRules("r", rules)));
-        const auto faults = checkTogether("i", sampleInventory(), "r", rules);
+        const auto diagnostics = checkTogether("i", sampleInventory(), "r", rules);
         CPPUNIT_ASSERT_EQUAL(
                 std::string("r:7:9: requests[0].model: is \"demo-7\", expected a model that a pool "
                             "serves; the nearest is \"demo-7b\"\n"
                             "r:10:15: plans[0].min_engines: is 3, but the pool has 2 engines\n"),
-                linesOf(checked<policy::rules>(faults)));
+                linesOf(parse_result<policy::rules>(diagnostics)));
         CPPUNIT_ASSERT(checkTogether("i", sampleInventory(), "r", sampleRules()).empty());
     }
 
-    void kindIsGuessed()
+    void fileKindIsDetected()
     {
-        CPPUNIT_ASSERT(guessKind(settingsHead) == file_kind::Settings);
+        CPPUNIT_ASSERT(guessKind(minimalSettings) == file_kind::Settings);
         CPPUNIT_ASSERT(guessKind(sampleInventory()) == file_kind::Inventory);
         CPPUNIT_ASSERT(guessKind(sampleRules()) == file_kind::Rules);
     }
