--- a/tests/operators/config_store_test.cpp
+++ b/tests/operators/config_store_test.cpp
@@ -17,13 +17,13 @@
     return {inventory, sampleRules(), "nonce of " + author, author, ifVersion};
 }
 
-result<apply_reply> apply(memory_store &memory, const apply_request &wanted)
+result<apply_reply> apply(memory_store &store, const apply_request &request)
 {
-    return applyConfig(memory.use(), deployment, wanted,
+    return applyConfig(store.client(), deployment, request,
                        systemClock().mono() + std::chrono::seconds(30));
 }
 
-std::uint64_t accepted(const result<apply_reply> &outcome)
+std::uint64_t acceptedVersion(const result<apply_reply> &outcome)
 {
     CPPUNIT_ASSERT_MESSAGE(succeeded(outcome) ? "" : errorOf(outcome).message, succeeded(outcome));
     return valueOf(outcome).version;
@@ -39,25 +39,26 @@
 class config_store_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(config_store_test);
-    CPPUNIT_TEST(acceptedIsReadBack);
-    CPPUNIT_TEST(headSurvivesItsText);
-    CPPUNIT_TEST(sameNonceIsOneChange);
-    CPPUNIT_TEST(raceShowsBothChanges);
-    CPPUNIT_TEST(lostAnswerIsResolved);
-    CPPUNIT_TEST(lostAnswerThenReplaced);
-    CPPUNIT_TEST(storeGoneAfterLostAnswer);
-    CPPUNIT_TEST(storeDownIsNotRun);
-    CPPUNIT_TEST(foreignInventoryIsRefused);
+    CPPUNIT_TEST(acceptedConfigIsReadBack);
+    CPPUNIT_TEST(headRoundTripsThroughJson);
+    CPPUNIT_TEST(sameNonceIsAppliedOnce);
+    CPPUNIT_TEST(conflictDescribesBothChanges);
+    CPPUNIT_TEST(lostReplyIsResolved);
+    CPPUNIT_TEST(lostReplyIsResolvedAfterAnotherChange);
+    CPPUNIT_TEST(lostReplyDuringOutageMayHaveRun);
+    CPPUNIT_TEST(unavailableStoreIsNotRun);
+    CPPUNIT_TEST(inventoryOfOtherDeploymentIsRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void acceptedIsReadBack()
+    void acceptedConfigIsReadBack()
     {
-        memory_store memory;
+        memory_store store;
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
-                             valueOf(readConfig(memory.use(), deployment)).version);
-        const std::uint64_t version = accepted(apply(memory, change("ana", sampleInventory())));
-        const auto stored = readConfig(memory.use(), deployment);
+                             valueOf(readConfig(store.client(), deployment)).version);
+        const std::uint64_t version =
+                acceptedVersion(apply(store, change("ana", sampleInventory())));
+        const auto stored = readConfig(store.client(), deployment);
         CPPUNIT_ASSERT(succeeded(stored));
         CPPUNIT_ASSERT_EQUAL(version, valueOf(stored).version);
         CPPUNIT_ASSERT_EQUAL(sampleInventory(), valueOf(stored).inventoryText);
@@ -65,7 +66,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("ana"), valueOf(stored).head.author);
     }
 
-    void headSurvivesItsText()
+    void headRoundTripsThroughJson()
     {
         const config_head head{"a", "b", "n", "Māra \"x\"", 7, {{3, "c", "d", "m", "o", 5}}};
         CPPUNIT_ASSERT(valueOf(parseConfigHead(textOf(head))) == head);
@@ -73,94 +74,100 @@
             CPPUNIT_ASSERT(!succeeded(parseConfigHead(text)));
     }
 
-    // An operator sends the same change twice, as the first answer did not come. In between another
-    // one was accepted. Both answers give the version of the first, and the other change stands.
-    void sameNonceIsOneChange()
+    // An operator repeats a change because the first reply was lost, and another change was
+    // accepted in between. Both replies must give the version of the first try, and the other
+    // change must stay in force.
+    void sameNonceIsAppliedOnce()
     {
-        memory_store memory;
-        const std::uint64_t first = accepted(apply(memory, change("ana", sampleInventory())));
+        memory_store store;
+        const std::uint64_t first = acceptedVersion(apply(store, change("ana", sampleInventory())));
         const std::uint64_t second =
-                accepted(apply(memory, change("bo", sampleInventory("engine-1"))));
+                acceptedVersion(apply(store, change("bo", sampleInventory("engine-1"))));
         CPPUNIT_ASSERT(second > first);
-        CPPUNIT_ASSERT_EQUAL(first, accepted(apply(memory, change("ana", sampleInventory()))));
-        CPPUNIT_ASSERT_EQUAL(second, valueOf(readConfig(memory.use(), deployment)).version);
+        CPPUNIT_ASSERT_EQUAL(first,
+                             acceptedVersion(apply(store, change("ana", sampleInventory()))));
+        CPPUNIT_ASSERT_EQUAL(second, valueOf(readConfig(store.client(), deployment)).version);
     }
 
-    // Two operators start from the same version. The second one to arrive is refused with a true
-    // "not run", and reads who was first and what both of them changed.
-    void raceShowsBothChanges()
+    // Two operators change the same version. The second change is rejected with the verdict NotRun,
+    // and the message names the author of the first change and the differences of both.
+    void conflictDescribesBothChanges()
     {
-        memory_store memory;
-        const std::uint64_t base = accepted(apply(memory, change("ana", sampleInventory())));
-        accepted(apply(memory, change("bo", sampleInventory("engine-1"), base)));
-        const auto late = apply(memory, change("cy", sampleInventory("engine-2"), base));
-        CPPUNIT_ASSERT(!succeeded(late));
-        CPPUNIT_ASSERT(errorOf(late).code == error_code::Conflict);
-        CPPUNIT_ASSERT(errorOf(late).ran == verdict::NotRun);
-        const std::string &message = errorOf(late).message;
+        memory_store store;
+        const std::uint64_t base = acceptedVersion(apply(store, change("ana", sampleInventory())));
+        acceptedVersion(apply(store, change("bo", sampleInventory("engine-1"), base)));
+        const auto rejected = apply(store, change("cy", sampleInventory("engine-2"), base));
+        CPPUNIT_ASSERT(!succeeded(rejected));
+        CPPUNIT_ASSERT(errorOf(rejected).code == error_code::Conflict);
+        CPPUNIT_ASSERT(errorOf(rejected).ran == verdict::NotRun);
+        const std::string &message = errorOf(rejected).message;
         CPPUNIT_ASSERT_MESSAGE(message, contains(message, "bo changed it at 20"));
         CPPUNIT_ASSERT_MESSAGE(message, contains(message, "Z [~runner engine-1 (draining)]"));
         CPPUNIT_ASSERT_MESSAGE(
                 message, contains(message, "the change of cy is [~runner engine-2 (draining)]"));
     }
 
-    // The store accepts the head, but its answer is lost. The operator still learns the version.
-    void lostAnswerIsResolved()
+    // The store accepts the head, but its reply is lost. The operator must still get the version.
+    void lostReplyIsResolved()
     {
-        memory_store memory;
-        memory.loseAnswerOf(headKey(deployment), [] {});
-        const std::uint64_t version = accepted(apply(memory, change("ana", sampleInventory())));
-        CPPUNIT_ASSERT_EQUAL(version, valueOf(readConfig(memory.use(), deployment)).version);
+        memory_store store;
+        store.loseReplyFor(headKey(deployment), [] {});
+        const std::uint64_t version =
+                acceptedVersion(apply(store, change("ana", sampleInventory())));
+        CPPUNIT_ASSERT_EQUAL(version, valueOf(readConfig(store.client(), deployment)).version);
     }
 
-    // The store accepts the head, its answer is lost, and before it is read back another operator
-    // replaces it. A plain comparison would call the first change "not run", which is false: it was
-    // in force for a moment. The head's memory of earlier changes tells.
-    void lostAnswerThenReplaced()
+    // The store accepts the head and its reply is lost. Before the head is read back, another
+    // operator replaces it. Comparing only the current head would report the first change as
+    // NotRun, although it was in force for a short time; the history in the head shows that it was
+    // accepted.
+    void lostReplyIsResolvedAfterAnotherChange()
     {
-        memory_store memory;
+        memory_store store;
         std::uint64_t other = 0;
-        memory.loseAnswerOf(headKey(deployment), [&] {
-            other = accepted(apply(memory, change("bo", sampleInventory("engine-1"))));
+        store.loseReplyFor(headKey(deployment), [&] {
+            other = acceptedVersion(apply(store, change("bo", sampleInventory("engine-1"))));
         });
-        const std::uint64_t version = accepted(apply(memory, change("ana", sampleInventory())));
+        const std::uint64_t version =
+                acceptedVersion(apply(store, change("ana", sampleInventory())));
         CPPUNIT_ASSERT(version < other);
-        CPPUNIT_ASSERT_EQUAL(other, valueOf(readConfig(memory.use(), deployment)).version);
+        CPPUNIT_ASSERT_EQUAL(other, valueOf(readConfig(store.client(), deployment)).version);
     }
 
-    // The store accepts the head, its answer is lost, and the store stays down. Nobody can say
-    // whether the change was accepted, and the answer must not claim that it was not.
-    void storeGoneAfterLostAnswer()
+    // The store accepts the head, its reply is lost, and the store stays unavailable. It is unknown
+    // whether the change was accepted, so the verdict must not be NotRun.
+    void lostReplyDuringOutageMayHaveRun()
     {
-        memory_store memory;
-        memory.loseAnswerOf(headKey(deployment), [&] { memory.goDown(); });
-        const auto outcome = applyConfig(memory.use(), deployment, change("ana", sampleInventory()),
-                                         systemClock().mono() + std::chrono::milliseconds(50));
+        memory_store store;
+        store.loseReplyFor(headKey(deployment), [&] { store.setUnavailable(); });
+        const auto outcome =
+                applyConfig(store.client(), deployment, change("ana", sampleInventory()),
+                            systemClock().mono() + std::chrono::milliseconds(50));
         CPPUNIT_ASSERT(!succeeded(outcome));
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::MayHaveRun);
     }
 
-    void storeDownIsNotRun()
+    void unavailableStoreIsNotRun()
     {
-        memory_store memory;
-        memory.goDown();
-        const auto outcome = apply(memory, change("ana", sampleInventory()));
+        memory_store store;
+        store.setUnavailable();
+        const auto outcome = apply(store, change("ana", sampleInventory()));
         CPPUNIT_ASSERT(!succeeded(outcome));
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::NotRun);
     }
 
-    // An operator looks after two deployments and sends the inventory of one to an instance of the
-    // other. Accepting it would withdraw the whole fleet.
-    void foreignInventoryIsRefused()
+    // An operator of two deployments sends the inventory of one to an instance of the other.
+    // Accepting it would remove every runner of the instance's own deployment.
+    void inventoryOfOtherDeploymentIsRejected()
     {
-        memory_store memory;
+        memory_store store;
         std::string foreign = sampleInventory();
         foreign.replace(foreign.find("demo"), 4, "other");
-        const auto outcome = apply(memory, change("ana", foreign));
+        const auto outcome = apply(store, change("ana", foreign));
         CPPUNIT_ASSERT(!succeeded(outcome));
         CPPUNIT_ASSERT(errorOf(outcome).code == error_code::BadRequest);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
-                             valueOf(readConfig(memory.use(), deployment)).version);
+                             valueOf(readConfig(store.client(), deployment)).version);
     }
 };
 
--- a/tests/operators/memory_store.h
+++ b/tests/operators/memory_store.h
@@ -9,11 +9,11 @@
 #include <mutex>
 #include <string>
 
-/// An object API in memory, with a place to interfere.
+/// An in-memory object API that can lose replies and become unavailable.
 class memory_store
 {
 public:
-    using interference = std::function<void()>;
+    using hook = std::function<void()>;
 
     memory_store()
         : events(poplarspool::instance_id{"test"}, poplarspool::systemClock(), 16),
@@ -21,28 +21,28 @@
                 poplarspool::systemClock(), metrics, events)
     { }
 
-    /// The answer of the next write to `key` is lost after the write took effect; `then` runs
-    /// before anyone can read it back.
-    void loseAnswerOf(std::string key, interference then)
+    /// The reply to the next write of `key` is lost after the write took effect. `then` runs before
+    /// the writer can read the object back.
+    void loseReplyFor(std::string key, hook then)
     {
         const std::lock_guard lock(mutex);
-        lostKey = std::move(key);
+        lossKey = std::move(key);
         afterLoss = std::move(then);
     }
 
-    /// All calls fail without effect from now on.
-    void goDown()
+    /// All later calls fail without effect.
+    void setUnavailable()
     {
         const std::lock_guard lock(mutex);
-        isDown = true;
+        isUnavailable = true;
     }
 
-    poplarspool::platform::object_store &use() { return store; }
+    poplarspool::platform::object_store &client() { return store; }
 
 private:
     using put_result = poplarspool::result<std::uint64_t>;
 
-    static poplarspool::error downError()
+    static poplarspool::error unavailableError()
     {
         return poplarspool::notRun(poplarspool::error_code::Unavailable, "store down");
     }
@@ -59,8 +59,8 @@
     poplarspool::result<poplarspool::platform::object> get(const std::string &key)
     {
         const std::lock_guard lock(mutex);
-        if (isDown)
-            return downError();
+        if (isUnavailable)
+            return unavailableError();
         const auto found = objects.find(key);
         if (found == objects.end())
             return poplarspool::notRun(poplarspool::error_code::NotFound, key);
@@ -69,19 +69,19 @@
 
     put_result put(const std::string &key, const std::string &value, std::uint64_t ifVersion)
     {
-        interference then;
+        hook then;
         {
             const std::lock_guard lock(mutex);
-            if (isDown)
-                return downError();
+            if (isUnavailable)
+                return unavailableError();
             const auto found = objects.find(key);
-            const std::uint64_t present = found == objects.end() ? 0 : found->second.version;
-            if (present != ifVersion)
+            const std::uint64_t currentVersion = found == objects.end() ? 0 : found->second.version;
+            if (currentVersion != ifVersion)
                 return poplarspool::notRun(poplarspool::error_code::Conflict, key);
             objects[key] = {key, value, ++version};
-            if (key != lostKey)
+            if (key != lossKey)
                 return version;
-            lostKey.clear();
+            lossKey.clear();
             then = std::move(afterLoss);
         }
         then();
@@ -91,9 +91,9 @@
     std::mutex mutex;
     std::map<std::string, poplarspool::platform::object> objects;
     std::uint64_t version = 0;
-    bool isDown = false;
-    std::string lostKey;
-    interference afterLoss;
+    bool isUnavailable = false;
+    std::string lossKey;
+    hook afterLoss;
     poplarspool::metrics_registry metrics;
     poplarspool::journal events;
     poplarspool::platform::object_store store;
--- a/tests/operators/sample_files.h
+++ b/tests/operators/sample_files.h
@@ -2,8 +2,8 @@
 
 #include <string>
 
-/// A small inventory with two engines.
-/// @param drained Id of the engine that drains; empty for none.
+/// @returns An inventory with two engines.
+/// @param drained Id of the engine that is draining; empty for none.
 inline std::string sampleInventory(const std::string &drained = "")
 {
     std::string text = R"(deployment = "demo"
