--- a/include/poplarspool/operators/config_store.h
+++ b/include/poplarspool/operators/config_store.h
@@ -30,7 +30,7 @@
 {
     std::string inventorySha; ///< SHA-256 of the text; part of the key of its body object.
     std::string rulesSha;
-    /// Chosen by the writer: after a lost reply it tells the writer's own change from another one.
+    /// Chosen by the writer; after a lost reply, it identifies the writer's own change.
     std::string nonce;
     std::string author;
     std::int64_t wallMs = 0;
