--- a/src/operators/gateway_file.cpp
+++ b/src/operators/gateway_file.cpp
@@ -27,33 +27,37 @@
             requiredKey<s>("instance", "", &s::instance, idRule<instance_id>(nameRule()),
                            "Name of this instance, unique among those of one store."),
             requiredKey<s>("zone", "", &s::zone, idRule<zone_id>(nameRule()),
-                           "Availability zone that it stands in."),
+                           "Availability zone of this instance."),
             requiredKey<s>("caller.address", "", &s::callerAddress, endpointRule(),
-                           "Where callers send requests, as they are told it."),
+                           "Address for callers' requests, as published to callers."),
             requiredKey<s>("readiness.address", "", &s::readinessAddress, endpointRule(),
-                           "Where the platform asks whether callers may come."),
+                           "Address of the platform's readiness check."),
             requiredKey<s>("directory.address", "", &s::directoryAddress, endpointRule(),
-                           "Where callers ask which instances to connect to."),
+                           "Address where callers get the list of instances to connect to."),
             optionalKey<s>("directory.keep_seconds", "s", &s::addressKeepTime,
                            timeRule<seconds>(seconds(1), seconds(60)),
-                           "For which callers may keep that answer."),
+                           "Time for which callers may cache that list."),
             requiredKey<s>("peer.address", "", &s::peerAddress, endpointRule(),
-                           "Between instances: UDP."),
+                           "Address for messages between instances (UDP)."),
             requiredKey<s>("peer.load_address", "", &s::loadAddress, endpointRule(),
-                           "Between instances: UDP, for news of load."),
+                           "Address for load updates between instances (UDP)."),
             optionalKey<s>("peer.share_store_news", "", &s::sharesStoreNews, flagRule(),
-                           "Few instances follow the store for all, and tell the others at the "
-                           "port after peer.address's; else each follows it by itself."),
+                           "A few instances watch the store and relay its changes to the others, "
+                           "on the port after that of peer.address; otherwise every instance "
+                           "watches the store itself."),
             requiredKey<s>("metrics.address", "", &s::metricsAddress, endpointRule(),
-                           "Where metrics are read, at /metrics."),
+                           "Address of the metrics endpoint, /metrics."),
             requiredKey<s>("store.address", "", &s::storeAddress, endpointRule(),
-                           "The platform's metadata store."),
+                           "Address of the platform's metadata store."),
             optionalKey<s>("store.settle_ms", "ms", &s::settleTime, updateDelayRule(),
-                           "For which news may be late after the store was away or silent."),
+                           "Time after an outage or silence of the store during which its changes "
+                           "may arrive late."),
             optionalKey<s>("store.runners_ms", "ms", &s::runnersBound, updateDelayRule(),
-                           "After it has said so, a runner that leaves gets no new request."),
+                           "Maximum time from a runner's announcement that it leaves until it gets "
+                           "no new requests."),
             optionalKey<s>("store.routes_ms", "ms", &s::routesBound, updateDelayRule(),
-                           "After the store has taken them, new routes are in force."),
+                           "Maximum time from the store's acceptance of new routes until they are "
+                           "in force."),
     };
 }
 
@@ -66,36 +70,38 @@
                                                 {"error", "error"},
                                                 {"off", "off"}});
     return {
-            optionalKey<s>("retries.share", "", &s::retryShare, realRule(0, 1),
-                           "Sends beyond each request's first, as a share of the requests."),
+            optionalKey<s>(
+                    "retries.share", "", &s::retryShare, realRule(0, 1),
+                    "Tries beyond the first one of each request, as a share of the requests."),
             optionalKey<s>("retries.extra", "", &s::retryExtra, realRule(0, 100000),
-                           "Beside the share, of all instances together."),
+                           "Tries allowed in addition to the share, for all instances together."),
             optionalKey<s>("orders.lease_ms", "ms", &s::leaseBound,
                            timeRule<milliseconds>(milliseconds(100), milliseconds(60000)),
-                           "By which orders of two instances to engines are apart at least."),
+                           "Minimum time between orders to engines from two different instances."),
             optionalKey<s>("duties.address", "", &s::dutyAddress, endpointRule(),
-                           "Of the platform, for calls that one instance at a time makes."),
+                           "Platform address for calls that only one instance makes at a time."),
             optionalKey<s>("duties.kinds", "", &s::dutyKinds,
                            listRule(textRule(1, config::maxNameBytes), maxDuties),
-                           "Which of these calls are wanted: accounting reports usage, scaling "
-                           "orders runners; others are left to the platform."),
+                           "Enabled kinds of these calls: accounting reports usage, scaling orders "
+                           "runners; other kinds are left to the platform."),
             optionalKey<s>("scaling.spot", "", &s::ordersSpot, flagRule(),
-                           "Spot runners take the place of regular ones; else none are ordered."),
+                           "Whether spot runners are ordered in place of regular ones."),
             optionalKey<s>("duties.usage_window_seconds", "s", &s::usageWindowSeconds,
                            realRule(0.5, 86400),
-                           "Of true time, that one report of usage is about."),
+                           "Length of the window of one usage report, in true time."),
             optionalKey<s>("duties.usage_late_seconds", "s", &s::usageLateSeconds,
-                           realRule(1, 86400), "After a window's end, when its report is late."),
+                           realRule(1, 86400),
+                           "Time after the end of a window at which its report is late."),
             optionalKey<s>("workspaces.strict_revoke", "", &s::isRevokeStrict, flagRule(),
-                           "Without the store's word for workspaces.revoke_ms, no key is good any "
-                           "more; else the last known ones are."),
+                           "Whether all keys are rejected when the store has not confirmed them "
+                           "for workspaces.revoke_ms; otherwise the last known keys stay valid."),
             optionalKey<s>("workspaces.revoke_ms", "ms", &s::revokeTime,
                            timeRule<milliseconds>(milliseconds(500), milliseconds(600000)),
-                           "Age of the last known keys, for workspaces.strict_revoke."),
+                           "Maximum age of the last known keys, with workspaces.strict_revoke."),
             optionalKey<s>("leave.seconds", "s", &s::leaveSeconds, realRule(1, 600),
-                           "From SIGTERM to the end of the process."),
+                           "Time from SIGTERM to the end of the process."),
             optionalKey<s>("log.level", "", &s::logLevel, level,
-                           "Least level written to standard output."),
+                           "Minimum level written to standard output."),
     };
 }
 
--- a/src/operators/inventory_file.cpp
+++ b/src/operators/inventory_file.cpp
@@ -21,7 +21,8 @@
 {
     using m = model_version;
     return {
-            requiredKey<m>("model", "", &m::model, nameRule(), "Name that callers ask for."),
+            requiredKey<m>("model", "", &m::model, nameRule(),
+                           "Name of the model in callers' requests."),
             requiredKey<m>("version", "", &m::version, nameRule(), "Version of its weights."),
     };
 }
@@ -36,13 +37,13 @@
                                                {"decode", engine_role::Decode}});
     return {
             requiredKey<p>("id", "", &p::id, idRule<pool_id>(nameRule()), "Name of the pool."),
-            requiredKey<p>("kind", "", &p::kind, kind, "What its runners are."),
+            requiredKey<p>("kind", "", &p::kind, kind, "Kind of its runners."),
             tablesKey<p>("serves", &p::serves, modelKeys(), config::maxModels,
                          "Engines: the models wanted in this pool."),
             optionalKey<p>("service", "", &p::service, nameRule(),
                            "Services: NAME in /v1/services/NAME/…"),
             optionalKey<p>("start_role", "", &p::startRole, role,
-                           "Engines: their role before any plan."),
+                           "Engines: their role before the first plan."),
     };
 }
 
@@ -52,26 +53,27 @@
     using r = runner_spec;
     return {
             optionalKey<r>("checks_fence", "", &r::checksFence, flagRule(),
-                           "Refuses an order whose fencing number is old."),
+                           "Whether the runner refuses orders with an outdated fencing token."),
             optionalKey<r>("draining", "", &r::isDraining, flagRule(),
                            "Gets no new work; running streams finish."),
             optionalKey<r>("accelerators", "", &r::accelerators,
                            integerRule<std::uint32_t>(1, 1024), "Accelerators of the engine."),
             optionalKey<r>("kv_pieces", "pieces", &r::kvPieces,
-                           integerRule<std::uint32_t>(1, 10000000), "Pieces of KV memory."),
+                           integerRule<std::uint32_t>(1, 10000000), "Size of the KV cache."),
             optionalKey<r>("piece_tokens", "tokens", &r::pieceTokens,
                            integerRule<std::uint32_t>(1, 4096), "Tokens that one piece holds."),
             optionalKey<r>("prefill_tokens_per_second", "tokens/s", &r::prefillTokensPerSecond,
-                           realRule(minRate, maxRate), "Of the whole engine."),
+                           realRule(minRate, maxRate), "Prefill rate of the whole engine."),
             optionalKey<r>("decode_tokens_per_second", "tokens/s", &r::decodeTokensPerSecond,
                            realRule(minRate, maxRate),
-                           "Of the whole engine, all streams together."),
+                           "Decode rate of the whole engine, all streams together."),
             optionalKey<r>("concurrency", "requests", &r::concurrency,
-                           integerRule<std::uint32_t>(1, 65536), "Requests that it runs at once."),
+                           integerRule<std::uint32_t>(1, 65536),
+                           "Requests that the runner runs concurrently."),
             tablesKey<r>("may_carry", &r::mayCarry, modelKeys(), config::maxModels,
-                         "Engines: models and versions that it may be told to load."),
+                         "Engines: models and versions that it may be ordered to load."),
             optionalKey<r>("adapters", "", &r::adapters, listRule(nameRule(), config::maxAdapters),
-                           "Engines: adapters that it may be told to load."),
+                           "Engines: adapters that it may be ordered to load."),
     };
 }
 
@@ -82,7 +84,7 @@
             requiredKey<r>("id", "", &r::id, idRule<runner_id>(nameRule()), "Name of the runner."),
             requiredKey<r>("pool", "", &r::pool, idRule<pool_id>(nameRule()), "Its pool."),
             requiredKey<r>("zone", "", &r::zone, idRule<zone_id>(nameRule()), "Its zone."),
-            requiredKey<r>("address", "", &r::address, endpointRule(), "Where it listens."),
+            requiredKey<r>("address", "", &r::address, endpointRule(), "Address where it listens."),
     };
     for (key_decl<r> &declared : propertyKeys())
         keys.push_back(std::move(declared));
@@ -94,7 +96,7 @@
     using r = runner_spec;
     table_keys<r> keys = {
             requiredKey<r>("pool", "", &r::pool, idRule<pool_id>(nameRule()),
-                           "Whose runners inherit these values."),
+                           "Pool whose runners inherit these values."),
     };
     for (key_decl<r> &declared : propertyKeys())
         keys.push_back(std::move(declared));
--- a/src/operators/rules_file.cpp
+++ b/src/operators/rules_file.cpp
@@ -21,10 +21,10 @@
     return {
             requiredKey<c>("name", "", &c::name, nameRule(), "Name of the class."),
             requiredKey<c>("rank", "", &c::rank, integerRule<std::uint32_t>(0, 1000),
-                           "The lower, the earlier it is served."),
+                           "Priority; requests of a class with a lower rank are served first."),
             optionalKey<c>("time_limit_ms", "ms", &c::timeLimit,
                            timeRule<milliseconds>(milliseconds(1), config::maxTimeLimit),
-                           "Of its requests, where the caller names none."),
+                           "Time limit of its requests where the caller sets none."),
     };
 }
 
@@ -34,12 +34,13 @@
     const auto workspace = idRule<workspace_id>(textRule(1, config::maxNameBytes));
     return {
             requiredKey<c>("id", "", &c::id, idRule<caller_id>(nameRule()), "Name of the caller."),
-            requiredKey<c>("key_sha256", "", &c::keySha256, sha256Rule(), "Of its bearer key."),
+            requiredKey<c>("key_sha256", "", &c::keySha256, sha256Rule(),
+                           "SHA-256 of its bearer key."),
             optionalKey<c>("workspaces", "", &c::workspaces,
                            listRule(workspace, config::maxWorkspaces),
-                           "Workspaces that it may name; none: any."),
+                           "Workspaces that it may use; without any, it may use all."),
             optionalKey<c>("class", "", &c::priorityClass, nameRule(),
-                           "Of its requests, where no request rule says otherwise."),
+                           "Class of its requests where no request rule sets one."),
     };
 }
 
@@ -61,17 +62,21 @@
             optionalKey<r>("caller", "", &r::caller, idRule<caller_id>(nameRule()),
                            "Matches this caller."),
             optionalKey<r>("workspace", "", &r::workspace, workspace, "Matches this workspace."),
-            optionalKey<r>("model", "", &r::model, nameRule(), "Matches completions of it."),
-            optionalKey<r>("service", "", &r::service, nameRule(), "Matches calls of it."),
+            optionalKey<r>("model", "", &r::model, nameRule(),
+                           "Matches completions of this model."),
+            optionalKey<r>("service", "", &r::service, nameRule(),
+                           "Matches calls of this service."),
             optionalKey<r>("method", "", &r::method, method, "Matches this method."),
             optionalKey<r>("path_prefix", "", &r::pathPrefix, pathRule(),
-                           "Matches the service's own paths that begin so."),
+                           "Matches paths of the service with this prefix."),
             optionalKey<r>("class", "", &r::priorityClass, nameRule(),
-                           "Class; none: the caller's, else the last class."),
-            optionalKey<r>("repeat", "", &r::repeat, repeat,
-                           "Whether it may be tried again; \"never\" runs at most once."),
+                           "Class of the request; without it the caller's class, otherwise the "
+                           "last class."),
+            optionalKey<r>(
+                    "repeat", "", &r::repeat, repeat,
+                    "Whether the request may be retried; with \"never\" it runs at most once."),
             optionalKey<r>("needs_key", "", &r::needsKey, flagRule(),
-                           "Refused where it has no Idempotency-Key."),
+                           "Whether requests without an Idempotency-Key are refused."),
     };
 }
 
@@ -80,9 +85,11 @@
     using p = plan_rule;
     return {
             requiredKey<p>("pool", "", &p::pool, idRule<pool_id>(nameRule()), "A pool of engines."),
-            optionalKey<p>("enabled", "", &p::enabled, flagRule(), "Whether roles are changed."),
+            optionalKey<p>("enabled", "", &p::enabled, flagRule(),
+                           "Whether the planner changes roles."),
             optionalKey<p>("goodput_weight", "", &p::goodputWeight, realRule(0, 1),
-                           "1: only goodput counts; 0: only few role changes count."),
+                           "Weight of goodput against few role changes: 1 considers only goodput, "
+                           "0 only role changes."),
             optionalKey<p>("max_changes_in_flight", "engines", &p::maxChangesInFlight,
                            integerRule<std::uint32_t>(1, 64), "Engines changed at the same time."),
             optionalKey<p>("min_engines", "engines", &p::minEngines,
@@ -98,23 +105,23 @@
             tablesKey<r>("classes", &r::classes, classKeys(), config::maxClasses,
                          "Classes of requests, at least one; the last one is the default."),
             tablesKey<r>("callers", &r::callers, callerKeys(), config::maxCallers,
-                         "Who may come in; where any is named, no one else."),
+                         "Callers that are admitted; without any, every caller is."),
             tablesKey<r>("requests", &r::requests, requestKeys(), config::maxRequestRules,
-                         "What holds for requests; the first rule that matches wins, and a key "
-                         "left out matches all."),
+                         "Rules for requests; the first match applies, and an omitted key matches "
+                         "every request."),
             tablesKey<r>("plans", &r::plans, planKeys(), config::maxPools,
-                         "How a pool's roles are planned."),
+                         "Planning of the engine roles of a pool."),
             optionalKey<r>("address_keep_seconds", "s", &r::addressKeepTime,
                            timeRule<seconds>(seconds(1), seconds(3600)),
-                           "For which callers may keep the answer of /v1/addresses."),
+                           "Time for which callers may cache the reply of /v1/addresses."),
             optionalKey<r>("claim_keep_seconds", "s", &r::claimKeepTime,
                            timeRule<milliseconds>(seconds(1), seconds(86400)),
-                           "For which an idempotency key is remembered."),
+                           "Time for which an idempotency key is remembered."),
             optionalKey<r>("retry_share", "", &r::retryShare, realRule(0, 1),
                            "Retries as a share of requests."),
             optionalKey<r>("drain_seconds", "s", &r::drainTime,
                            timeRule<milliseconds>(seconds(1), seconds(3600)),
-                           "For which a planned change waits for running streams."),
+                           "Time for which a planned change waits for running streams."),
     };
 }
 
--- a/src/operators/settings_file.cpp
+++ b/src/operators/settings_file.cpp
@@ -26,9 +26,9 @@
             requiredKey<s>("instance", "", &s::instance, idRule<instance_id>(nameRule()),
                            "Name of this instance, unique in the deployment."),
             requiredKey<s>("zone", "", &s::zone, idRule<zone_id>(nameRule()),
-                           "Availability zone that it stands in."),
+                           "Availability zone of this instance."),
             requiredKey<s>("deployment", "", &s::deployment, nameRule(),
-                           "Prefix of all its objects in the store; the same everywhere."),
+                           "Prefix of all its objects in the store; the same on all instances."),
     };
 }
 
@@ -66,28 +66,32 @@
     const auto time = timeRule<milliseconds>(milliseconds(100), milliseconds(600000));
     return {
             requiredKey<s>("caller.address", "", &s::callerAddress, endpointRule(),
-                           "Where callers connect, as they are told it."),
-            optionalKey<s>("caller.limits.header_bytes", "bytes", headerBytes,
-                           integerRule<std::size_t>(1024, maxBytes),
-                           "Of one request's headers; more is answered with 431."),
-            optionalKey<s>("caller.limits.body_bytes", "bytes", bodyBytes,
-                           integerRule<std::size_t>(1024, maxBytes),
-                           "Of one request's body; more is answered with 413."),
+                           "Address where callers connect, as published to callers."),
+            optionalKey<s>(
+                    "caller.limits.header_bytes", "bytes", headerBytes,
+                    integerRule<std::size_t>(1024, maxBytes),
+                    "Maximum size of a request's headers; a larger request is answered with 431."),
+            optionalKey<s>(
+                    "caller.limits.body_bytes", "bytes", bodyBytes,
+                    integerRule<std::size_t>(1024, maxBytes),
+                    "Maximum size of a request's body; a larger request is answered with 413."),
             optionalKey<s>("caller.limits.connections", "", connections,
                            integerRule<std::uint32_t>(1, 65536),
-                           "Connections held open; one thread each. More are refused with 503."),
+                           "Maximum number of open connections, each with its own thread; more are "
+                           "refused with 503."),
             optionalKey<s>("caller.limits.streams", "", &s::maxStreams,
                            integerRule<std::uint32_t>(1, 65536),
-                           "Requests served at the same time."),
+                           "Maximum number of requests served at the same time."),
             optionalKey<s>("caller.limits.read_time_ms", "ms", readTime, time,
-                           "In which a whole request must have arrived."),
-            optionalKey<s>("caller.limits.write_time_ms", "ms", writeTime, time,
-                           "For which one write may block before the caller is given up."),
+                           "Time within which a whole request must arrive."),
+            optionalKey<s>(
+                    "caller.limits.write_time_ms", "ms", writeTime, time,
+                    "Time for which one write may block before the caller is considered gone."),
             optionalKey<s>("caller.limits.keep_alive_ms", "ms", keepAlive, time,
                            "Idle time after which a connection is closed."),
             optionalKey<s>("caller.limits.keep_alive_requests", "", perConnection,
                            integerRule<std::size_t>(1, std::numeric_limits<std::int32_t>::max()),
-                           "Requests served on one connection."),
+                           "Maximum number of requests served on one connection."),
     };
 }
 
@@ -96,19 +100,20 @@
     using s = settings;
     return {
             requiredKey<s>("operator.address", "", &s::operatorAddress, endpointRule(),
-                           "Where status, time line, metrics and changes are asked for."),
+                           "Address of the operator interface: status, timeline, metrics and "
+                           "configuration."),
             optionalKey<s>("operator.key_sha256", "", &s::operatorKeySha256, sha256Rule(),
-                           "SHA-256 of the operators' bearer key; without it anyone gets in."),
+                           "SHA-256 of the operators' bearer key; without it, no key is required."),
             requiredKey<s>("peer.address", "", &s::peerAddress, endpointRule(),
-                           "Between instances: UDP and TCP, the same port."),
+                           "Address for messages between instances, UDP and TCP on the same port."),
             requiredKey<s>("peer.key", "", &s::peerKey,
                            secretRule(config::minPeerKeyBytes, config::maxPeerKeyBytes),
-                           "Secret of all instances; authenticates every message."),
+                           "Secret shared by all instances; authenticates every message."),
             optionalKey<s>("peer.seeds", "", &s::peerSeeds, listRule(endpointRule(), maxSeeds),
-                           "Peer addresses asked besides the instance list."),
+                           "Peer addresses contacted in addition to those of the instance list."),
             optionalKey<s>("peer.gossip_ms", "ms", &s::gossipTime,
                            timeRule<milliseconds>(milliseconds(20), milliseconds(10000)),
-                           "Between two gossip rounds."),
+                           "Interval between gossip rounds."),
     };
 }
 
@@ -116,18 +121,19 @@
 {
     using s = settings;
     return {
-            requiredKey<s>("platform.store", "", &s::storeAddress, endpointRule(), "Object API."),
+            requiredKey<s>("platform.store", "", &s::storeAddress, endpointRule(),
+                           "Address of the object API."),
             requiredKey<s>("platform.instances", "", &s::instanceListAddress, endpointRule(),
-                           "List of live and leaving instances."),
+                           "Address of the list of live and leaving instances."),
             requiredKey<s>("platform.weights", "", &s::weightStoreAddress, endpointRule(),
-                           "Weight store."),
+                           "Address of the weight store."),
             optionalKey<s>("platform.calls_per_second", "calls/s", &s::storeCallsPerSecond,
-                           realRule(1, 1000), "Calls to the object API in the long run."),
+                           realRule(1, 1000), "Long-term rate limit of calls to the object API."),
             optionalKey<s>("platform.call_burst", "calls", &s::storeCallBurst, realRule(1, 10000),
-                           "Calls to the object API at once."),
+                           "Burst limit of calls to the object API."),
             optionalKey<s>("platform.call_time_ms", "ms", &s::storeCallTime,
                            timeRule<milliseconds>(milliseconds(50), milliseconds(60000)),
-                           "Time for one call to the object API."),
+                           "Time limit of one call to the object API."),
     };
 }
 
@@ -142,23 +148,23 @@
     return {
             optionalKey<s>("leave.grace_seconds", "s", &s::leaveGrace,
                            timeRule<milliseconds>(seconds(1), seconds(3600)),
-                           "Served on after a shutdown began; address_keep_seconds of the rules "
-                           "where that is longer."),
+                           "Time for which the instance serves on after a shutdown began; "
+                           "address_keep_seconds of the rules where that is longer."),
             optionalKey<s>("leave.bound_seconds", "s", &s::leaveBound,
                            timeRule<milliseconds>(seconds(1), seconds(86400)),
-                           "After which a shutdown waits for open streams no longer; no shorter "
-                           "than leave.grace_seconds."),
+                           "Time after which a shutdown no longer waits for open streams; at least "
+                           "leave.grace_seconds."),
             optionalKey<s>("runner.poll_ms", "ms", &s::loadPollTime,
                            timeRule<milliseconds>(milliseconds(10), milliseconds(10000)),
-                           "Between two load reports taken from one runner."),
+                           "Interval between load reports from one runner."),
             optionalKey<s>("plan.look_ms", "ms", &s::planTime,
                            timeRule<milliseconds>(milliseconds(50), milliseconds(60000)),
-                           "Between two looks of a planner at its pool."),
+                           "Interval between iterations of the planner of a pool."),
             optionalKey<s>("log.level", "", &s::logLevel, level,
-                           "Least level written to standard error."),
+                           "Minimum level written to standard error."),
             optionalKey<s>("log.ring", "events", &s::eventRingSize,
                            integerRule<std::size_t>(16, 1048576),
-                           "Events kept for the time line; the oldest is dropped first."),
+                           "Events kept for the timeline; the oldest is dropped first."),
     };
 }
 
