--- a/src/operators/gateway_file.cpp
+++ b/src/operators/gateway_file.cpp
@@ -13,8 +13,9 @@
 
 constexpr std::size_t maxDuties = 16;
 
-/// Below it, no watch could wait; above it, nobody would call it in time.
-auto newsTimeRule()
+/// Bounds of the times that limit how late a change of the store takes effect: below 500 ms a watch
+/// could not wait for changes, above 60 s a change would count as late.
+auto updateDelayRule()
 {
     return timeRule<milliseconds>(milliseconds(500), milliseconds(60000));
 }
@@ -26,33 +27,37 @@
             requiredKey<s>("instance", "", &s::instance, idRule<instance_id>(nameRule()),
                            "Name of this instance, unique among those of one store."),
             requiredKey<s>("zone", "", &s::zone, idRule<zone_id>(nameRule()),
-                           "Availability zone that it stands in."),
+                           "Availability zone of this instance."),
             requiredKey<s>("caller.address", "", &s::callerAddress, endpointRule(),
-                           "Where callers send requests, as they are told it."),
+                           "Address for callers' requests, as published to callers."),
             requiredKey<s>("readiness.address", "", &s::readinessAddress, endpointRule(),
-                           "Where the platform asks whether callers may come."),
+                           "Address of the platform's readiness check."),
             requiredKey<s>("directory.address", "", &s::directoryAddress, endpointRule(),
-                           "Where callers ask which instances to connect to."),
+                           "Address where callers get the list of instances to connect to."),
             optionalKey<s>("directory.keep_seconds", "s", &s::addressKeepTime,
                            timeRule<seconds>(seconds(1), seconds(60)),
-                           "For which callers may keep that answer."),
+                           "Time for which callers may cache that list."),
             requiredKey<s>("peer.address", "", &s::peerAddress, endpointRule(),
-                           "Between instances: UDP."),
+                           "Address for messages between instances (UDP)."),
             requiredKey<s>("peer.load_address", "", &s::loadAddress, endpointRule(),
-                           "Between instances: UDP, for news of load."),
+                           "Address for load updates between instances (UDP)."),
             optionalKey<s>("peer.share_store_news", "", &s::sharesStoreNews, flagRule(),
-                           "Few instances follow the store for all, and tell the others at the "
-                           "port after peer.address's; else each follows it by itself."),
+                           "A few instances watch the store and relay its changes to the others, "
+                           "on the port after that of peer.address; otherwise every instance "
+                           "watches the store itself."),
             requiredKey<s>("metrics.address", "", &s::metricsAddress, endpointRule(),
-                           "Where metrics are read, at /metrics."),
+                           "Address of the metrics endpoint, /metrics."),
             requiredKey<s>("store.address", "", &s::storeAddress, endpointRule(),
-                           "The platform's metadata store."),
-            optionalKey<s>("store.settle_ms", "ms", &s::settleTime, newsTimeRule(),
-                           "For which news may be late after the store was away or silent."),
-            optionalKey<s>("store.runners_ms", "ms", &s::runnersBound, newsTimeRule(),
-                           "After it has said so, a runner that leaves gets no new request."),
-            optionalKey<s>("store.routes_ms", "ms", &s::routesBound, newsTimeRule(),
-                           "After the store has taken them, new routes are in force."),
+                           "Address of the platform's metadata store."),
+            optionalKey<s>("store.settle_ms", "ms", &s::settleTime, updateDelayRule(),
+                           "Time after an outage or silence of the store during which its changes "
+                           "may arrive late."),
+            optionalKey<s>("store.runners_ms", "ms", &s::runnersBound, updateDelayRule(),
+                           "Maximum time from a runner's announcement that it leaves until it gets "
+                           "no new requests."),
+            optionalKey<s>("store.routes_ms", "ms", &s::routesBound, updateDelayRule(),
+                           "Maximum time from the store's acceptance of new routes until they are "
+                           "in force."),
     };
 }
 
@@ -65,36 +70,38 @@
                                                 {"error", "error"},
                                                 {"off", "off"}});
     return {
-            optionalKey<s>("retries.share", "", &s::retryShare, realRule(0, 1),
-                           "Sends beyond each request's first, as a share of the requests."),
+            optionalKey<s>(
+                    "retries.share", "", &s::retryShare, realRule(0, 1),
+                    "Tries beyond the first one of each request, as a share of the requests."),
             optionalKey<s>("retries.extra", "", &s::retryExtra, realRule(0, 100000),
-                           "Beside the share, of all instances together."),
+                           "Tries allowed in addition to the share, for all instances together."),
             optionalKey<s>("orders.lease_ms", "ms", &s::leaseBound,
                            timeRule<milliseconds>(milliseconds(100), milliseconds(60000)),
-                           "By which orders of two instances to engines are apart at least."),
+                           "Minimum time between orders to engines from two different instances."),
             optionalKey<s>("duties.address", "", &s::dutyAddress, endpointRule(),
-                           "Of the platform, for calls that one instance at a time makes."),
+                           "Platform address for calls that only one instance makes at a time."),
             optionalKey<s>("duties.kinds", "", &s::dutyKinds,
                            listRule(textRule(1, config::maxNameBytes), maxDuties),
-                           "Which of these calls are wanted: accounting reports usage, scaling "
-                           "orders runners; others are left to the platform."),
+                           "Enabled kinds of these calls: accounting reports usage, scaling orders "
+                           "runners; other kinds are left to the platform."),
             optionalKey<s>("scaling.spot", "", &s::ordersSpot, flagRule(),
-                           "Spot runners take the place of regular ones; else none are ordered."),
+                           "Whether spot runners are ordered in place of regular ones."),
             optionalKey<s>("duties.usage_window_seconds", "s", &s::usageWindowSeconds,
                            realRule(0.5, 86400),
-                           "Of true time, that one report of usage is about."),
+                           "Length of the window of one usage report, in true time."),
             optionalKey<s>("duties.usage_late_seconds", "s", &s::usageLateSeconds,
-                           realRule(1, 86400), "After a window's end, when its report is late."),
+                           realRule(1, 86400),
+                           "Time after the end of a window at which its report is late."),
             optionalKey<s>("workspaces.strict_revoke", "", &s::isRevokeStrict, flagRule(),
-                           "Without the store's word for workspaces.revoke_ms, no key is good any "
-                           "more; else the last known ones are."),
+                           "Whether all keys are rejected when the store has not confirmed them "
+                           "for workspaces.revoke_ms; otherwise the last known keys stay valid."),
             optionalKey<s>("workspaces.revoke_ms", "ms", &s::revokeTime,
                            timeRule<milliseconds>(milliseconds(500), milliseconds(600000)),
-                           "Age of the last known keys, for workspaces.strict_revoke."),
+                           "Maximum age of the last known keys, with workspaces.strict_revoke."),
             optionalKey<s>("leave.seconds", "s", &s::leaveSeconds, realRule(1, 600),
-                           "From SIGTERM to the end of the process."),
+                           "Time from SIGTERM to the end of the process."),
             optionalKey<s>("log.level", "", &s::logLevel, level,
-                           "Least level written to standard output."),
+                           "Minimum level written to standard output."),
     };
 }
 
@@ -108,31 +115,32 @@
 
 using named_address = std::pair<std::string, endpoint>;
 
-/// Two on one address: the second one could not bind.
-void checkDiffer(const std::vector<named_address> &bound, const toml::table &root,
-                 fault_sink &faults)
+/// Reports addresses that are used twice; binding the second socket would fail.
+void checkDistinct(const std::vector<named_address> &bound, const toml::table &root,
+                   diagnostic_sink &diagnostics)
 {
     for (std::size_t i = 0; i < bound.size(); ++i) {
         for (std::size_t k = 0; k < i; ++k) {
             if (bound[i].second.isValid() && bound[i].second == bound[k].second)
-                faults.add(regionOf(root, bound[i].first), bound[i].first,
-                           "is the same address as " + bound[k].first);
+                diagnostics.add(regionOf(root, bound[i].first), bound[i].first,
+                                "is the same address as " + bound[k].first);
         }
     }
 }
 
-void checkAddresses(const gateway_settings &choices, const toml::table &root, fault_sink &faults)
+void checkAddresses(const gateway_settings &choices, const toml::table &root,
+                    diagnostic_sink &diagnostics)
 {
-    checkDiffer({{"caller.address", choices.callerAddress},
-                 {"readiness.address", choices.readinessAddress},
-                 {"directory.address", choices.directoryAddress},
-                 {"metrics.address", choices.metricsAddress}},
-                root, faults);
-    checkDiffer({{"peer.address", choices.peerAddress},
-                 {"peer.load_address", choices.loadAddress},
-                 {"peer.share_store_news", gateway::newsAddressOf(choices)},
-                 {"duties.kinds", gateway::usageAddressOf(choices)}},
-                root, faults);
+    checkDistinct({{"caller.address", choices.callerAddress},
+                   {"readiness.address", choices.readinessAddress},
+                   {"directory.address", choices.directoryAddress},
+                   {"metrics.address", choices.metricsAddress}},
+                  root, diagnostics);
+    checkDistinct({{"peer.address", choices.peerAddress},
+                   {"peer.load_address", choices.loadAddress},
+                   {"peer.share_store_news", gateway::newsAddressOf(choices)},
+                   {"duties.kinds", gateway::usageAddressOf(choices)}},
+                  root, diagnostics);
 }
 
 } // namespace
@@ -143,17 +151,17 @@
     return keys;
 }
 
-checked<gateway_settings> parseGatewaySettings(const std::string &file, std::string_view text)
+parse_result<gateway_settings> parseGatewaySettings(const std::string &file, std::string_view text)
 {
-    fault_sink faults(file);
+    diagnostic_sink diagnostics(file);
     gateway_settings choices;
-    const toml::table root = parseToml(text, faults);
-    if (!faults.isEmpty())
-        return faults.sorted();
-    readTable(root, "", gatewayKeys(), choices, faults);
-    checkAddresses(choices, root, faults);
-    if (!faults.isEmpty())
-        return faults.sorted();
+    const toml::table root = parseToml(text, diagnostics);
+    if (!diagnostics.isEmpty())
+        return diagnostics.sorted();
+    readTable(root, "", gatewayKeys(), choices, diagnostics);
+    checkAddresses(choices, root, diagnostics);
+    if (!diagnostics.isEmpty())
+        return diagnostics.sorted();
     return choices;
 }
 
