--- a/src/bench/address_book.cpp
+++ b/src/bench/address_book.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-constexpr milliseconds askTime{2000};
+constexpr milliseconds queryTimeout{2000};
 
 std::vector<endpoint> addressesIn(const json &answer)
 {
@@ -31,16 +31,16 @@
 
 } // namespace
 
-http_headers headersOf(const caller_identity &who)
+http_headers headersOf(const caller_identity &identity)
 {
-    http_headers headers{{std::string(caller::callerHeader), who.caller}};
-    if (!who.bearerKey.empty())
-        headers.emplace_back("Authorization", "Bearer " + who.bearerKey);
+    http_headers headers{{std::string(caller::callerHeader), identity.caller}};
+    if (!identity.bearerKey.empty())
+        headers.emplace_back("Authorization", "Bearer " + identity.bearerKey);
     return headers;
 }
 
-address_book::address_book(std::vector<endpoint> ask, caller_identity who, http_pool &pool)
-    : ask(std::move(ask)), who(std::move(who)), pool(pool), turn(hashOf(this->who.caller))
+address_book::address_book(std::vector<endpoint> seeds, caller_identity identity, http_pool &pool)
+    : ask(std::move(seeds)), who(std::move(identity)), pool(pool), turn(hashOf(this->who.caller))
 { }
 
 std::vector<endpoint> address_book::addresses()
@@ -52,7 +52,8 @@
         if (askOne(ask[turn++ % ask.size()]))
             return known;
     }
-    // Nobody answers: the last answer is still the best guess, and the next request asks again.
+    // No seed answered: the last known addresses are still the best choice, and the next call
+    // queries the seeds again.
     return known.empty() ? ask : known;
 }
 
@@ -63,7 +64,7 @@
     if (!who.zone.empty())
         request.path += "?zone=" + who.zone;
     request.headers = headersOf(who);
-    const result<http_reply> reply = pool.send(instance, request, askTime);
+    const result<http_reply> reply = pool.send(instance, request, queryTimeout);
     if (!succeeded(reply) || valueOf(reply).status != 200)
         return false;
     const json answer = json::parse(valueOf(reply).body, nullptr, false);
--- a/src/bench/address_book.h
+++ b/src/bench/address_book.h
@@ -8,7 +8,7 @@
 
 namespace poplarspool::bench {
 
-/// Who a caller says it is, in each of its requests.
+/// The identity that a caller sends with each request.
 struct caller_identity
 {
     std::string caller;
@@ -16,17 +16,18 @@
     std::string zone; ///< May be empty.
 };
 
-/// @returns The headers that every request of that caller has.
-http_headers headersOf(const caller_identity &who);
+/// @returns The headers common to all requests of the caller.
+http_headers headersOf(const caller_identity &identity);
 
-/// The addresses that one caller uses: asked of any instance and kept as long as it was told.
+/// The instance addresses that one caller uses, best first. They are fetched from any instance and
+/// cached for as long as its reply allows (`keep_seconds`).
 class address_book
 {
 public:
-    /// @param ask Instances known from the start.
-    address_book(std::vector<endpoint> ask, caller_identity who, http_pool &pool);
+    /// @param seeds Instances to fetch the addresses from.
+    address_book(std::vector<endpoint> seeds, caller_identity identity, http_pool &pool);
 
-    /// @returns Best first; never empty: the start's addresses where none has answered yet.
+    /// @returns The addresses, best first; never empty: the seeds if no instance has answered yet.
     std::vector<endpoint> addresses();
 
 private:
--- a/src/bench/answer_reader.cpp
+++ b/src/bench/answer_reader.cpp
@@ -12,19 +12,20 @@
 
 constexpr std::string_view dataField = "data: ";
 
-std::string textIn(const json &object, const char *name)
+std::string stringField(const json &object, const char *name)
 {
     const auto found = object.find(name);
     return found != object.end() && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-error errorIn(const json &answer)
+error parseError(const json &answer)
 {
     const json failure = answer.value("error", json::object());
     if (!failure.is_object())
         return mayHaveRun(error_code::Broken, answer.dump());
-    error read = mayHaveRun(errorCodeOf(textIn(failure, "code")), textIn(failure, "message"));
-    if (textIn(failure, "verdict") == nameOf(verdict::NotRun))
+    error read =
+            mayHaveRun(errorCodeOf(stringField(failure, "code")), stringField(failure, "message"));
+    if (stringField(failure, "verdict") == nameOf(verdict::NotRun))
         read.ran = verdict::NotRun;
     return read;
 }
@@ -39,29 +40,29 @@
     return std::chrono::seconds(seconds);
 }
 
-void takeUsage(const json &object, completion_answer &into)
+void addUsage(const json &object, completion_answer &into)
 {
     const json usage = object.value("usage", json());
     if (usage.is_object() && usage.contains("completion_tokens"))
         into.tokens = usage.value("completion_tokens", 0U);
 }
 
-/// Takes one chunk, or the answer that is all of it.
-void takeChoice(const json &object, completion_answer &into, const clock_source &clock)
+/// Adds the text, finish reason and usage of a stream chunk or of an answer that is not streamed.
+void addChoice(const json &object, completion_answer &into, const clock_source &clock)
 {
     const json choices = object.value("choices", json());
     if (!choices.is_array() || choices.empty() || !choices.front().is_object()) {
         into.isMalformed = true;
         return;
     }
-    const std::string text = textIn(choices.front(), "text");
+    const std::string text = stringField(choices.front(), "text");
     if (!text.empty() && into.text.empty())
         into.firstTextAt = clock.mono();
     into.text += text;
-    const std::string reason = textIn(choices.front(), "finish_reason");
+    const std::string reason = stringField(choices.front(), "finish_reason");
     if (!reason.empty())
         into.finishReason = reason;
-    takeUsage(object, into);
+    addUsage(object, into);
 }
 
 } // namespace
@@ -71,7 +72,7 @@
     const json answer = json::parse(reply.body, nullptr, false);
     if (!answer.is_object())
         return mayHaveRun(error_code::Broken, "status " + std::to_string(reply.status));
-    error failure = errorIn(answer);
+    error failure = parseError(answer);
     failure.retryAfter = retryAfterOf(reply);
     return failure;
 }
@@ -86,7 +87,7 @@
     if (!line.starts_with(dataField))
         return true;
     line.remove_prefix(dataField.size());
-    // Anything after the end is as wrong as a missing end.
+    // Data after [DONE] is a protocol error, just as a missing [DONE] is.
     if (read.hasEnd) {
         read.isMalformed = true;
         return false;
@@ -101,9 +102,9 @@
         return false;
     }
     if (chunk.contains("error"))
-        read.failure = errorIn(chunk);
+        read.failure = parseError(chunk);
     else
-        takeChoice(chunk, read, clock);
+        addChoice(chunk, read, clock);
     return !read.isMalformed;
 }
 
@@ -115,7 +116,7 @@
         answer.isMalformed = true;
         return answer;
     }
-    takeChoice(body, answer, clock);
+    addChoice(body, answer, clock);
     answer.hasEnd = true;
     return answer;
 }
--- a/src/bench/answer_reader.h
+++ b/src/bench/answer_reader.h
@@ -10,28 +10,29 @@
 
 namespace poplarspool::bench {
 
-/// What came of one completion's answer.
+/// A completion's answer, as far as it was received.
 struct completion_answer
 {
     std::string text;
     std::string finishReason;
-    std::optional<std::uint32_t> tokens; ///< As the usage says.
+    std::optional<std::uint32_t> tokens; ///< `completion_tokens` of the usage object.
     std::optional<error> failure;
-    bool hasEnd = false; ///< The whole JSON answer, or a stream's `[DONE]`.
+    bool hasEnd = false; ///< A complete JSON answer, or `[DONE]` in a stream.
     bool isMalformed = false;
     mono_time firstTextAt{};
 };
 
-/// @returns The failure in a reply's body. Without a readable verdict it may have run.
+/// @returns The error in a reply's body. Its verdict is "may have run" unless the body says "not
+/// run".
 error failureIn(const http_reply &reply);
 
-/// Reads the pieces of a streamed completion.
+/// Incremental parser for a streamed completion (server-sent events).
 class stream_answer_reader
 {
 public:
     explicit stream_answer_reader(const clock_source &clock) : clock(clock) { }
 
-    /// @returns False once nothing sensible can follow.
+    /// @returns False if the stream is malformed; the rest is not worth reading.
     bool feed(std::string_view piece);
     const completion_answer &answer() const { return read; }
 
--- a/src/bench/command.cpp
+++ b/src/bench/command.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-endpoint endpointIn(const std::string &text)
+endpoint parseAddress(const std::string &text)
 {
     const result<endpoint> parsed = parseEndpoint(text);
     if (!succeeded(parsed))
@@ -15,7 +15,7 @@
     return valueOf(parsed);
 }
 
-int usageFault(const cxxopts::Options &options, const char *message)
+int reportUsageError(const cxxopts::Options &options, const char *message)
 {
     std::cerr << message << '\n' << options.help();
     return exitUsage;
@@ -28,8 +28,8 @@
 {
     options.add_options()("help", "Show this text");
     std::vector<const char *> raw{"poplarspool-bench"};
-    for (const std::string &word : arguments)
-        raw.push_back(word.c_str());
+    for (const std::string &argument : arguments)
+        raw.push_back(argument.c_str());
     try {
         const auto parsed = options.parse(static_cast<int>(raw.size()), raw.data());
         if (parsed.count("help") == 0)
@@ -37,36 +37,36 @@
         std::cout << options.help();
         return exitDone;
     } catch (const cxxopts::exceptions::exception &fault) {
-        return usageFault(options, fault.what());
+        return reportUsageError(options, fault.what());
     } catch (const usage_error &fault) {
-        return usageFault(options, fault.what());
+        return reportUsageError(options, fault.what());
     }
 }
 
 endpoint endpointOption(const cxxopts::ParseResult &parsed, const std::string &name)
 {
-    return endpointIn(parsed[name].as<std::string>());
+    return parseAddress(parsed[name].as<std::string>());
 }
 
 std::vector<endpoint> endpointsOption(const cxxopts::ParseResult &parsed, const std::string &name)
 {
     std::vector<endpoint> found;
     for (const std::string &part : partsOf(parsed[name].as<std::string>(), ','))
-        found.push_back(endpointIn(part));
+        found.push_back(parseAddress(part));
     if (found.empty())
-        throw usage_error("--" + name + " names no address");
+        throw usage_error("--" + name + " contains no address");
     return found;
 }
 
 std::uint64_t countOption(const cxxopts::ParseResult &parsed, const std::string &name,
-                          std::uint64_t least)
+                          std::uint64_t min)
 {
     const std::string text = parsed[name].as<std::string>();
     std::uint64_t count = 0;
     const char *end = text.data() + text.size();
     const auto [stop, fault] = std::from_chars(text.data(), end, count);
-    if (fault != std::errc() || stop != end || count < least)
-        throw usage_error("--" + name + " is no count of at least " + std::to_string(least));
+    if (fault != std::errc() || stop != end || count < min)
+        throw usage_error("--" + name + " must be an integer of at least " + std::to_string(min));
     return count;
 }
 
@@ -88,7 +88,7 @@
     const char *end = text.data() + text.size();
     const auto [stop, fault] = std::from_chars(text.data(), end, number);
     if (fault != std::errc() || stop != end)
-        throw usage_error("\"" + text + "\" is no number");
+        throw usage_error("\"" + text + "\" is not a number");
     return number;
 }
 
--- a/src/bench/command.h
+++ b/src/bench/command.h
@@ -11,13 +11,14 @@
 
 #include <cxxopts.hpp>
 
-/// Load and experiments against a running fleet; the tool behind docs/BENCHMARKS.md.
+/// Load generator and measurements against a running fleet; produces the figures of
+/// docs/BENCHMARKS.md.
 namespace poplarspool::bench {
 
 using words = std::vector<std::string>;
 
-// Subcommands: each takes the words after its name and returns the exit status: 0 done and nothing
-// wrong, 1 something was wrong or could not be measured, 2 bad words.
+// Subcommands. Each takes the arguments after its name and returns the exit status: 0 for success,
+// 1 for a failed check or measurement, 2 for invalid arguments.
 
 int loadCommand(const words &arguments);
 int pathCommand(const words &arguments);
@@ -30,13 +31,15 @@
 inline constexpr int exitWrong = 1;
 inline constexpr int exitUsage = 2;
 
-/// Bad words on the command line.
+/// Invalid command-line arguments.
 struct usage_error : std::runtime_error
 {
     using std::runtime_error::runtime_error;
 };
 
-/// Parses the words, prints the help where asked for, and runs the body; bad words end with usage.
+/// Parses the arguments and runs the body, or prints the help if `--help` is given. Prints the
+/// error and the help for invalid arguments.
+/// @returns The exit status.
 int runParsed(cxxopts::Options &options, const words &arguments,
               const std::function<int(const cxxopts::ParseResult &)> &body);
 
@@ -46,13 +49,13 @@
 /// @throws usage_error
 std::vector<endpoint> endpointsOption(const cxxopts::ParseResult &parsed, const std::string &name);
 
-/// @returns A count that was given as text: cxxopts' own integers don't pass -Werror=restrict of
-///          g++ 12 everywhere.
+/// Reads an unsigned integer option that is declared as a string: cxxopts' own integer parser does
+/// not compile everywhere with -Werror=restrict of g++ 12.
 /// @throws usage_error
 std::uint64_t countOption(const cxxopts::ParseResult &parsed, const std::string &name,
-                          std::uint64_t least = 0);
+                          std::uint64_t min = 0);
 
-/// @returns The parts between separators; empty ones are left out.
+/// @returns The parts between separators, without empty ones.
 std::vector<std::string> partsOf(std::string_view text, char separator);
 
 /// @throws usage_error
--- a/src/bench/decisions.cpp
+++ b/src/bench/decisions.cpp
@@ -19,15 +19,15 @@
 constexpr std::uint32_t zoneCount = 8;
 constexpr std::uint32_t memberCount = 330;
 constexpr std::uint32_t decisionCount = 100'000;
-constexpr std::uint32_t lookCount = 500;
-constexpr std::uint32_t rankCount = 10'000;
+constexpr std::uint32_t planIterations = 500;
+constexpr std::uint32_t rankingCount = 10'000;
 constexpr std::uint64_t seed = 1;
 constexpr mono_time startTime{std::chrono::hours(1)};
 
-std::string numbered(std::string_view what, std::uint32_t number)
+std::string numbered(std::string_view prefix, std::uint32_t number)
 {
     const std::string digits = std::to_string(1000 + number);
-    return std::string(what) + digits;
+    return std::string(prefix) + digits;
 }
 
 policy::model_version modelOf(std::uint32_t number)
@@ -40,8 +40,8 @@
     return {numbered("zone-", number % zoneCount)};
 }
 
-/// @param modelsEach Models that each engine may carry and has loaded.
-/// @param poolCount Pools that the engines are spread over.
+/// @param modelsEach Number of models that each engine supports and has loaded.
+/// @param poolCount Number of pools that the engines are distributed over.
 std::shared_ptr<const policy::inventory> makeFleet(std::uint32_t modelsEach,
                                                    std::uint32_t poolCount)
 {
@@ -84,12 +84,12 @@
         state.report.models = now.fleet->runners[i].mayCarry;
     }
     for (std::uint32_t i = 0; i < memberCount; ++i) {
-        policy::member who;
-        who.id = {numbered("instance-", i)};
-        who.zone = zoneOf(i);
-        who.callerAddress = {"127.0.0.1", static_cast<std::uint16_t>(20000 + i)};
-        who.openStreams = random() % 1000;
-        now.members.push_back(who);
+        policy::member member;
+        member.id = {numbered("instance-", i)};
+        member.zone = zoneOf(i);
+        member.callerAddress = {"127.0.0.1", static_cast<std::uint16_t>(20000 + i)};
+        member.openStreams = random() % 1000;
+        now.members.push_back(member);
     }
     return now;
 }
@@ -124,17 +124,17 @@
 {
     const view now = makeView(makeFleet(modelsEach, modelCount));
     std::vector<policy::sent_work> sent(runnerCount);
-    policy::route_request wanted;
-    wanted.promptTokens = 1200;
-    wanted.outputTokens = 200;
-    wanted.rank = 1;
-    wanted.zone = zoneOf(3);
-    wanted.timeLeft = std::chrono::seconds(60);
+    policy::route_request request;
+    request.promptTokens = 1200;
+    request.outputTokens = 200;
+    request.rank = 1;
+    request.zone = zoneOf(3);
+    request.timeLeft = std::chrono::seconds(60);
     std::uint64_t refused = 0;
     const durations times = timesOf(decisionCount, [&](std::uint32_t i) {
-        wanted.model = modelOf(i).model;
-        wanted.prefixHash = i % 3 == 0 ? 0 : i % 997 + 1;
-        const auto choice = policy::route(now, wanted, sent, startTime, i);
+        request.model = modelOf(i).model;
+        request.prefixHash = i % 3 == 0 ? 0 : i % 997 + 1;
+        const auto choice = policy::route(now, request, sent, startTime, i);
         refused += succeeded(choice) ? 0 : 1;
         if (succeeded(choice))
             sent[valueOf(choice).runner.index].openSinceReport = i % 4;
@@ -150,14 +150,15 @@
     const pool_id pool = now.fleet->pools.front().id;
     policy::plan_rule rule;
     rule.goodputWeight = 0;
-    policy::plan_memory memory;
+    policy::plan_memory plannerState;
     std::size_t changes = 0;
-    print("plan_pool_of_600", timesOf(lookCount, [&](std::uint32_t i) {
-              const double swing = i % 100 < 50 ? 700.0 : 200.0;
-              const policy::demand_estimate seen{swing, 800 - swing, swing / 10, swing / 10};
-              const auto step = policy::planPool(now, pool, rule, memory, seen,
+    print("plan_pool_of_600", timesOf(planIterations, [&](std::uint32_t i) {
+              const double prefillDemand = i % 100 < 50 ? 700.0 : 200.0;
+              const policy::demand_estimate estimate{prefillDemand, 800 - prefillDemand,
+                                                     prefillDemand / 10, prefillDemand / 10};
+              const auto step = policy::planPool(now, pool, rule, plannerState, estimate,
                                                  startTime + i * config::planTime / 10);
-              memory = step.memory;
+              plannerState = step.memory;
               changes += step.changes.size();
           }));
     std::cout << "planned_changes=" << changes << std::endl;
@@ -167,18 +168,18 @@
 {
     const view now = makeView(makeFleet(1, modelCount));
     std::size_t addresses = 0;
-    print("rank_330_addresses", timesOf(rankCount, [&](std::uint32_t i) {
+    print("rank_330_addresses", timesOf(rankingCount, [&](std::uint32_t i) {
               addresses += policy::rankAddresses(now, zoneOf(i), i).size();
           }));
-    std::cout << "addresses_each=" << addresses / rankCount << std::endl;
+    std::cout << "addresses_each=" << addresses / rankingCount << std::endl;
 }
 
 } // namespace
 
-int decisionsBench(const std::vector<std::string> &words)
+int decisionsBench(const std::vector<std::string> &arguments)
 {
-    if (!words.empty()) {
-        std::cerr << "unknown word: " << words.front() << '\n';
+    if (!arguments.empty()) {
+        std::cerr << "unexpected argument: " << arguments.front() << '\n';
         return exitUsage;
     }
     benchRoute("route_2_models_each", 2);
--- a/src/bench/decisions.h
+++ b/src/bench/decisions.h
@@ -5,10 +5,10 @@
 
 namespace poplarspool::bench {
 
-/// Times the decisions of the policy library at the size of docs/CAPACITY.md and prints
-/// key=value lines.
-/// @param words None are known; any ends with the status of bad words.
+/// Measures how long the decisions of the policy library take at the fleet size of
+/// docs/CAPACITY.md; prints key=value lines.
+/// @param arguments Must be empty; otherwise the exit status is that of invalid arguments.
 /// @returns The exit status.
-int decisionsBench(const std::vector<std::string> &words);
+int decisionsBench(const std::vector<std::string> &arguments);
 
 } // namespace poplarspool::bench
--- a/src/bench/first_byte.cpp
+++ b/src/bench/first_byte.cpp
@@ -12,30 +12,31 @@
 
 using std::chrono::nanoseconds;
 
-constexpr milliseconds connectTime{1000};
-constexpr milliseconds requestTime{10000};
+constexpr milliseconds connectTimeout{1000};
+constexpr milliseconds requestTimeout{10000};
 constexpr std::uint32_t outputTokens = 4;
-/// Pairs sent before the measured ones: connections, caches and claims are then warm.
-constexpr std::uint32_t warmPairs = 50;
+/// Pairs sent before the measured ones, to warm up connections, caches and claims.
+constexpr std::uint32_t warmUpPairs = 50;
 
-result<nanoseconds> timeThrough(const path_target &target, const std::string &prompt,
-                                address_book &book, http_pool &pool)
+result<nanoseconds> timeViaInstance(const path_target &target, const std::string &prompt,
+                                    address_book &addressCache, http_pool &pool)
 {
     load_call call;
     call.model = target.model;
     call.prompt = prompt;
     call.maxTokens = outputTokens;
     call.isStreamed = true;
-    call.timeLimit = requestTime;
+    call.timeLimit = requestTimeout;
     const mono_time start = systemClock().mono();
-    const call_outcome outcome = performCall(call, {"bench-path", "", ""}, book, pool, start);
+    const call_outcome outcome =
+            performCall(call, {"bench-path", "", ""}, addressCache, pool, start);
     if (outcome.end != call_end::Whole)
         return notRun(error_code::Broken, "through the instance: " + outcome.detail);
     return outcome.firstByte;
 }
 
-result<nanoseconds> timeStraight(const path_target &target, const std::string &prompt,
-                                 const runner::engine_api &engine)
+result<nanoseconds> timeDirect(const path_target &target, const std::string &prompt,
+                               const runner::engine_api &engine)
 {
     runner::generate_request request;
     request.request = request_id{randomHex128()};
@@ -43,7 +44,7 @@
     request.model = target.model;
     request.prompt = prompt;
     request.maxTokens = outputTokens;
-    request.timeLeft = requestTime;
+    request.timeLeft = requestTimeout;
     const clock_source clock = systemClock();
     const mono_time start = clock.mono();
     mono_time first{};
@@ -54,20 +55,21 @@
     };
     const auto end = engine.generate(target.engine, request, onToken);
     if (!succeeded(end))
-        return notRun(error_code::Broken, "straight: " + errorOf(end).message);
+        return notRun(error_code::Broken, "direct to the engine: " + errorOf(end).message);
     return first - start;
 }
 
-/// @returns Nothing, or why one of the two failed.
-std::optional<error> addPair(const result<nanoseconds> &through,
-                             const result<nanoseconds> &straight, first_byte_times &into)
+/// Adds the times of a pair.
+/// @returns The error if one of the two requests failed.
+std::optional<error> addPair(const result<nanoseconds> &viaInstance,
+                             const result<nanoseconds> &direct, first_byte_times &into)
 {
-    if (!succeeded(through))
-        return errorOf(through);
-    if (!succeeded(straight))
-        return errorOf(straight);
-    into.through.push_back(valueOf(through));
-    into.straight.push_back(valueOf(straight));
+    if (!succeeded(viaInstance))
+        return errorOf(viaInstance);
+    if (!succeeded(direct))
+        return errorOf(direct);
+    into.through.push_back(valueOf(viaInstance));
+    into.straight.push_back(valueOf(direct));
     return std::nullopt;
 }
 
@@ -76,17 +78,17 @@
 result<first_byte_times> measureFirstByte(const path_target &target, std::uint32_t pairs)
 {
     metrics_registry metrics;
-    const auto pool = std::make_shared<http_pool>(1, connectTime, metrics);
+    const auto pool = std::make_shared<http_pool>(1, connectTimeout, metrics);
     const runner::engine_api engine = runner::httpEngineApi(pool);
-    address_book book({target.instance}, {"bench-path", "", ""}, *pool);
+    address_book addressCache({target.instance}, {"bench-path", "", ""}, *pool);
     const std::string run = randomHex128();
     first_byte_times times;
-    first_byte_times warm;
-    for (std::uint32_t pair = 0; pair < pairs + warmPairs; ++pair) {
+    first_byte_times warmUp;
+    for (std::uint32_t pair = 0; pair < pairs + warmUpPairs; ++pair) {
         const std::string prompt = run + "-" + std::to_string(pair);
-        const auto through = timeThrough(target, prompt + "-through", book, *pool);
-        const auto straight = timeStraight(target, prompt + "-straight", engine);
-        if (const auto failure = addPair(through, straight, pair < warmPairs ? warm : times))
+        const auto viaInstance = timeViaInstance(target, prompt + "-through", addressCache, *pool);
+        const auto direct = timeDirect(target, prompt + "-straight", engine);
+        if (const auto failure = addPair(viaInstance, direct, pair < warmUpPairs ? warmUp : times))
             return *failure;
     }
     return times;
@@ -97,11 +99,11 @@
     figures all{{"pairs", double(times.through.size()), 0}};
     for (const double share : {0.5, 0.99}) {
         const std::string name = share < 0.9 ? "p50" : "p99";
-        const double through = inMilliseconds(quantileOf(times.through, share));
-        const double straight = inMilliseconds(quantileOf(times.straight, share));
-        all.push_back({name + "_through_ms", through, 3});
-        all.push_back({name + "_straight_ms", straight, 3});
-        all.push_back({name + "_added_ms", through - straight, 3});
+        const double viaInstance = inMilliseconds(quantileOf(times.through, share));
+        const double direct = inMilliseconds(quantileOf(times.straight, share));
+        all.push_back({name + "_through_ms", viaInstance, 3});
+        all.push_back({name + "_straight_ms", direct, 3});
+        all.push_back({name + "_added_ms", viaInstance - direct, 3});
     }
     return all;
 }
--- a/src/bench/first_byte.h
+++ b/src/bench/first_byte.h
@@ -8,7 +8,7 @@
 
 namespace poplarspool::bench {
 
-/// One instance and the engine behind it.
+/// An instance and the only engine behind it.
 struct path_target
 {
     endpoint instance;
@@ -17,15 +17,15 @@
     std::string model;
 };
 
-/// Times to the first token, both ways.
+/// Times to the first token.
 struct first_byte_times
 {
-    durations through;
-    durations straight;
+    durations through; ///< Through the instance.
+    durations straight; ///< Sent to the engine itself.
 };
 
-/// Sends pairs of one request through the instance and one straight to the engine, in turn and one
-/// at a time, so that both meet the same machine.
+/// Sends pairs of one request through the instance and one directly to the engine. The two
+/// alternate and never overlap, so that both are measured under the same conditions of the machine.
 result<first_byte_times> measureFirstByte(const path_target &target, std::uint32_t pairs);
 
 figures figuresOf(const first_byte_times &times);
--- a/src/bench/gossip_slope.cpp
+++ b/src/bench/gossip_slope.cpp
@@ -23,14 +23,14 @@
 using peer::rumor;
 using std::chrono::steady_clock;
 
-/// For what joining left behind.
+/// Wait after joining, so that the traffic of joining is not measured.
 constexpr std::chrono::seconds settleTime(10);
-constexpr std::chrono::seconds giveUpTime(60);
+constexpr std::chrono::seconds convergenceTimeout(60);
 constexpr std::chrono::seconds rumorInterval(1);
-/// About what a runner's load takes.
+/// Approximate size of a runner's load report.
 constexpr std::size_t rumorPayloadBytes = 80;
 
-struct usage_point
+struct usage_sample
 {
     process_stat process;
     std::uint64_t bytes = 0;
@@ -38,7 +38,7 @@
     steady_clock::time_point at;
 };
 
-/// Nodes of one process that gossip over loopback, with the product's own settings.
+/// Gossip nodes in one process that communicate over loopback, with the production settings.
 class cluster
 {
 public:
@@ -48,17 +48,17 @@
             nodes[index] = std::make_unique<node>(*this, index);
         std::vector<endpoint> contacts;
         for (std::size_t index = 0; index < std::min(count, config::gossipFanout); ++index)
-            contacts.push_back(nodes[index]->talk.members().front().peerAddress);
+            contacts.push_back(nodes[index]->agent.members().front().peerAddress);
         for (const auto &each : nodes)
-            each->talk.setContacts(contacts);
+            each->agent.setContacts(contacts);
     }
 
-    /// @returns Seconds until every node sees `count` members with at least that version; -1 where
-    ///          it takes too long.
+    /// @returns Seconds until every node sees that many members, each with at least that applied
+    ///          version; -1 on timeout.
     double waitForAll(std::size_t members, std::uint64_t version)
     {
         return wait([=](const node &each) {
-            return each.members == members && each.atVersion >= version;
+            return each.members == members && each.lowestAppliedVersion >= version;
         });
     }
 
@@ -67,66 +67,67 @@
         return wait([=](const node &each) { return each.rumorVersion >= version; });
     }
 
-    /// All at once: what a change of the configuration looks like.
+    /// Sets the applied version of all nodes at once, as a change of the configuration does.
     void apply(std::uint64_t version)
     {
         for (const auto &each : nodes)
-            each->talk.setApplied(version, systemClock().mono());
+            each->agent.setApplied(version, systemClock().mono());
     }
 
-    void spread(std::size_t index, rumor news)
+    void spread(std::size_t index, rumor update)
     {
         node &origin = *nodes[index % nodes.size()];
-        onRumor(origin, news); // Its own handler is told of others' rumors only.
-        origin.talk.spread(std::move(news));
+        onRumor(origin, update); // The handler is only called for rumors of other nodes.
+        origin.agent.spread(std::move(update));
     }
 
-    usage_point measure()
+    usage_sample measure()
     {
         const result<process_stat> stat = readProcess(getpid());
-        usage_point point;
-        point.process = succeeded(stat) ? valueOf(stat) : process_stat{};
-        point.bytes = metrics.counterOf("poplarspool_gossip_bytes_total{direction=\"sent\"}").get();
-        point.datagrams =
+        usage_sample sample;
+        sample.process = succeeded(stat) ? valueOf(stat) : process_stat{};
+        sample.bytes =
+                metrics.counterOf("poplarspool_gossip_bytes_total{direction=\"sent\"}").get();
+        sample.datagrams =
                 metrics.counterOf("poplarspool_gossip_datagrams_total{direction=\"sent\"}").get();
-        point.at = steady_clock::now();
-        return point;
+        sample.at = steady_clock::now();
+        return sample;
     }
 
 private:
     struct node
     {
         node(cluster &owner, std::size_t index)
-            : talk(settingsOf(index),
-                   {[this, &owner](const auto &seen) { owner.onMembers(*this, seen); },
-                    [this, &owner](const rumor &news) { owner.onRumor(*this, news); }},
-                   systemClock(), owner.metrics, owner.events)
+            : agent(settingsOf(index),
+                    {[this, &owner](const auto &seen) { owner.onMembers(*this, seen); },
+                     [this, &owner](const rumor &update) { owner.onRumor(*this, update); }},
+                    systemClock(), owner.metrics, owner.events)
         {
-            if (!succeeded(talk.start()))
-                throw std::runtime_error("can't bind a UDP socket");
+            if (!succeeded(agent.start()))
+                throw std::runtime_error("cannot bind a UDP socket");
         }
 
-        std::size_t members = 0; ///< Seen alive.
-        std::uint64_t atVersion = 0; ///< Lowest that it has seen of a member.
+        std::size_t members = 0; ///< Members seen alive.
+        std::uint64_t lowestAppliedVersion = 0; ///< Lowest applied version among the members seen.
         std::uint64_t rumorVersion = 0;
-        gossip talk;
+        gossip agent;
     };
 
     static peer::gossip_settings settingsOf(std::size_t index)
     {
-        peer::gossip_settings choices;
-        choices.self.id = instance_id{"entry-" + std::to_string(index)};
-        choices.self.zone = zone_id{"colombo-" + std::to_string(index % 8)};
-        choices.self.peerAddress = {"127.0.0.1", 0};
-        choices.self.callerAddress = {"127.0.0.1", 8080};
-        choices.self.life = 1;
-        choices.key = "bench";
-        choices.roundTime = config::gossipTime;
-        choices.suspectTime = config::suspectTime;
-        choices.deadTime = config::deadTime;
-        choices.fanout = config::gossipFanout;
-        choices.bytesPerSecond = config::gossipBytesPerSecond;
-        return choices;
+        peer::gossip_settings settings;
+        settings.self.id = instance_id{"entry-" + std::to_string(index)};
+        settings.self.zone = zone_id{"colombo-" + std::to_string(index % 8)};
+        settings.self.peerAddress = {"127.0.0.1", 0};
+        settings.self.callerAddress = {"127.0.0.1", 8080};
+        settings.self.life = 1;
+        settings.key = "bench";
+        settings.roundTime = config::gossipTime;
+        settings.suspectTime = config::suspectTime;
+        settings.deadTime = config::deadTime;
+        settings.fanout = config::gossipFanout;
+        settings.bytesPerSecond = config::gossipBytesPerSecond;
+        return settings;
     }
 
     void onMembers(node &at, const std::vector<policy::member> &seen)
@@ -139,16 +140,16 @@
         }
         const std::lock_guard lock(mutex);
         at.members = alive;
-        at.atVersion = lowest;
+        at.lowestAppliedVersion = lowest;
         changed.notify_all();
     }
 
-    void onRumor(node &at, const rumor &news)
+    void onRumor(node &at, const rumor &update)
     {
-        if (news.key != "load/marked")
+        if (update.key != "load/marked")
             return;
         const std::lock_guard lock(mutex);
-        at.rumorVersion = std::max(at.rumorVersion, news.version);
+        at.rumorVersion = std::max(at.rumorVersion, update.version);
         changed.notify_all();
     }
 
@@ -157,7 +158,7 @@
     {
         const auto began = steady_clock::now();
         std::unique_lock lock(mutex);
-        const bool isReached = changed.wait_for(lock, giveUpTime, [&] {
+        const bool isReached = changed.wait_for(lock, convergenceTimeout, [&] {
             return std::all_of(nodes.begin(), nodes.end(),
                                [&](const auto &each) { return each != nullptr && holds(*each); });
         });
@@ -172,7 +173,7 @@
     std::vector<std::unique_ptr<node>> nodes;
 };
 
-/// Renews all rumors once a second, in small portions.
+/// Spreads a new version of every rumor once a second, evenly over the second.
 class rumor_source
 {
 public:
@@ -202,7 +203,7 @@
     std::thread thread;
 };
 
-void runOne(std::size_t count, std::size_t rumors, std::chrono::seconds lookTime)
+void measureCluster(std::size_t count, std::size_t rumors, std::chrono::seconds measureTime)
 {
     cluster all(count);
     const double joined = all.waitForAll(count, 0);
@@ -210,41 +211,43 @@
     if (rumors > 0)
         source = std::make_unique<rumor_source>(all, rumors);
     std::this_thread::sleep_for(settleTime);
-    const usage_point before = all.measure();
-    std::this_thread::sleep_for(lookTime);
-    const usage_point after = all.measure();
+    const usage_sample before = all.measure();
+    std::this_thread::sleep_for(measureTime);
+    const usage_sample after = all.measure();
     all.apply(1);
     const double applied = all.waitForAll(count, 1);
     all.spread(0, {"load/marked", 1, std::string(rumorPayloadBytes, 'm')});
-    const double heard = all.waitForRumor(1);
+    const double received = all.waitForRumor(1);
 
     const std::chrono::duration<double> elapsed = after.at - before.at;
     const std::chrono::duration<double> cpu = after.process.cpuTime - before.process.cpuTime;
     const auto nodes = static_cast<double>(count);
-    const double share = 1.0 / (elapsed.count() * nodes);
+    const double perNodeSecond = 1.0 / (elapsed.count() * nodes);
     const figures line{
             {"nodes", nodes, 0},
             {"rumors", static_cast<double>(rumors), 0},
             {"joined_s", joined, 2},
-            {"bytes_per_s", static_cast<double>(after.bytes - before.bytes) * share, 0},
-            {"datagrams_per_s", static_cast<double>(after.datagrams - before.datagrams) * share, 1},
-            {"cpu_percent", cpu.count() * share * 100, 3},
+            {"bytes_per_s", static_cast<double>(after.bytes - before.bytes) * perNodeSecond, 0},
+            {"datagrams_per_s",
+             static_cast<double>(after.datagrams - before.datagrams) * perNodeSecond, 1},
+            {"cpu_percent", cpu.count() * perNodeSecond * 100, 3},
             {"resident_kb_per_node", static_cast<double>(after.process.residentKb) / nodes, 0},
             {"applied_known_s", applied, 2},
-            {"rumor_known_s", heard, 2},
+            {"rumor_known_s", received, 2},
     };
     std::cout << lineOf(figures(line)) << std::endl;
 }
 
-cxxopts::Options optionsOfSlope()
+cxxopts::Options optionsOfGossip()
 {
-    cxxopts::Options options("poplarspool-bench gossip",
-                             "Cost of gossip for a node, and time until all know of a change.");
-    options.add_options()("nodes", "N[,N…] in one process",
+    cxxopts::Options options(
+            "poplarspool-bench gossip",
+            "Cost of gossip for each node, and time until a change has reached all nodes.");
+    options.add_options()("nodes", "Numbers of nodes in one process: N[,N…]",
                           cxxopts::value<std::string>()->default_value("3,6,12,24,48,96"))(
-            "rumors", "Rumors that are renewed each second in all",
+            "rumors", "Rumors renewed each second, over all nodes",
             cxxopts::value<std::string>()->default_value("0"))(
-            "seconds", "How long to look at each number of nodes",
+            "seconds", "How long to measure each number of nodes",
             cxxopts::value<std::string>()->default_value("10"));
     return options;
 }
@@ -252,12 +255,12 @@
 int runFrom(const cxxopts::ParseResult &parsed)
 {
     const std::uint64_t rumors = countOption(parsed, "rumors");
-    const std::chrono::seconds lookTime(countOption(parsed, "seconds", 1));
+    const std::chrono::seconds measureTime(countOption(parsed, "seconds", 1));
     for (const std::string &count : partsOf(parsed["nodes"].as<std::string>(), ',')) {
         const double nodes = numberIn(count);
         if (nodes < 2 || nodes > static_cast<double>(config::maxMembers))
-            throw usage_error("--nodes: from 2 to " + std::to_string(config::maxMembers));
-        runOne(static_cast<std::size_t>(nodes), rumors, lookTime);
+            throw usage_error("--nodes must be from 2 to " + std::to_string(config::maxMembers));
+        measureCluster(static_cast<std::size_t>(nodes), rumors, measureTime);
     }
     return exitDone;
 }
@@ -266,7 +269,7 @@
 
 int gossipSlope(const words &arguments)
 {
-    cxxopts::Options options = optionsOfSlope();
+    cxxopts::Options options = optionsOfGossip();
     return runParsed(options, arguments, runFrom);
 }
 
--- a/src/bench/gossip_slope.h
+++ b/src/bench/gossip_slope.h
@@ -5,9 +5,9 @@
 
 namespace poplarspool::bench {
 
-/// What gossip costs a node, and how fast news spread, at several numbers of nodes in one process:
-/// one line each, which the slope command reads.
-/// @returns Exit status, as of the other subcommands.
-int gossipSlope(const std::vector<std::string> &words);
+/// Measures the cost of gossip for a node and how fast changes spread, for several numbers of nodes
+/// in one process. Prints a line for each, as input for the slope command.
+/// @returns The exit status, as of the other subcommands.
+int gossipSlope(const std::vector<std::string> &arguments);
 
 } // namespace poplarspool::bench
--- a/src/bench/idle_command.cpp
+++ b/src/bench/idle_command.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr milliseconds connectTime{1000};
+constexpr milliseconds connectTimeout{1000};
 
 struct instance_process
 {
@@ -25,26 +25,27 @@
     metric_samples metrics;
 };
 
-/// What one instance spent between two snapshots.
+/// Resources that one instance used between two snapshots.
 struct control_cost
 {
     double cpuPercent = 0; ///< Of one core.
     double residentKb = 0;
-    double bytesPerSecond = 0; ///< All counters whose names end in _bytes_total.
+    double bytesPerSecond = 0; ///< Sum of all *_bytes_total counters.
     double storeCallsPerSecond = 0;
 };
 
 cxxopts::Options optionsOfIdle()
 {
-    cxxopts::Options options("poplarspool-bench idle",
-                             "Control cost of running instances: one line each, and their mean.");
+    cxxopts::Options options(
+            "poplarspool-bench idle",
+            "Control-plane cost of running instances: a line for each, and the mean.");
     const auto text = [] { return cxxopts::value<std::string>(); };
     auto add = options.add_options();
     add("pids", "PID[,PID…]", text());
-    add("operators", "Their operator addresses, in the same order", text());
-    add("seconds", "How long to look", cxxopts::value<double>()->default_value("30"));
-    add("bearer", "The operators' key", text()->default_value(""));
-    add("runners", "Runners of the fleet, only repeated in the mean",
+    add("operators", "Operator addresses of these processes, in the same order", text());
+    add("seconds", "How long to measure", cxxopts::value<double>()->default_value("30"));
+    add("bearer", "Operator key", text()->default_value(""));
+    add("runners", "Number of runners; only repeated in the line of the mean",
         cxxopts::value<double>()->default_value("0"));
     return options;
 }
@@ -56,7 +57,7 @@
         throw usage_error("--pids is missing");
     const std::vector<std::string> pids = partsOf(parsed["pids"].as<std::string>(), ',');
     if (pids.size() != operators.size())
-        throw usage_error("--pids and --operators differ in number");
+        throw usage_error("--pids and --operators must have the same number of entries");
     std::vector<instance_process> instances;
     for (std::size_t index = 0; index < pids.size(); ++index)
         instances.push_back({std::int64_t(numberIn(pids[index])), operators[index]});
@@ -66,7 +67,8 @@
 result<snapshot> takeSnapshot(const instance_process &instance, const std::string &bearerKey,
                               http_pool &pool)
 {
-    // The page first: what the reading costs falls into the second snapshot's time only once.
+    // The metrics are fetched before the process is read, so that the measured interval contains
+    // the cost of only one fetch.
     const auto metrics = fetchMetrics(instance.operatorAddress, bearerKey, pool);
     if (!succeeded(metrics))
         return errorOf(metrics);
@@ -79,25 +81,25 @@
 result<std::vector<snapshot>> takeSnapshots(const std::vector<instance_process> &instances,
                                             const std::string &bearerKey, http_pool &pool)
 {
-    std::vector<snapshot> taken;
+    std::vector<snapshot> snapshots;
     for (const instance_process &instance : instances) {
         const auto one = takeSnapshot(instance, bearerKey, pool);
         if (!succeeded(one))
             return errorOf(one);
-        taken.push_back(valueOf(one));
+        snapshots.push_back(valueOf(one));
     }
-    return taken;
+    return snapshots;
 }
 
 control_cost costBetween(const snapshot &before, const snapshot &after)
 {
     const double seconds = std::chrono::duration<double>(after.at - before.at).count();
     const std::chrono::duration<double> cpu = after.process.cpuTime - before.process.cpuTime;
-    const auto grown = [&](std::string_view suffix) {
+    const auto increaseOf = [&](std::string_view suffix) {
         return sumOfSuffix(after.metrics, suffix) - sumOfSuffix(before.metrics, suffix);
     };
     return {100 * cpu.count() / seconds, double(after.process.residentKb),
-            grown("_bytes_total") / seconds, grown("store_calls_total") / seconds};
+            increaseOf("_bytes_total") / seconds, increaseOf("store_calls_total") / seconds};
 }
 
 figures figuresOf(const control_cost &cost)
@@ -136,7 +138,7 @@
     const std::vector<instance_process> instances = instancesFrom(parsed);
     const auto bearerKey = parsed["bearer"].as<std::string>();
     metrics_registry metrics;
-    http_pool pool(1, connectTime, metrics);
+    http_pool pool(1, connectTimeout, metrics);
     const auto before = takeSnapshots(instances, bearerKey, pool);
     if (succeeded(before))
         std::this_thread::sleep_for(std::chrono::duration<double>(parsed["seconds"].as<double>()));
--- a/src/bench/instance_load.cpp
+++ b/src/bench/instance_load.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-constexpr milliseconds connectTime{2000};
-constexpr milliseconds streamTime{120000};
-/// Longest wait until all streams are open.
-constexpr std::chrono::seconds openTime{60};
+constexpr milliseconds connectTimeout{2000};
+constexpr milliseconds streamTimeout{120000};
+/// Maximum wait for all streams to be open.
+constexpr std::chrono::seconds openTimeout{60};
 
 load_options throughputLoad(const path_target &target, std::uint32_t connections,
                             std::chrono::seconds time)
@@ -38,35 +38,36 @@
     return options;
 }
 
-/// Counts streams that have begun and not ended.
+/// Counts the streams that have started and not ended.
 class stream_count
 {
 public:
-    void begun()
+    void recordStart()
     {
         const std::lock_guard lock(mutex);
         ++open;
         changed.notify_all();
     }
 
-    void ended(bool wasBegun, bool isWhole)
+    void recordEnd(bool wasStarted, bool isWhole)
     {
         const std::lock_guard lock(mutex);
-        open -= wasBegun ? 1 : 0;
+        open -= wasStarted ? 1 : 0;
         whole += isWhole ? 1 : 0;
-        ++over;
+        ++endedCount;
         changed.notify_all();
     }
 
-    /// @returns How many are open when all are, or when some have ended already.
-    std::uint32_t waitUntilOpen(std::uint32_t wanted)
+    /// Waits until that many streams are open, one has ended or `openTimeout` has passed.
+    /// @returns The number of open streams.
+    std::uint32_t waitUntilOpen(std::uint32_t requested)
     {
         std::unique_lock lock(mutex);
-        changed.wait_for(lock, openTime, [&] { return open >= wanted || over > 0; });
+        changed.wait_for(lock, openTimeout, [&] { return open >= requested || endedCount > 0; });
         return open;
     }
 
-    std::uint32_t wholeOnes() const
+    std::uint32_t wholeCount() const
     {
         const std::lock_guard lock(mutex);
         return whole;
@@ -76,7 +77,7 @@
     mutable std::mutex mutex;
     std::condition_variable changed;
     std::uint32_t open = 0;
-    std::uint32_t over = 0;
+    std::uint32_t endedCount = 0;
     std::uint32_t whole = 0;
 };
 
@@ -85,7 +86,8 @@
 {
     const nlohmann::json body = {
             {"model", model}, {"prompt", prompt}, {"max_tokens", tokens}, {"stream", true}};
-    const http_headers headers{{"Poplarspool-Time-Limit-Ms", std::to_string(streamTime.count())}};
+    const http_headers headers{
+            {"Poplarspool-Time-Limit-Ms", std::to_string(streamTimeout.count())}};
     return http_request{"POST", "/v1/completions", headers, body.dump(), "application/json"};
 }
 
@@ -94,22 +96,22 @@
 {
     const clock_source clock = systemClock();
     stream_answer_reader reader(clock);
-    bool isBegun = false;
+    bool isStarted = false;
     const auto onHead = [](const http_reply &head) { return head.status == 200; };
     const auto onPiece = [&](std::string_view piece) {
-        const bool goesOn = reader.feed(piece);
-        if (!isBegun && !reader.answer().text.empty()) {
-            isBegun = true;
-            count.begun();
+        const bool shouldContinue = reader.feed(piece);
+        if (!isStarted && !reader.answer().text.empty()) {
+            isStarted = true;
+            count.recordStart();
         }
-        return goesOn;
+        return shouldContinue;
     };
     const auto sent = pool.stream(target.instance, streamRequest(target.model, prompt, tokens),
-                                  streamTime, onHead, onPiece);
+                                  streamTimeout, onHead, onPiece);
     const completion_answer &answer = reader.answer();
     const bool isWhole = succeeded(sent) && answer.hasEnd
             && checkAnswer(prompt, tokens, answer.text) == answer_state::Whole;
-    count.ended(isBegun, isWhole);
+    count.recordEnd(isStarted, isWhole);
 }
 
 } // namespace
@@ -135,7 +137,7 @@
                                     std::uint32_t tokens)
 {
     metrics_registry metrics;
-    http_pool pool(1, connectTime, metrics);
+    http_pool pool(1, connectTimeout, metrics);
     stream_count count;
     const std::string run = randomHex128();
     const auto before = readProcess(target.instancePid);
@@ -153,7 +155,7 @@
         return errorOf(before);
     if (!succeeded(atOpen))
         return errorOf(atOpen);
-    return open_streams{streams, open, count.wholeOnes(), valueOf(before).residentKb,
+    return open_streams{streams, open, count.wholeCount(), valueOf(before).residentKb,
                         valueOf(atOpen).residentKb};
 }
 
--- a/src/bench/load_call.cpp
+++ b/src/bench/load_call.cpp
@@ -16,19 +16,19 @@
 
 using nlohmann::json;
 
-constexpr milliseconds firstBackoff{100};
+constexpr milliseconds initialBackoff{100};
 constexpr milliseconds maxBackoff{2000};
-/// What the caller waits beyond its time limit for the verdict that the limit has passed.
-constexpr milliseconds verdictTime{1000};
+/// Extra time beyond the time limit, in which the reply that the limit has passed still arrives.
+constexpr milliseconds verdictGraceTime{1000};
 
 /// Why a try was not run.
 struct refusal
 {
     error failure;
-    bool isUnreached = false; ///< No instance was there to refuse it.
+    bool isUnreached = false; ///< No instance could be reached.
 };
 
-/// One try: how the call ended, or why it was not run.
+/// Result of one try: the final outcome, or why it was not run.
 using try_outcome = std::variant<call_outcome, refusal>;
 
 call_outcome ended(call_end end, std::string detail = {})
@@ -36,9 +36,10 @@
     return call_outcome{end, {}, 0, std::move(detail)};
 }
 
-http_headers headersOf(const load_call &call, const caller_identity &who, milliseconds timeLeft)
+http_headers headersOf(const load_call &call, const caller_identity &identity,
+                       milliseconds timeLeft)
 {
-    http_headers headers = headersOf(who);
+    http_headers headers = headersOf(identity);
     headers.emplace_back(caller::timeLimitHeader, std::to_string(timeLeft.count()));
     if (!call.workspace.empty())
         headers.emplace_back(caller::workspaceHeader, call.workspace);
@@ -56,21 +57,21 @@
     return http_request{"POST", "/v1/completions", {}, body.dump(), "application/json"};
 }
 
-/// @returns The service's own path of this call and of no other.
-std::string ownPathOf(const load_call &call)
+/// @returns The path within the service; unique for each call.
+std::string uniquePathOf(const load_call &call)
 {
     return call.servicePath + "/" + call.prompt;
 }
 
 http_request serviceRequest(const load_call &call)
 {
-    const std::string path = "/v1/services/" + call.service + ownPathOf(call);
+    const std::string path = "/v1/services/" + call.service + uniquePathOf(call);
     if (call.idempotencyKey.empty())
         return http_request{"GET", path, {}, {}, {}};
     return http_request{"POST", path, {}, call.prompt, "text/plain"};
 }
 
-call_end endOf(answer_state state)
+call_end callEndOf(answer_state state)
 {
     switch (state) {
     case answer_state::Whole:
@@ -85,36 +86,37 @@
     return call_end::Wrong;
 }
 
-/// @returns What a completion's answer is worth that was not refused.
-call_outcome judge(const load_call &call, const completion_answer &answer)
+/// Checks the answer of a completion that was not refused.
+call_outcome checkCompletion(const load_call &call, const completion_answer &answer)
 {
     if (answer.isMalformed)
         return ended(call_end::Wrong, "malformed answer");
     const bool mayStopEarly = answer.finishReason == "stop" && answer.tokens;
-    const std::uint32_t wanted = mayStopEarly ? *answer.tokens : call.maxTokens;
-    const answer_state state = checkAnswer(call.prompt, wanted, answer.text);
+    const std::uint32_t tokenCount = mayStopEarly ? *answer.tokens : call.maxTokens;
+    const answer_state state = checkAnswer(call.prompt, tokenCount, answer.text);
     if (state == answer_state::Cut || state == answer_state::Whole) {
         if (answer.failure)
             return ended(call_end::Cut, answer.failure->message);
         if (!answer.hasEnd)
-            return ended(call_end::Cut, "no end");
+            return ended(call_end::Cut, "stream ended without [DONE]");
     }
-    return ended(endOf(state));
+    return ended(callEndOf(state));
 }
 
-/// @returns Whether a stand-in service's answer is the one to this call and no other's.
-call_outcome judgeService(const load_call &call, const http_reply &reply)
+/// Checks that the answer of a stand-in service belongs to this call.
+call_outcome checkServiceReply(const load_call &call, const http_reply &reply)
 {
     const json answer = json::parse(reply.body, nullptr, false);
     if (!answer.is_object())
         return ended(call_end::Wrong, "malformed answer");
     const bool isOwn = answer.value("key", "") == call.idempotencyKey
-            && answer.value("path", "").ends_with(ownPathOf(call));
-    return isOwn ? ended(call_end::Whole) : ended(call_end::Wrong, "another call's answer");
+            && answer.value("path", "").ends_with(uniquePathOf(call));
+    return isOwn ? ended(call_end::Whole)
+                 : ended(call_end::Wrong, "answer belongs to another call");
 }
 
-/// @returns What becomes of a call that failed before any of its answer came.
-try_outcome failed(const error &failure, bool isUnreached)
+/// @returns The outcome of a try that failed before any part of the answer was received.
+try_outcome failedTry(const error &failure, bool isUnreached)
 {
     if (failure.ran == verdict::NotRun)
         return refusal{failure, isUnreached};
@@ -139,15 +141,15 @@
         return true;
     };
     const result<http_reply> sent =
-            pool.stream(to, request, timeLeft + verdictTime, onHead, onPiece);
+            pool.stream(to, request, timeLeft + verdictGraceTime, onHead, onPiece);
     if (succeeded(sent) && refused)
-        return failed(failureIn(*refused), false);
+        return failedTry(failureIn(*refused), false);
     const completion_answer &answer = reader.answer();
     if (answer.text.empty() && answer.failure)
-        return failed(*answer.failure, false);
+        return failedTry(*answer.failure, false);
     if (answer.text.empty() && !succeeded(sent))
-        return failed(errorOf(sent), true);
-    call_outcome outcome = judge(call, answer);
+        return failedTry(errorOf(sent), true);
+    call_outcome outcome = checkCompletion(call, answer);
     outcome.firstByte = answer.firstTextAt - due;
     return outcome;
 }
@@ -156,47 +158,49 @@
                      http_pool &pool, milliseconds timeLeft, mono_time due)
 {
     const clock_source clock = systemClock();
-    const result<http_reply> sent = pool.send(to, request, timeLeft + verdictTime);
+    const result<http_reply> sent = pool.send(to, request, timeLeft + verdictGraceTime);
     if (!succeeded(sent))
-        return failed(errorOf(sent), true);
+        return failedTry(errorOf(sent), true);
     const http_reply &reply = valueOf(sent);
     if (reply.status != 200)
-        return failed(failureIn(reply), false);
-    call_outcome outcome =
-            call.model.empty() ? judgeService(call, reply) : judge(call, answerIn(reply, clock));
+        return failedTry(failureIn(reply), false);
+    call_outcome outcome = call.model.empty() ? checkServiceReply(call, reply)
+                                              : checkCompletion(call, answerIn(reply, clock));
     outcome.firstByte = clock.mono() - due;
     return outcome;
 }
 
-try_outcome tryOnce(const load_call &call, const caller_identity &who, const endpoint &to,
+try_outcome tryOnce(const load_call &call, const caller_identity &identity, const endpoint &to,
                     http_pool &pool, milliseconds timeLeft, mono_time due)
 {
     http_request request = call.model.empty() ? serviceRequest(call) : completionRequest(call);
-    request.headers = headersOf(call, who, timeLeft);
+    request.headers = headersOf(call, identity, timeLeft);
     if (call.isStreamed)
         return tryStreamed(call, to, request, pool, timeLeft, due);
     return tryPlain(call, to, request, pool, timeLeft, due);
 }
 
-/// A refusal that another try can't mend is final.
-bool isWorthAnotherTry(const error &failure)
+/// @returns Whether another try may succeed; other refusals are final.
+bool isRetryable(const error &failure)
 {
     return failure.retryAfter || failure.code == error_code::Unavailable
             || failure.code == error_code::Overloaded || failure.code == error_code::Throttled;
 }
 
-/// Tries each address once, best first. Only a connection that could not be made goes on to the
-/// next one.
-try_outcome tryAddresses(const load_call &call, const caller_identity &who, address_book &book,
-                         http_pool &pool, mono_time deadline, mono_time due)
+/// Tries each address once, best first. Moves on to the next one only if the connection could not
+/// be made.
+try_outcome tryAddresses(const load_call &call, const caller_identity &identity,
+                         address_book &addressCache, http_pool &pool, mono_time deadline,
+                         mono_time due)
 {
     const clock_source clock = systemClock();
-    try_outcome outcome = refusal{notRun(error_code::Unavailable, "no address answers"), true};
-    for (const endpoint &to : book.addresses()) {
+    try_outcome outcome =
+            refusal{notRun(error_code::Unavailable, "no address could be reached"), true};
+    for (const endpoint &to : addressCache.addresses()) {
         const auto timeLeft = std::chrono::duration_cast<milliseconds>(deadline - clock.mono());
         if (timeLeft <= milliseconds(0))
             break;
-        outcome = tryOnce(call, who, to, pool, timeLeft, due);
+        outcome = tryOnce(call, identity, to, pool, timeLeft, due);
         const auto *refused = std::get_if<refusal>(&outcome);
         if (refused == nullptr || !refused->isUnreached)
             return outcome;
@@ -206,23 +210,23 @@
 
 } // namespace
 
-call_outcome performCall(const load_call &call, const caller_identity &who, address_book &book,
-                         http_pool &pool, mono_time due)
+call_outcome performCall(const load_call &call, const caller_identity &identity,
+                         address_book &addressCache, http_pool &pool, mono_time due)
 {
     const clock_source clock = systemClock();
     const mono_time deadline = clock.mono() + call.timeLimit;
-    milliseconds backoff = firstBackoff;
+    milliseconds backoff = initialBackoff;
     std::uint32_t notRunAnswers = 0;
     for (;;) {
-        try_outcome outcome = tryAddresses(call, who, book, pool, deadline, due);
-        if (auto *last = std::get_if<call_outcome>(&outcome)) {
-            last->notRunAnswers = notRunAnswers;
-            return *last;
+        try_outcome outcome = tryAddresses(call, identity, addressCache, pool, deadline, due);
+        if (auto *finalOutcome = std::get_if<call_outcome>(&outcome)) {
+            finalOutcome->notRunAnswers = notRunAnswers;
+            return *finalOutcome;
         }
         ++notRunAnswers;
         const error &failure = std::get<refusal>(outcome).failure;
         const milliseconds pause = failure.retryAfter.value_or(backoff);
-        if (!isWorthAnotherTry(failure) || clock.mono() + pause >= deadline) {
+        if (!isRetryable(failure) || clock.mono() + pause >= deadline) {
             return call_outcome{call_end::Refused,
                                 {},
                                 notRunAnswers,
--- a/src/bench/load_command.cpp
+++ b/src/bench/load_command.cpp
@@ -12,7 +12,7 @@
 cxxopts::Options optionsOfLoad()
 {
     cxxopts::Options options("poplarspool-bench load",
-                             "Sends requests as a caller does and checks every answer.");
+                             "Sends requests as callers do and checks every answer.");
     const auto text = [](const char *byDefault) {
         return cxxopts::value<std::string>()->default_value(byDefault);
     };
@@ -21,27 +21,30 @@
     };
     const auto count = text;
     auto add = options.add_options();
-    add("ask", "Instances to ask for addresses: ADDR[,ADDR…]", cxxopts::value<std::string>());
-    add("requests", "Requests in all; 0: no bound", count("0"));
-    add("seconds", "How long to send; 0: no bound", number("0"));
-    add("while", "Sends while this file is there", text(""));
-    add("rate", "Requests a second; 0: as fast as streams end", number("0"));
-    add("streams", "Requests open at the same time, at most", count("8"));
-    add("mix", "Tokens: PROMPT:OUTPUT[,…]", text("200:20"));
-    add("shift-seconds", "One entry of the mix at a time, each so long; 0: all mixed", count("0"));
+    add("ask", "Instances to fetch the addresses from: ADDR[,ADDR…]",
+        cxxopts::value<std::string>());
+    add("requests", "Total number of requests; 0: unlimited", count("0"));
+    add("seconds", "How long to send, seconds; 0: unlimited", number("0"));
+    add("while", "Send for as long as this file exists", text(""));
+    add("rate", "Requests per second; 0: the next one when a stream ends", number("0"));
+    add("streams", "Maximum number of concurrent requests", count("8"));
+    add("mix", "Token counts: PROMPT:OUTPUT[,…]", text("200:20"));
+    add("shift-seconds", "Use one entry of the mix at a time, for this long each; 0: all mixed",
+        count("0"));
     add("models", "NAME[,…]", text(""));
     add("services", "NAME[,…]", text(""));
-    add("service-path", "The services' own path", text("/orders"));
-    add("service-share", "Service calls among all requests", number("0.3"));
-    add("key-share", "Calls with a key, not to be repeated, among service calls", number("1"));
-    add("stream-share", "Streamed ones among completions", number("1"));
-    add("workspaces", "Workspaces to spread over", count("8"));
-    add("callers", "Callers, each with its own kept addresses", count("8"));
-    add("caller", "Prefix of the callers' names", text("bench"));
-    add("zone", "The callers' availability zone", text(""));
-    add("bearer", "The callers' key", text(""));
-    add("time-limit-ms", "Of each request", count("60000"));
-    add("records", "Stand-in services to compare keys with: ADDR[,…]", text(""));
+    add("service-path", "Path within the services", text("/orders"));
+    add("service-share", "Share of service calls among all requests", number("0.3"));
+    add("key-share", "Share of calls with an idempotency key among service calls", number("1"));
+    add("stream-share", "Share of streamed requests among completions", number("1"));
+    add("workspaces", "Number of workspaces to spread the requests over", count("8"));
+    add("callers", "Number of callers, each with its own cached addresses", count("8"));
+    add("caller", "Prefix of the caller names", text("bench"));
+    add("zone", "Availability zone of the callers", text(""));
+    add("bearer", "Key of the callers", text(""));
+    add("time-limit-ms", "Time limit of each request, milliseconds", count("60000"));
+    add("records", "Stand-in services whose records are compared with the outcomes: ADDR[,…]",
+        text(""));
     add("json", "Print one JSON object");
     return options;
 }
@@ -57,7 +60,7 @@
     plan.models = partsOf(parsed["models"].as<std::string>(), ',');
     plan.services = partsOf(parsed["services"].as<std::string>(), ',');
     if (plan.models.empty() && plan.services.empty())
-        throw usage_error("neither --models nor --services is given");
+        throw usage_error("one of --models and --services is required");
     plan.servicePath = parsed["service-path"].as<std::string>();
     plan.serviceShare = parsed["service-share"].as<double>();
     plan.keyShare = parsed["key-share"].as<double>();
@@ -84,7 +87,7 @@
     options.time = std::chrono::duration_cast<std::chrono::nanoseconds>(time);
     options.whileFile = parsed["while"].as<std::string>();
     if (options.requests == 0 && options.time.count() <= 0 && options.whileFile.empty())
-        throw usage_error("none of --requests, --seconds and --while bounds the load");
+        throw usage_error("one of --requests, --seconds and --while is required to limit the load");
     return options;
 }
 
--- a/src/bench/load_plan.cpp
+++ b/src/bench/load_plan.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Independent choices for one request; a stream each.
+/// Independent random choices for one request; each has its own hash seed.
 enum class choice : std::uint64_t { Kind = 1, Name, Mix, Stream, Key, Workspace };
 
 std::uint64_t drawOf(std::uint64_t number, choice which)
@@ -17,8 +17,8 @@
     return hashOf(std::to_string(number), static_cast<std::uint64_t>(which));
 }
 
-/// @returns Whether the draw falls into a share of all.
-bool isWithinShare(std::uint64_t number, choice which, double share)
+/// @returns True for that share of all request numbers.
+bool isInShare(std::uint64_t number, choice which, double share)
 {
     constexpr std::uint64_t steps = 1'000'000;
     return double(drawOf(number, which) % steps) < share * double(steps);
@@ -39,8 +39,8 @@
     return plan.mix[turn % plan.mix.size()];
 }
 
-/// @returns A prompt whose first half is the workspace's own, as templates and files are, so that
-///          prefix caches have something to find.
+/// @returns A prompt whose first half is the same for all requests of the workspace, as with shared
+///          templates and files, so that prefix caches get hits.
 std::string promptOf(const load_plan &plan, std::uint64_t number, const std::string &workspace,
                      std::uint32_t tokens)
 {
@@ -60,14 +60,14 @@
 {
     if (plan.services.empty())
         return false;
-    return plan.models.empty() || isWithinShare(number, choice::Kind, plan.serviceShare);
+    return plan.models.empty() || isInShare(number, choice::Kind, plan.serviceShare);
 }
 
-std::uint32_t tokensIn(const std::string &text)
+std::uint32_t parseTokenCount(const std::string &text)
 {
     const double number = numberIn(text);
     if (number < 1 || number > config::maxOutputTokens)
-        throw usage_error("\"" + text + "\" is no count of tokens");
+        throw usage_error("\"" + text + "\" is not a valid token count");
     return static_cast<std::uint32_t>(number);
 }
 
@@ -80,7 +80,7 @@
         const std::vector<std::string> lengths = partsOf(part, ':');
         if (lengths.size() != 2)
             throw usage_error("\"" + part + "\" is not PROMPT:OUTPUT");
-        mix.push_back({tokensIn(lengths[0]), tokensIn(lengths[1])});
+        mix.push_back({parseTokenCount(lengths[0]), parseTokenCount(lengths[1])});
     }
     if (mix.empty())
         throw usage_error("the mix is empty");
@@ -97,7 +97,7 @@
         call.service = pick(plan.services, number, choice::Name);
         call.servicePath = plan.servicePath;
         call.prompt = plan.run + "-" + std::to_string(number);
-        if (isWithinShare(number, choice::Key, plan.keyShare))
+        if (isInShare(number, choice::Key, plan.keyShare))
             call.idempotencyKey = call.prompt;
         return call;
     }
@@ -105,7 +105,7 @@
     call.model = pick(plan.models, number, choice::Name);
     call.prompt = promptOf(plan, number, call.workspace, entry.promptTokens);
     call.maxTokens = entry.outputTokens;
-    call.isStreamed = isWithinShare(number, choice::Stream, plan.streamShare);
+    call.isStreamed = isInShare(number, choice::Stream, plan.streamShare);
     return call;
 }
 
--- a/src/bench/load_plan.h
+++ b/src/bench/load_plan.h
@@ -10,7 +10,7 @@
 
 namespace poplarspool::bench {
 
-/// Lengths of one kind of completion, in tokens.
+/// Prompt and output length of one kind of completion, in tokens.
 struct mix_entry
 {
     std::uint32_t promptTokens = 0;
@@ -19,27 +19,31 @@
     bool operator==(const mix_entry &) const = default;
 };
 
-/// @param text Such as "2000:50,100:400".
+/// @param text Comma-separated PROMPT:OUTPUT pairs, for example "2000:50,100:400".
 /// @throws usage_error
 std::vector<mix_entry> parseMix(std::string_view text);
 
-/// What is sent; together with a request's number it says everything about that request.
+/// Describes the load. The plan and a request's number determine the request completely.
 struct load_plan
 {
-    std::string run; ///< Unique per run: part of every key, so that no run meets another's claims.
+    /// Unique for each run and part of every key, so that runs do not share claims.
+    std::string run;
     std::vector<mix_entry> mix;
-    std::optional<std::chrono::seconds> shift; ///< One entry of the mix at a time, each so long.
+    /// If set, one entry of the mix is used at a time, for this long each.
+    std::optional<std::chrono::seconds> shift;
     std::vector<std::string> models;
     std::vector<std::string> services;
-    std::string servicePath = "/orders"; ///< Of the service's own paths.
-    double serviceShare = 0; ///< Calls of services among all requests.
-    double keyShare = 1; ///< Calls that must not be repeated, among those of services.
-    double streamShare = 1; ///< Streamed ones among completions.
+    std::string servicePath = "/orders"; ///< Path within the service, without the last segment.
+    double serviceShare = 0; ///< Share of service calls among all requests.
+    /// Share of calls with an idempotency key among service calls.
+    double keyShare = 1;
+    double streamShare = 1; ///< Share of streamed requests among completions.
     std::uint32_t workspaces = 8;
     milliseconds timeLimit{60000};
 };
 
-/// @param elapsed Since the start of the run.
+/// @returns The request of that number.
+/// @param elapsed Time since the start of the run.
 load_call callOf(const load_plan &plan, std::uint64_t number, std::chrono::nanoseconds elapsed);
 
 } // namespace poplarspool::bench
--- a/src/bench/load_run.cpp
+++ b/src/bench/load_run.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::size_t maxDetails = 10;
-constexpr milliseconds connectTime{1000};
+constexpr milliseconds connectTimeout{1000};
 
 std::string_view nameOf(call_end end)
 {
@@ -54,8 +54,8 @@
     return summary.wrong;
 }
 
-/// Gathers outcomes from all threads.
-class outcome_book
+/// Collects the outcomes of all threads.
+class outcome_table
 {
 public:
     void add(const load_call &call, const call_outcome &outcome)
@@ -65,32 +65,32 @@
         ++countOf(summary, outcome.end);
         summary.notRun += outcome.notRunAnswers;
         if (!call.idempotencyKey.empty())
-            ends[call.idempotencyKey] = outcome.end;
+            endByKey[call.idempotencyKey] = outcome.end;
         if (outcome.end == call_end::Whole)
             summary.firstBytes.push_back(outcome.firstByte);
         else if (summary.details.size() < maxDetails)
             summary.details.push_back(std::string(nameOf(outcome.end)) + ": " + outcome.detail);
     }
 
-    // Read once all threads have ended.
+    // Only read after all threads have ended.
     load_summary summary;
-    key_ends ends;
+    key_ends endByKey;
 
 private:
     std::mutex mutex;
 };
 
-/// One run: all its threads take numbers from one place.
+/// One run of the load; its threads share one counter of request numbers.
 class load_run
 {
 public:
     explicit load_run(const load_options &options)
-        : options(options), pool(options.streams, connectTime, metrics), startedAt(clock.mono())
+        : options(options), pool(options.streams, connectTimeout, metrics), startedAt(clock.mono())
     {
         for (std::uint32_t index = 0; index < options.callers; ++index) {
-            caller_identity who = options.who;
-            who.caller += "-" + std::to_string(index);
-            callers.push_back(std::make_unique<caller_seat>(options.ask, who, pool));
+            caller_identity identity = options.who;
+            identity.caller += "-" + std::to_string(index);
+            callers.push_back(std::make_unique<simulated_caller>(options.ask, identity, pool));
         }
     }
 
@@ -98,22 +98,23 @@
     {
         std::vector<std::thread> threads;
         for (std::uint32_t index = 0; index < options.streams; ++index)
-            threads.emplace_back([this, index] { work(*callers[index % callers.size()]); });
+            threads.emplace_back([this, index] { sendRequests(*callers[index % callers.size()]); });
         for (std::thread &thread : threads)
             thread.join();
-        book.summary.elapsed = clock.mono() - startedAt;
+        outcomes.summary.elapsed = clock.mono() - startedAt;
         compareWithRecords();
-        return book.summary;
+        return outcomes.summary;
     }
 
 private:
-    struct caller_seat
+    struct simulated_caller
     {
-        caller_identity who;
+        caller_identity identity;
         address_book addresses;
 
-        caller_seat(const std::vector<endpoint> &ask, const caller_identity &who, http_pool &pool)
-            : who(who), addresses(ask, who, pool)
+        simulated_caller(const std::vector<endpoint> &seeds, const caller_identity &identity,
+                         http_pool &pool)
+            : identity(identity), addresses(seeds, identity, pool)
         { }
     };
 
@@ -134,7 +135,7 @@
         return startedAt + std::chrono::duration_cast<std::chrono::nanoseconds>(offset);
     }
 
-    void work(caller_seat &seat)
+    void sendRequests(simulated_caller &caller)
     {
         for (;;) {
             const std::uint64_t number = nextNumber.fetch_add(1);
@@ -143,14 +144,14 @@
                 return;
             std::this_thread::sleep_for(due - clock.mono());
             const load_call call = callOf(options.plan, number, due - startedAt);
-            book.add(call, perform(call, seat, due));
+            outcomes.add(call, perform(call, caller, due));
         }
     }
 
-    call_outcome perform(const load_call &call, caller_seat &seat, mono_time due)
+    call_outcome perform(const load_call &call, simulated_caller &caller, mono_time due)
     {
         try {
-            return performCall(call, seat.who, seat.addresses, pool, due);
+            return performCall(call, caller.identity, caller.addresses, pool, due);
         } catch (const nlohmann::json::exception &fault) {
             return call_outcome{call_end::Wrong, {}, 0, fault.what()};
         }
@@ -162,14 +163,15 @@
             return;
         const result<run_counts> runs = fetchRecords(options.records, pool);
         if (!succeeded(runs)) {
-            ++book.summary.wrong;
-            book.summary.details.push_back("no records: " + errorOf(runs).message);
+            ++outcomes.summary.wrong;
+            outcomes.summary.details.push_back("service records unavailable: "
+                                               + errorOf(runs).message);
             return;
         }
-        const record_faults faults = compareRecords(valueOf(runs), book.ends);
-        book.summary.doubled += faults.doubled;
-        book.summary.wrong += faults.lost;
-        book.summary.falseNotRun = faults.falseNotRun;
+        const record_faults faults = compareRecords(valueOf(runs), outcomes.endByKey);
+        outcomes.summary.doubled += faults.doubled;
+        outcomes.summary.wrong += faults.lost;
+        outcomes.summary.falseNotRun = faults.falseNotRun;
     }
 
     const load_options &options;
@@ -177,9 +179,9 @@
     metrics_registry metrics;
     http_pool pool;
     const mono_time startedAt;
-    std::vector<std::unique_ptr<caller_seat>> callers;
+    std::vector<std::unique_ptr<simulated_caller>> callers;
     std::atomic<std::uint64_t> nextNumber{0};
-    outcome_book book;
+    outcome_table outcomes;
 };
 
 } // namespace
--- a/src/bench/load_run.h
+++ b/src/bench/load_run.h
@@ -12,39 +12,41 @@
 struct load_options
 {
     load_plan plan;
-    std::vector<endpoint> ask; ///< Instances known from the start.
-    std::vector<endpoint> records; ///< Stand-in services, compared with in the end.
-    caller_identity who; ///< Its name is the prefix of all callers' names.
-    std::uint32_t callers = 8; ///< Each with its own kept addresses.
-    std::uint32_t streams = 8; ///< Open at the same time, at most.
-    double rate = 0; ///< Requests a second; 0: each stream sends the next when one has ended.
-    std::uint64_t requests = 0; ///< 0: no bound.
-    std::chrono::nanoseconds time{0}; ///< 0: no bound.
-    std::string whileFile; ///< Sends only while this file is there; empty: no bound.
+    std::vector<endpoint> ask; ///< Instances to fetch the addresses from.
+    std::vector<endpoint> records; ///< Stand-in services whose records are compared at the end.
+    caller_identity who; ///< Its name is the prefix of all caller names.
+    std::uint32_t callers = 8; ///< Each has its own cached addresses.
+    std::uint32_t streams = 8; ///< Maximum number of concurrent requests.
+    double rate = 0; ///< Requests per second; 0: a stream sends the next when one has ended.
+    std::uint64_t requests = 0; ///< 0: unlimited.
+    std::chrono::nanoseconds time{0}; ///< 0: unlimited.
+    std::string whileFile; ///< Sends only while this file exists; empty: unlimited.
 };
 
-/// How many requests ended in what, and how long whole ones took to their first byte.
+/// Number of requests by outcome, and the times to the first byte of those that ended whole.
 struct load_summary
 {
     std::uint64_t requests = 0;
     std::uint64_t whole = 0;
     std::uint64_t refused = 0;
-    std::uint64_t notRun = 0; ///< "not run" answers, those of tries that were repeated too.
+    std::uint64_t notRun = 0; ///< "Not run" answers, including tries that were retried.
     std::uint64_t mayHaveRun = 0;
-    std::uint64_t doubled = 0; ///< Tokens repeated, or runs of one key beyond the first.
+    /// Answers with repeated tokens, and runs of a key beyond its first.
+    std::uint64_t doubled = 0;
     std::uint64_t cut = 0;
     std::uint64_t wrong = 0;
-    /// Keys that the caller was told were not run and a service has run; none where not compared.
+    /// Keys reported as "not run" to the caller although a service ran them; 0 without a
+    /// comparison.
     std::uint64_t falseNotRun = 0;
     durations firstBytes;
     std::chrono::nanoseconds elapsed{0};
-    std::vector<std::string> details; ///< The first few failures.
+    std::vector<std::string> details; ///< Messages of the first failures.
 
-    /// @returns Whether no promise to callers was broken.
+    /// @returns Whether every guarantee to callers was kept.
     bool isClean() const { return doubled == 0 && cut == 0 && wrong == 0 && falseNotRun == 0; }
 };
 
-/// Sends the load and waits for its last answer.
+/// Sends the load and waits until all requests have ended.
 load_summary runLoad(const load_options &options);
 
 figures figuresOf(const load_summary &summary);
--- a/src/bench/metrics_text.cpp
+++ b/src/bench/metrics_text.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr milliseconds fetchTime{5000};
+constexpr milliseconds fetchTimeout{5000};
 
 } // namespace
 
@@ -14,10 +14,10 @@
 {
     metric_samples samples;
     for (const std::string &line : partsOf(text, '\n')) {
-        const std::size_t blank = line.rfind(' ');
-        if (line.front() == '#' || blank == std::string::npos)
+        const std::size_t space = line.rfind(' ');
+        if (line.front() == '#' || space == std::string::npos)
             continue;
-        samples[line.substr(0, blank)] = numberIn(line.substr(blank + 1));
+        samples[line.substr(0, space)] = numberIn(line.substr(space + 1));
     }
     return samples;
 }
@@ -40,12 +40,12 @@
     request.path = "/metrics";
     if (!bearerKey.empty())
         request.headers.emplace_back("Authorization", "Bearer " + bearerKey);
-    const result<http_reply> reply = pool.send(from, request, fetchTime);
+    const result<http_reply> reply = pool.send(from, request, fetchTimeout);
     if (!succeeded(reply))
         return errorOf(reply);
     if (valueOf(reply).status != 200) {
         return notRun(error_code::Broken,
-                      "/metrics gives status " + std::to_string(valueOf(reply).status));
+                      "/metrics returned status " + std::to_string(valueOf(reply).status));
     }
     return parseMetrics(valueOf(reply).body);
 }
--- a/src/bench/metrics_text.h
+++ b/src/bench/metrics_text.h
@@ -8,15 +8,15 @@
 
 namespace poplarspool::bench {
 
-/// Samples of Prometheus' text format: series with its labels, and value.
+/// Samples of the Prometheus text format: value by series name with its labels.
 using metric_samples = std::map<std::string, double>;
 
 metric_samples parseMetrics(std::string_view text);
 
-/// @returns Sum over all series whose name, without labels, ends so.
+/// @returns Sum over all series whose name, without its labels, ends with the suffix.
 double sumOfSuffix(const metric_samples &samples, std::string_view suffix);
 
-/// Reads `/metrics` on an operator address.
+/// Fetches `/metrics` from an operator address.
 result<metric_samples> fetchMetrics(const endpoint &from, const std::string &bearerKey,
                                     http_pool &pool);
 
--- a/src/bench/path_command.cpp
+++ b/src/bench/path_command.cpp
@@ -11,22 +11,24 @@
 
 cxxopts::Options optionsOfPath()
 {
-    cxxopts::Options options("poplarspool-bench path",
-                             "Through one instance against straight to an engine, in one run.");
+    cxxopts::Options options(
+            "poplarspool-bench path",
+            "Compares requests through an instance with requests sent directly to its engine.");
     const auto count = [](const char *byDefault) {
         return cxxopts::value<std::string>()->default_value(byDefault);
     };
     const auto text = [] { return cxxopts::value<std::string>(); };
     auto add = options.add_options();
     add("instance", "Caller address of the instance", text());
-    add("instance-pid", "Its process", text());
+    add("instance-pid", "Process id of the instance", text());
     add("engine", "The only engine behind it", text());
-    add("model", "Model to ask for", text());
-    add("pairs", "Pairs of one request through the instance and one straight", count("2000"));
-    add("seconds", "How long to send for the requests per second and core", count("10"));
-    add("connections", "Connections to send them on", count("32"));
-    add("streams", "Streams open at the same time", count("1000"));
-    add("stream-tokens", "Tokens of each of these streams", count("400"));
+    add("model", "Model to request", text());
+    add("pairs", "Pairs of one request through the instance and one directly to the engine",
+        count("2000"));
+    add("seconds", "How long to measure the throughput, seconds", count("10"));
+    add("connections", "Connections for measuring the throughput", count("32"));
+    add("streams", "Number of concurrent streams", count("1000"));
+    add("stream-tokens", "Tokens of each stream", count("400"));
     return options;
 }
 
@@ -40,10 +42,10 @@
 }
 
 template <class Value>
-bool printOutcome(const result<Value> &measured)
+bool printMeasurement(const result<Value> &measured)
 {
     if (!succeeded(measured)) {
-        std::cerr << "not measured: " << errorOf(measured).message << '\n';
+        std::cerr << "measurement failed: " << errorOf(measured).message << '\n';
         return false;
     }
     std::cout << lineOf(figuresOf(valueOf(measured))) << std::endl;
@@ -56,11 +58,11 @@
     const auto positive = [&parsed](const char *name) {
         return static_cast<std::uint32_t>(countOption(parsed, name, 1));
     };
-    bool isMeasured = printOutcome(measureFirstByte(target, positive("pairs")));
+    bool isMeasured = printMeasurement(measureFirstByte(target, positive("pairs")));
     const std::chrono::seconds time(positive("seconds"));
-    isMeasured &= printOutcome(measureThroughput(target, positive("connections"), time));
-    isMeasured &=
-            printOutcome(measureStreams(target, positive("streams"), positive("stream-tokens")));
+    isMeasured &= printMeasurement(measureThroughput(target, positive("connections"), time));
+    isMeasured &= printMeasurement(
+            measureStreams(target, positive("streams"), positive("stream-tokens")));
     return isMeasured ? exitDone : exitWrong;
 }
 
--- a/src/bench/process_stat.cpp
+++ b/src/bench/process_stat.cpp
@@ -12,24 +12,25 @@
 
 namespace {
 
-// Places after the command's closing bracket, from proc(5).
-constexpr std::size_t userTicksPlace = 11;
-constexpr std::size_t systemTicksPlace = 12;
+// Indexes of the fields after the closing parenthesis of the command name, see proc(5).
+constexpr std::size_t userTicksIndex = 11;
+constexpr std::size_t systemTicksIndex = 12;
 
-result<std::uint64_t> countIn(std::string_view text)
+result<std::uint64_t> parseCount(std::string_view text)
 {
     std::uint64_t count = 0;
     const auto [stop, fault] = std::from_chars(text.data(), text.data() + text.size(), count);
     if (fault != std::errc())
-        return notRun(error_code::Broken, "\"" + std::string(text) + "\" is no count");
+        return notRun(error_code::Broken,
+                      "\"" + std::string(text) + "\" is not an unsigned integer");
     return count;
 }
 
-result<std::string> textOfFile(const std::string &path)
+result<std::string> readFile(const std::string &path)
 {
     std::ifstream file(path);
     if (!file)
-        return notRun(error_code::NotFound, "can't read " + path);
+        return notRun(error_code::NotFound, "cannot read " + path);
     std::ostringstream text;
     text << file.rdbuf();
     return text.str();
@@ -39,15 +40,15 @@
 
 result<std::chrono::nanoseconds> cpuTimeIn(std::string_view stat, std::int64_t ticksPerSecond)
 {
-    // The command stands in brackets and may hold blanks and brackets itself.
-    const std::size_t bracket = stat.rfind(')');
-    if (bracket == std::string_view::npos)
-        return notRun(error_code::Broken, "no command in the process's stat");
-    const std::vector<std::string> fields = partsOf(stat.substr(bracket + 1), ' ');
-    if (fields.size() <= systemTicksPlace)
-        return notRun(error_code::Broken, "too few fields in the process's stat");
-    const auto user = countIn(fields[userTicksPlace]);
-    const auto system = countIn(fields[systemTicksPlace]);
+    // The command name is in parentheses and may itself contain spaces and parentheses.
+    const std::size_t parenthesis = stat.rfind(')');
+    if (parenthesis == std::string_view::npos)
+        return notRun(error_code::Broken, "no command name in the stat file of the process");
+    const std::vector<std::string> fields = partsOf(stat.substr(parenthesis + 1), ' ');
+    if (fields.size() <= systemTicksIndex)
+        return notRun(error_code::Broken, "too few fields in the stat file of the process");
+    const auto user = parseCount(fields[userTicksIndex]);
+    const auto system = parseCount(fields[systemTicksIndex]);
     if (!succeeded(user))
         return errorOf(user);
     if (!succeeded(system))
@@ -61,19 +62,19 @@
     constexpr std::string_view label = "VmRSS:";
     const std::size_t start = status.find(label);
     if (start == std::string_view::npos)
-        return notRun(error_code::Broken, "no VmRSS in the process's status");
+        return notRun(error_code::Broken, "no VmRSS in the status file of the process");
     std::string_view rest = status.substr(start + label.size());
     rest.remove_prefix(std::min(rest.find_first_not_of(" \t"), rest.size()));
-    return countIn(rest);
+    return parseCount(rest);
 }
 
 result<process_stat> readProcess(std::int64_t pid)
 {
-    const std::string folder = "/proc/" + std::to_string(pid);
-    const auto stat = textOfFile(folder + "/stat");
+    const std::string directory = "/proc/" + std::to_string(pid);
+    const auto stat = readFile(directory + "/stat");
     if (!succeeded(stat))
         return errorOf(stat);
-    const auto status = textOfFile(folder + "/status");
+    const auto status = readFile(directory + "/status");
     if (!succeeded(status))
         return errorOf(status);
     const auto cpuTime = cpuTimeIn(valueOf(stat), sysconf(_SC_CLK_TCK));
--- a/src/bench/process_stat.h
+++ b/src/bench/process_stat.h
@@ -8,20 +8,20 @@
 
 namespace poplarspool::bench {
 
-/// What the system says a process has used.
+/// Resources that a process has used, as the kernel reports them.
 struct process_stat
 {
-    std::chrono::nanoseconds cpuTime{0}; ///< User and system time of all its threads.
+    std::chrono::nanoseconds cpuTime{0}; ///< User and system time of all threads.
     std::uint64_t residentKb = 0;
 
     bool operator==(const process_stat &) const = default;
 };
 
-/// @param stat Text of /proc/PID/stat.
-/// @param ticksPerSecond Unit of its times.
+/// @param stat Contents of /proc/PID/stat.
+/// @param ticksPerSecond Clock ticks per second (`_SC_CLK_TCK`), the unit of its times.
 result<std::chrono::nanoseconds> cpuTimeIn(std::string_view stat, std::int64_t ticksPerSecond);
 
-/// @param status Text of /proc/PID/status.
+/// @param status Contents of /proc/PID/status.
 result<std::uint64_t> residentKbIn(std::string_view status);
 
 result<process_stat> readProcess(std::int64_t pid);
--- a/src/bench/routes.cpp
+++ b/src/bench/routes.cpp
@@ -22,11 +22,11 @@
 constexpr std::array<std::uint32_t, 4> sizes{16, 400, 2'000, 5'000};
 constexpr std::uint32_t hostCount = 4;
 constexpr std::uint32_t serviceCount = 20;
-constexpr std::uint32_t lookupsEach = 64; ///< Of one sample.
+constexpr std::uint32_t lookupsEach = 64; ///< Lookups of one sample.
 constexpr std::uint32_t lookupSamples = 2'000;
 constexpr std::uint32_t changeCount = 40;
 constexpr std::uint64_t seed = 1;
-constexpr milliseconds settleTime{2'000};
+constexpr milliseconds gracePeriod{2'000};
 
 std::string hostOf(std::uint32_t number)
 {
@@ -38,8 +38,8 @@
     return "/v1/route-" + std::to_string(number) + "/";
 }
 
-/// The operators' configuration; each version has another time limit at one of its routes.
-std::string textOf(std::uint32_t size, std::uint32_t version)
+/// @returns The operators' configuration. Each version changes the time limit of one route.
+std::string configurationOf(std::uint32_t size, std::uint32_t version)
 {
     auto routes = nlohmann::json::array();
     for (std::uint32_t i = 0; i < size; ++i)
@@ -71,8 +71,8 @@
     return valueOf(adapter::decodeRoutes(nlohmann::json::parse(text))).table;
 }
 
-/// Time that this thread has computed; work beside it on the machine isn't in it.
-std::chrono::nanoseconds computed()
+/// @returns CPU time of this thread, so that other load on the machine is not measured.
+std::chrono::nanoseconds threadCpuTime()
 {
     std::timespec time{};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
@@ -82,9 +82,9 @@
 template <class Work>
 std::chrono::nanoseconds timeOf(const Work &work)
 {
-    const auto before = computed();
+    const auto before = threadCpuTime();
     work();
-    return computed() - before;
+    return threadCpuTime() - before;
 }
 
 struct request_line
@@ -93,22 +93,22 @@
     std::string path;
 };
 
-/// One in eight is for no route.
+/// @returns Requests to random routes; one in eight names a host that does not match the route.
 std::vector<request_line> makeRequests(std::uint32_t size)
 {
     std::mt19937_64 random(seed);
-    std::vector<request_line> made;
+    std::vector<request_line> requests;
     for (std::uint32_t i = 0; i < lookupsEach * lookupSamples; ++i) {
         const auto number = static_cast<std::uint32_t>(random() % size);
         const std::uint32_t host = random() % 8 == 0 ? number + 1 : number;
-        made.push_back({hostOf(host) + ":8080", prefixOf(number) + "items/17?page=2"});
+        requests.push_back({hostOf(host) + ":8080", prefixOf(number) + "items/17?page=2"});
     }
-    return made;
+    return requests;
 }
 
 void benchLookup(std::uint32_t size)
 {
-    const gateway::route_table table = tableOf(textOf(size, 1));
+    const gateway::route_table table = tableOf(configurationOf(size, 1));
     const gateway::route_index index = gateway::indexOf(table);
     const std::vector<request_line> requests = makeRequests(size);
     durations times;
@@ -136,62 +136,63 @@
 
 struct change_times
 {
-    durations parse; ///< Of the store's text.
-    durations read;
-    durations set; ///< Until requests see it.
-    durations tell; ///< Encoding for the others.
-    durations hear; ///< Decoding there.
-    durations follower; ///< Of the instance that follows the store: all but hearing.
-    durations told; ///< Of one that is told.
+    durations parse; ///< Parsing the JSON text of the store.
+    durations decode; ///< Decoding the JSON into a route table.
+    durations publish; ///< Applying the table until requests use it.
+    durations encodeUpdate; ///< Encoding the update for the other instances.
+    durations decodeUpdate; ///< Decoding the update at another instance.
+    durations relay; ///< Total of an instance that watches the store and sends the update.
+    durations receiver; ///< Total of an instance that receives the update.
 };
 
-/// @returns Bytes that the others are told; 0 where it can't be told.
+/// @returns Size of the update for the other instances in bytes; 0 if it cannot be sent.
 std::size_t applyChange(std::uint32_t size, std::uint32_t version,
-                        gateway::catalogue_keeper &keeper, change_times &times)
+                        gateway::catalogue_keeper &updater, change_times &times)
 {
-    const std::string text = textOf(size, version);
-    const auto before = keeper.table();
+    const std::string text = configurationOf(size, version);
+    const auto before = updater.table();
     nlohmann::json spec;
     gateway::route_table table;
-    result<std::string> told = std::string();
+    result<std::string> update = std::string();
     times.parse.push_back(timeOf([&] { spec = nlohmann::json::parse(text); }));
-    times.read.push_back(timeOf([&] { table = valueOf(adapter::decodeRoutes(spec)).table; }));
-    times.set.push_back(timeOf([&] { keeper.setTable(std::move(table)); }));
-    times.tell.push_back(timeOf([&] { told = gateway::encode(*keeper.table(), *before); }));
-    times.hear.push_back(timeOf([&] {
-        if (succeeded(told))
-            told = succeeded(gateway::decodeRouteTable(valueOf(told), *before))
-                    ? told
+    times.decode.push_back(timeOf([&] { table = valueOf(adapter::decodeRoutes(spec)).table; }));
+    times.publish.push_back(timeOf([&] { updater.setTable(std::move(table)); }));
+    times.encodeUpdate.push_back(
+            timeOf([&] { update = gateway::encode(*updater.table(), *before); }));
+    times.decodeUpdate.push_back(timeOf([&] {
+        if (succeeded(update))
+            update = succeeded(gateway::decodeRouteTable(valueOf(update), *before))
+                    ? update
                     : result<std::string>(std::string());
     }));
-    times.follower.push_back(times.parse.back() + times.read.back() + times.set.back()
-                             + times.tell.back());
-    times.told.push_back(times.hear.back() + times.set.back());
-    return succeeded(told) ? valueOf(told).size() : 0;
+    times.relay.push_back(times.parse.back() + times.decode.back() + times.publish.back()
+                          + times.encodeUpdate.back());
+    times.receiver.push_back(times.decodeUpdate.back() + times.publish.back());
+    return succeeded(update) ? valueOf(update).size() : 0;
 }
 
 void benchChange(std::uint32_t size)
 {
-    gateway::catalogue_hub hub{gateway::catalogue{}};
+    gateway::catalogue_hub publisher{gateway::catalogue{}};
     journal events({"bench"}, systemClock(), changeCount);
-    gateway::catalogue_keeper keeper(hub, settleTime, systemClock(), events);
-    keeper.setTable(tableOf(textOf(size, 1)));
+    gateway::catalogue_keeper updater(publisher, gracePeriod, systemClock(), events);
+    updater.setTable(tableOf(configurationOf(size, 1)));
     change_times times;
     std::size_t bytes = 0;
     for (std::uint32_t i = 0; i < changeCount; ++i)
-        bytes = applyChange(size, i + 2, keeper, times);
+        bytes = applyChange(size, i + 2, updater, times);
     const auto microseconds = [](const durations &some) {
         return static_cast<double>(quantileOf(some, 0.5).count()) / 1e3;
     };
     std::cout << "change "
               << lineOf({{"routes", static_cast<double>(size), 0},
                          {"parse_us", microseconds(times.parse), 0},
-                         {"read_us", microseconds(times.read), 0},
-                         {"set_us", microseconds(times.set), 0},
-                         {"tell_us", microseconds(times.tell), 0},
-                         {"hear_us", microseconds(times.hear), 0},
-                         {"follower_us", microseconds(times.follower), 0},
-                         {"told_us", bytes == 0 ? 0 : microseconds(times.told), 0},
+                         {"read_us", microseconds(times.decode), 0},
+                         {"set_us", microseconds(times.publish), 0},
+                         {"tell_us", microseconds(times.encodeUpdate), 0},
+                         {"hear_us", microseconds(times.decodeUpdate), 0},
+                         {"follower_us", microseconds(times.relay), 0},
+                         {"told_us", bytes == 0 ? 0 : microseconds(times.receiver), 0},
                          {"told_bytes", static_cast<double>(bytes), 0},
                          {"count", changeCount, 0}})
               << std::endl;
@@ -199,10 +200,10 @@
 
 } // namespace
 
-int routesBench(const std::vector<std::string> &words)
+int routesBench(const std::vector<std::string> &arguments)
 {
-    if (!words.empty()) {
-        std::cerr << "unknown word: " << words.front() << '\n';
+    if (!arguments.empty()) {
+        std::cerr << "unexpected argument: " << arguments.front() << '\n';
         return exitUsage;
     }
     for (const std::uint32_t size : sizes)
--- a/src/bench/routes.h
+++ b/src/bench/routes.h
@@ -5,10 +5,11 @@
 
 namespace poplarspool::bench {
 
-/// Times the lookup of a route, and a change of one route from the store's text to what another
-/// instance has of it, at several sizes of the table; prints key=value lines.
-/// @param words None are known; any ends with the status of bad words.
+/// Measures, for several table sizes, the lookup of a route and the change of one route, from
+/// parsing the text of the store to applying the update at another instance. Prints key=value
+/// lines.
+/// @param arguments Must be empty; otherwise the exit status is that of invalid arguments.
 /// @returns The exit status.
-int routesBench(const std::vector<std::string> &words);
+int routesBench(const std::vector<std::string> &arguments);
 
 } // namespace poplarspool::bench
--- a/src/bench/sample_stats.cpp
+++ b/src/bench/sample_stats.cpp
@@ -13,8 +13,8 @@
     if (samples.empty())
         return std::chrono::nanoseconds(0);
     const auto rank = static_cast<std::size_t>(std::ceil(share * double(samples.size())));
-    const std::size_t place = std::clamp<std::size_t>(rank, 1, samples.size()) - 1;
-    const auto wanted = samples.begin() + std::ptrdiff_t(place);
+    const std::size_t index = std::clamp<std::size_t>(rank, 1, samples.size()) - 1;
+    const auto wanted = samples.begin() + std::ptrdiff_t(index);
     std::nth_element(samples.begin(), wanted, samples.end());
     return *wanted;
 }
@@ -62,13 +62,13 @@
     }
     const double meanX = sumX / double(points.size());
     const double meanY = sumY / double(points.size());
-    double spread = 0;
-    double common = 0;
+    double varianceSum = 0;
+    double covarianceSum = 0;
     for (const point &one : points) {
-        spread += (one.x - meanX) * (one.x - meanX);
-        common += (one.x - meanX) * (one.y - meanY);
+        varianceSum += (one.x - meanX) * (one.x - meanX);
+        covarianceSum += (one.x - meanX) * (one.y - meanY);
     }
-    const double slope = spread > 0 ? common / spread : 0;
+    const double slope = varianceSum > 0 ? covarianceSum / varianceSum : 0;
     return {meanY - slope * meanX, slope};
 }
 
--- a/src/bench/sample_stats.h
+++ b/src/bench/sample_stats.h
@@ -10,21 +10,23 @@
 
 using durations = std::vector<std::chrono::nanoseconds>;
 
-/// @returns The smallest sample that at least that share of all does not exceed; 0 where there are
-///          none.
+/// Nearest-rank quantile.
+/// @param share From 0 to 1.
+/// @returns The smallest sample such that at least that share of all samples does not exceed it; 0
+///          without samples.
 std::chrono::nanoseconds quantileOf(durations samples, double share);
 
 double inMilliseconds(std::chrono::nanoseconds time);
 
-/// @returns With that many digits behind the point.
+/// @returns The value with that many decimal places.
 std::string fixedText(double value, int digits);
 
-/// One figure of a summary line.
+/// One named value of a summary line.
 struct figure
 {
     std::string name;
     double value = 0;
-    int digits = 0; ///< Behind the point.
+    int digits = 0; ///< Decimal places.
 
     bool operator==(const figure &) const = default;
 };
@@ -37,7 +39,7 @@
 /// @returns One JSON object.
 std::string jsonOf(const figures &all);
 
-/// A straight line through points.
+/// A fitted straight line: y = intercept + slope * x.
 struct line_fit
 {
     double atZero = 0;
@@ -52,7 +54,7 @@
     double y = 0;
 };
 
-/// Least squares; a flat line where all x are the same.
+/// Least-squares fit; a horizontal line at the mean of y if all x are equal.
 line_fit fitLine(const std::vector<point> &points);
 
 } // namespace poplarspool::bench
--- a/src/bench/service_records.cpp
+++ b/src/bench/service_records.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-constexpr milliseconds recordsTime{10000};
+constexpr milliseconds fetchTimeout{10000};
 
 void addRecords(const json &answer, run_counts &into)
 {
@@ -24,7 +24,7 @@
     for (const endpoint &service : services) {
         http_request request;
         request.path = "/standin/records";
-        const result<http_reply> reply = pool.send(service, request, recordsTime);
+        const result<http_reply> reply = pool.send(service, request, fetchTimeout);
         if (!succeeded(reply))
             return errorOf(reply);
         try {
--- a/src/bench/slope_command.cpp
+++ b/src/bench/slope_command.cpp
@@ -10,23 +10,23 @@
 
 using row = std::map<std::string, double>;
 
-/// @returns The figures of a line of NAME=NUMBER words; other words are left out.
-row rowIn(const std::string &line)
+/// @returns The values of a line of NAME=NUMBER fields by name; other fields are skipped.
+row parseRow(const std::string &line)
 {
-    row figuresByName;
-    for (const std::string &word : partsOf(line, ' ')) {
-        const std::size_t equals = word.find('=');
+    row valuesByName;
+    for (const std::string &field : partsOf(line, ' ')) {
+        const std::size_t equals = field.find('=');
         if (equals != std::string::npos)
-            figuresByName[word.substr(0, equals)] = numberIn(word.substr(equals + 1));
+            valuesByName[field.substr(0, equals)] = numberIn(field.substr(equals + 1));
     }
-    return figuresByName;
+    return valuesByName;
 }
 
 std::vector<row> readRows(std::istream &input, const std::string &by)
 {
     std::vector<row> rows;
     for (std::string line; std::getline(input, line);) {
-        row one = rowIn(line);
+        row one = parseRow(line);
         if (one.count(by) > 0)
             rows.push_back(std::move(one));
     }
@@ -51,7 +51,7 @@
     const auto at = parsed["at"].as<double>();
     const std::vector<row> rows = readRows(std::cin, by);
     if (rows.size() < 2) {
-        std::cerr << "a slope needs two lines with " << by << "= at least\n";
+        std::cerr << "a fit needs at least two lines with " << by << "=\n";
         return exitWrong;
     }
     for (const auto &[name, value] : rows.front()) {
@@ -70,12 +70,13 @@
 int slopeCommand(const words &arguments)
 {
     cxxopts::Options options("poplarspool-bench slope",
-                             "Reads lines of NAME=NUMBER words, such as the means of idle, from "
-                             "standard input and fits each figure to a straight line.");
+                             "Reads lines of NAME=NUMBER fields, for example the means of idle, "
+                             "from standard input and fits a straight line to each value.");
     auto add = options.add_options();
-    add("by", "The figure that was varied",
+    add("by", "Name of the independent variable",
         cxxopts::value<std::string>()->default_value("instances"));
-    add("at", "Where to extend the lines to", cxxopts::value<double>()->default_value("330"));
+    add("at", "Value of it to extrapolate the lines to",
+        cxxopts::value<double>()->default_value("330"));
     return runParsed(options, arguments, runFrom);
 }
 
--- a/src/bench_app/main.cpp
+++ b/src/bench_app/main.cpp
@@ -18,17 +18,20 @@
 };
 
 constexpr std::array subcommands{
-        subcommand{"load", "send requests as a caller does, and check every answer token by token",
+        subcommand{"load", "send requests as callers do and check every answer token by token",
                    bench::loadCommand},
-        subcommand{"path", "what an instance adds to the way to an engine", bench::pathCommand},
-        subcommand{"idle", "what instances spend on control", bench::idleCommand},
-        subcommand{"slope", "fit figures of several fleets to straight lines", bench::slopeCommand},
-        subcommand{"decisions", "how long the policy's decisions take", bench::decisionsBench},
-        subcommand{"routes", "how long lookups and changes take at several numbers of routes",
+        subcommand{"path", "latency, throughput and memory of requests through an instance",
+                   bench::pathCommand},
+        subcommand{"idle", "control-plane cost of running instances", bench::idleCommand},
+        subcommand{"slope", "fit straight lines to the values of several fleets",
+                   bench::slopeCommand},
+        subcommand{"decisions", "time that the decisions of the policy library take",
+                   bench::decisionsBench},
+        subcommand{"routes", "time of route lookups and changes for several numbers of routes",
                    bench::routesBench},
-        subcommand{"gossip", "what gossip costs at several numbers of nodes", bench::gossipSlope},
-        subcommand{"wait", "wait until a fleet answers", bench::waitCommand},
-        subcommand{"call", "one HTTP request", bench::callCommand},
+        subcommand{"gossip", "cost of gossip for several numbers of nodes", bench::gossipSlope},
+        subcommand{"wait", "wait until addresses give the expected answer", bench::waitCommand},
+        subcommand{"call", "send one HTTP request", bench::callCommand},
 };
 
 constexpr std::size_t nameWidth = 11;
