--- a/src/standin/batch.cpp
+++ b/src/standin/batch.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Share of the pieces kept free at admission, so that running sequences can grow a little before
+/// 1/100 of the pieces stays free at admission, so that running sequences can grow a little before
 /// one of them has to be preempted.
-constexpr std::uint32_t spareDivisor = 100;
+constexpr std::uint32_t admissionReserveDivisor = 100;
 
 bool isDecoding(const sequence &one)
 {
@@ -31,9 +31,9 @@
     return (tokens + options.pieceTokens - 1) / options.pieceTokens;
 }
 
-bool batch::fits(const sequence &wanted) const
+bool batch::fits(const sequence &candidate) const
 {
-    return piecesFor(wanted.contextTokens + wanted.wantedTokens) <= cache.total();
+    return piecesFor(candidate.contextTokens + candidate.wantedTokens) <= cache.total();
 }
 
 void batch::add(sequence_ptr added)
@@ -41,14 +41,14 @@
     queue.insert(std::move(added));
 }
 
-void batch::remove(const sequence_ptr &gone)
+void batch::remove(const sequence_ptr &removed)
 {
-    if (gone->isRunning) {
-        running.erase(gone);
-        dropPieces(*gone);
-        gone->isRunning = false;
+    if (removed->isRunning) {
+        running.erase(removed);
+        dropPieces(*removed);
+        removed->isRunning = false;
     } else {
-        queue.erase(gone);
+        queue.erase(removed);
     }
 }
 
@@ -75,12 +75,12 @@
 
 bool batch::holdPieces(sequence &next)
 {
-    // At least one token has to be computed to get the next one, so never all from the cache.
+    // At least one token must be computed to produce the next one, so the cache never supplies all.
     const std::uint32_t reusable = (next.knownTokens() - 1) / options.pieceTokens;
     next.sharedPieces = cache.holdPrefix(next.hashes, reusable);
     const std::uint32_t missing = piecesFor(next.knownTokens()) - next.sharedPieces;
-    const std::uint32_t spare = running.empty() ? 0 : cache.total() / spareDivisor;
-    if (cache.available() >= missing + spare && cache.allocate(missing)) {
+    const std::uint32_t reserve = running.empty() ? 0 : cache.total() / admissionReserveDivisor;
+    if (cache.available() >= missing + reserve && cache.allocate(missing)) {
         next.privatePieces = missing;
         next.computed = next.sharedPieces * options.pieceTokens;
         return true;
@@ -190,7 +190,7 @@
 {
     std::vector<sequence_ptr> advanced;
     for (const auto &[one, tokens] : step.work) {
-        // Cancelled, or preempted for a higher one, while the iteration ran.
+        // Cancelled, or preempted by a sequence of higher priority, while the iteration ran.
         if (!one->isRunning)
             continue;
         advance(*one, tokens);
--- a/src/standin/batch.h
+++ b/src/standin/batch.h
@@ -14,31 +14,31 @@
 {
     std::uint32_t kvPieces = 1000;
     std::uint32_t pieceTokens = 16;
-    std::uint32_t maxRunning = 64; ///< Sequences in one iteration.
-    std::uint32_t chunkTokens = 512; ///< Prefill tokens in one iteration.
-    double prefillRate = 8000; ///< Tokens a second, whole engine.
-    double decodeRate = 1500; ///< Tokens a second, whole engine.
-    std::chrono::microseconds minIteration{8000}; ///< However little there is to do.
+    std::uint32_t maxRunning = 64; ///< Maximum sequences in one iteration.
+    std::uint32_t chunkTokens = 512; ///< Maximum prefill tokens in one iteration.
+    double prefillRate = 8000; ///< Tokens per second of the whole engine.
+    double decodeRate = 1500; ///< Tokens per second of the whole engine.
+    std::chrono::microseconds minIteration{8000}; ///< Minimum duration of an iteration.
 };
 
-/// Share of the rates that a role gets.
+/// Factors by which a role scales the prefill and decode rates.
 struct role_rates
 {
     double prefill = 1.0;
     double decode = 1.0;
 };
 
-/// One stream's work at an engine.
+/// The generation work of one stream at an engine.
 struct sequence
 {
-    std::uint32_t rank = 0; ///< Lower goes first.
+    std::uint32_t rank = 0; ///< Priority; lower runs first.
     std::uint64_t arrival = 0;
-    std::vector<std::uint64_t> hashes; ///< Of the full pieces of its context.
-    std::uint32_t contextTokens = 0; ///< Prompt and tokens emitted before.
-    std::uint32_t wantedTokens = 0; ///< To produce here.
+    std::vector<std::uint64_t> hashes; ///< Prefix hashes of the full pieces of the context.
+    std::uint32_t contextTokens = 0; ///< Prompt tokens and tokens emitted earlier.
+    std::uint32_t wantedTokens = 0; ///< Tokens to generate here.
 
     std::uint32_t produced = 0;
-    std::uint32_t computed = 0; ///< Tokens whose KV is held.
+    std::uint32_t computed = 0; ///< Tokens whose KV is in memory.
     std::uint32_t sharedPieces = 0;
     std::uint32_t privatePieces = 0;
     bool isRunning = false;
@@ -50,7 +50,7 @@
 
 using sequence_ptr = std::shared_ptr<sequence>;
 
-/// A sequence's share of one iteration.
+/// Tokens of a sequence that are computed in one iteration.
 struct batch_work
 {
     sequence_ptr sequence;
@@ -63,17 +63,18 @@
     std::chrono::nanoseconds duration{0};
 };
 
-/// Continuous batching in discrete iterations: admission by free KV pieces in order of priority,
-/// chunked prefill, preemption of the lowest where pieces run out. No threads and no clock.
+/// Continuous batching in discrete iterations: sequences are admitted by priority while KV pieces
+/// are free, prefill is chunked, and the sequence of lowest priority is preempted when pieces run
+/// out. Has no threads and reads no clock.
 class batch
 {
 public:
     batch(batch_options options, kv_cache &cache);
 
-    /// @returns Whether the sequence could ever run here, alone.
-    bool fits(const sequence &wanted) const;
+    /// @returns Whether the sequence fits into the KV memory when it runs alone.
+    bool fits(const sequence &candidate) const;
     void add(sequence_ptr added);
-    void remove(const sequence_ptr &gone);
+    void remove(const sequence_ptr &removed);
     /// Drops all sequences, queued and running.
     std::vector<sequence_ptr> clear();
 
@@ -81,13 +82,13 @@
     std::uint32_t runningCount() const { return static_cast<std::uint32_t>(running.size()); }
     std::uint32_t queuedCount() const { return static_cast<std::uint32_t>(queue.size()); }
     std::uint64_t preemptedCount() const { return preempted; }
-    /// @returns Tokens of context that still have to be computed, queued and running.
+    /// @returns Context tokens of queued and running sequences that are not computed yet.
     std::uint64_t prefillTokensLeft() const;
 
-    /// Admits, preempts and shares out the next iteration.
+    /// Admits and preempts sequences and plans the next iteration.
     batch_step plan(const role_rates &rates);
-    /// Ends an iteration.
-    /// @returns Sequences that produced a token in it; those that are done have left the batch.
+    /// Completes an iteration and removes finished sequences from the batch.
+    /// @returns The sequences that produced a token in it, including finished ones.
     std::vector<sequence_ptr> finish(const batch_step &step);
 
 private:
@@ -103,7 +104,8 @@
     bool holdPieces(sequence &next);
     void dropPieces(sequence &owner);
     void preempt(const sequence_ptr &victim);
-    /// Gets the piece that the next token needs, at the cost of lower sequences.
+    /// Allocates the pieces that the next token needs, preempting sequences of lowest priority.
+    /// @returns False if the sequence itself was preempted.
     bool grow(const sequence_ptr &grown);
     void advance(sequence &owner, std::uint32_t tokens);
 
--- a/src/standin/engine.cpp
+++ b/src/standin/engine.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds goneCheckTime{100};
-constexpr std::chrono::milliseconds blobFetchTime{5000};
-constexpr std::chrono::milliseconds connectTime{500};
+constexpr std::chrono::milliseconds disconnectCheckInterval{100};
+constexpr std::chrono::milliseconds blobFetchTimeout{5000};
+constexpr std::chrono::milliseconds connectTimeout{500};
 constexpr std::size_t maxBodyBytes = 16UL * 1024 * 1024;
 constexpr std::size_t maxHeaderBytes = 16UL * 1024;
 
@@ -27,33 +27,33 @@
     return limits;
 }
 
-const engine_refusal badRequest{400, "bad_request", "body can't be read"};
+const engine_refusal badRequest{400, "bad_request", "malformed request body"};
 
-std::uint64_t numberAfter(const std::string &text, char mark)
+std::uint64_t numberAfter(const std::string &text, char separator)
 {
     std::uint64_t value = 0;
-    const std::size_t place = text.rfind(mark);
+    const std::size_t place = text.rfind(separator);
     if (place == std::string::npos)
         return value;
     std::from_chars(text.data() + place + 1, text.data() + text.size(), value);
     return value;
 }
 
-/// Writes one stream to its connection.
+/// Writes one stream to its HTTP connection.
 class stream_writer
 {
 public:
     stream_writer(engine_core &core, engine_stream_ptr stream, http_sink &sink)
         : core(core), stream(std::move(stream)), sink(sink),
-          first(static_cast<std::uint32_t>(this->stream->spec.emitted.size()))
+          firstIndex(static_cast<std::uint32_t>(this->stream->spec.emitted.size()))
     { }
 
     std::optional<http_reply> run()
     {
         while (true) {
-            const stream_progress progress = stream->channel.wait(sent, goneCheckTime);
-            if (!isBegun && progress.state == stream_state::Refused)
-                return refusalReply({409, "unavailable", "engine dropped its queue"});
+            const stream_progress progress = stream->channel.wait(sent, disconnectCheckInterval);
+            if (!isStarted && progress.state == stream_state::Refused)
+                return refusalReply({409, "unavailable", "engine dropped its queued requests"});
             if (progress.state == stream_state::Cut || progress.state == stream_state::Refused)
                 return std::nullopt;
             if (!write(progress))
@@ -66,7 +66,7 @@
     }
 
 private:
-    bool cutsAt(std::uint32_t produced) const
+    bool shouldCutAt(std::uint32_t produced) const
     {
         const bool isCutting =
                 stream->fault == fault_mode::CutNext || stream->fault == fault_mode::EndEarly;
@@ -75,7 +75,7 @@
 
     bool begin()
     {
-        isBegun = true;
+        isStarted = true;
         const std::string attempt = stream->fault == fault_mode::Crossed
                 ? stream->spec.attempt + "-other"
                 : stream->spec.attempt;
@@ -83,7 +83,7 @@
                 && sink.write(headLine(stream->spec.request, attempt));
     }
 
-    /// @returns False where the stream is over for its reader.
+    /// @returns False if nothing more may be written to the connection.
     bool write(const stream_progress &progress)
     {
         if (progress.produced == sent && progress.state == stream_state::Open) {
@@ -94,16 +94,17 @@
         }
         std::string lines;
         const std::uint32_t end =
-                cutsAt(progress.produced) ? stream->faultAfter : progress.produced;
+                shouldCutAt(progress.produced) ? stream->faultAfter : progress.produced;
         for (; sent < end; ++sent)
-            lines += tokenLine(first + sent, standinToken(stream->spec.prompt, first + sent));
-        if (stream->fault == fault_mode::Repeat && first + sent > 0)
+            lines += tokenLine(firstIndex + sent,
+                               standinToken(stream->spec.prompt, firstIndex + sent));
+        if (stream->fault == fault_mode::Repeat && firstIndex + sent > 0)
             lines += tokenLine(0, standinToken(stream->spec.prompt, 0));
-        if ((!isBegun && !begin()) || (!lines.empty() && !sink.write(lines))) {
+        if ((!isStarted && !begin()) || (!lines.empty() && !sink.write(lines))) {
             core.cancel(stream);
             return false;
         }
-        if (!cutsAt(progress.produced))
+        if (!shouldCutAt(progress.produced))
             return true;
         core.cut(stream);
         if (stream->fault == fault_mode::EndEarly)
@@ -114,16 +115,16 @@
     void finish(stream_state state)
     {
         const std::string_view reason = state == stream_state::Exported ? "exported" : "length";
-        sink.write(endLine(reason, promptTokensOf(stream->spec.prompt), first + sent));
+        sink.write(endLine(reason, promptTokensOf(stream->spec.prompt), firstIndex + sent));
         sink.end();
     }
 
     engine_core &core;
     engine_stream_ptr stream;
     http_sink &sink;
-    std::uint32_t first;
+    std::uint32_t firstIndex;
     std::uint32_t sent = 0;
-    bool isBegun = false;
+    bool isStarted = false;
 };
 
 } // namespace
@@ -131,7 +132,7 @@
 struct engine_standin::state
 {
     explicit state(const engine_options &options)
-        : core(options), sources(1, connectTime, metrics), host(options.bind.host),
+        : core(options), kvSources(1, connectTimeout, metrics), host(options.bind.host),
           server(
                   "engine", options.bind, limitsOf(options),
                   [this](const http_request &request, http_sink &sink) {
@@ -147,13 +148,13 @@
     http_reply cancel(const http_request &request);
     http_reply exportKv(const http_request &request);
     http_reply importKv(const std::string &handle);
-    http_reply showBlob(const http_request &request);
+    http_reply serveBlob(const http_request &request);
 
     metrics_registry metrics;
     engine_core core;
-    http_pool sources;
+    http_pool kvSources;
     const std::string host;
-    std::atomic<std::uint16_t> port{0}; ///< Named in the handles of exported KV.
+    std::atomic<std::uint16_t> port{0}; ///< Part of the handles of exported KV.
     http_server server;
 };
 
@@ -174,7 +175,7 @@
 {
     if (auto reply = serveControl(request))
         return reply;
-    // Without a reply the server breaks the connection, as a crashed process would.
+    // Without a reply the server closes the connection, as if the process had crashed.
     if (!core.waitUntilReachable())
         return std::nullopt;
     if (request.path == "/generate")
@@ -190,7 +191,7 @@
     if (request.path == "/kv/import")
         return importKv(readText(request.body, "handle"));
     if (request.path.starts_with("/kv/blob?"))
-        return showBlob(request);
+        return serveBlob(request);
     if (request.path.starts_with("/cache-events"))
         return okReply(eventsText(core.cacheEvents(numberAfter(request.path, '='))));
     return refusalReply({404, "not_found", "no such path"});
@@ -202,21 +203,21 @@
     auto spec = readStreamSpec(request.body);
     if (!spec)
         return refusalReply(badRequest);
-    // A handle that can't be had any more only costs the prefill again.
+    // If the KV cannot be fetched any more, the prefill is computed again.
     if (!spec->kvHandle.empty())
         importKv(spec->kvHandle);
-    auto taken = core.submit(std::move(*spec));
-    if (const auto *refusal = std::get_if<engine_refusal>(&taken))
+    auto submitted = core.submit(std::move(*spec));
+    if (const auto *refusal = std::get_if<engine_refusal>(&submitted))
         return refusalReply(*refusal);
-    return stream_writer(core, std::get<engine_stream_ptr>(taken), sink).run();
+    return stream_writer(core, std::get<engine_stream_ptr>(submitted), sink).run();
 }
 
 http_reply engine_standin::state::order(const http_request &request)
 {
-    const auto wanted = readOrder(request.body);
-    if (!wanted)
+    const auto parsed = readOrder(request.body);
+    if (!parsed)
         return refusalReply(badRequest);
-    const auto refusal = core.order(wanted->fence, wanted->nonce, wanted->wanted);
+    const auto refusal = core.order(parsed->fence, parsed->nonce, parsed->wanted);
     return refusal ? refusalReply(*refusal) : okReply("{}");
 }
 
@@ -238,7 +239,7 @@
                    + "}");
 }
 
-http_reply engine_standin::state::showBlob(const http_request &request)
+http_reply engine_standin::state::serveBlob(const http_request &request)
 {
     const auto blob = core.findBlob(numberAfter(request.path, '='));
     return blob ? okReply(blobText(*blob)) : refusalReply({404, "not_found", "no such KV"});
@@ -250,12 +251,12 @@
     if (!succeeded(source))
         return refusalReply(badRequest);
     const std::string path = "/kv/blob?number=" + std::to_string(numberAfter(handle, '/'));
-    const auto reply = sources.send(valueOf(source), {"GET", path, {}, {}, {}}, blobFetchTime);
+    const auto reply = kvSources.send(valueOf(source), {"GET", path, {}, {}, {}}, blobFetchTimeout);
     if (!succeeded(reply) || valueOf(reply).status != 200)
-        return refusalReply({404, "not_found", "KV can't be fetched"});
+        return refusalReply({404, "not_found", "KV could not be fetched"});
     const auto blob = readBlob(valueOf(reply).body);
     if (!blob)
-        return refusalReply({404, "not_found", "KV can't be read"});
+        return refusalReply({404, "not_found", "malformed KV reply"});
     const auto refusal = core.importKv(blob->hashes);
     return refusal ? refusalReply(*refusal) : okReply("{}");
 }
@@ -281,7 +282,7 @@
 void engine_standin::stop()
 {
     inner->core.stop();
-    inner->sources.stop();
+    inner->kvSources.stop();
     inner->server.stop();
 }
 
--- a/src/standin/engine.h
+++ b/src/standin/engine.h
@@ -7,8 +7,8 @@
 
 namespace poplarspool::standin {
 
-/// A small emulator of a model engine behind the wire form of docs/API-ENGINES.md, with the
-/// control of tests under /standin/.
+/// Emulates a model engine with the HTTP interface of docs/API-ENGINES.md. Tests control it by the
+/// paths under /standin/.
 class engine_standin
 {
 public:
@@ -17,7 +17,7 @@
 
     /// @returns The address it listens on.
     result<endpoint> start();
-    /// Cuts all streams and closes.
+    /// Breaks all streams and closes the listener.
     void stop();
 
     engine_records records() const;
--- a/src/standin/engine_control.cpp
+++ b/src/standin/engine_control.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cstdlib>
 
-/// Orders, crashes, KV and reports of the emulated engine.
+/// Orders, crashes, KV transfer and load reports of the emulated engine.
 namespace poplarspool::standin {
 
 namespace {
@@ -23,27 +23,28 @@
 // --- Orders and crashes ------------------------------------------------------------------------
 
 std::optional<engine_refusal> engine_core::order(std::uint64_t fence, const std::string &nonce,
-                                                 const engine_setup &wanted)
+                                                 const engine_setup &requested)
 {
     const std::lock_guard guard(lock);
-    order_record record{fence, nonce, wanted};
+    order_record record{fence, nonce, requested};
     const bool isRepeat = fence == lastFence && nonce == lastNonce;
     record.wasStale = fence < lastFence || (fence == lastFence && !lastNonce.empty() && !isRepeat);
     if (record.wasStale && options.respectsFence) {
         ++counts.staleOrdersRefused;
         counts.orders.push_back(record);
         return engine_refusal{409, "stale",
-                              "fencing number is old, seen " + std::to_string(lastFence)};
+                              "fencing number is stale; highest seen is "
+                                      + std::to_string(lastFence)};
     }
     counts.staleOrdersObeyed += record.wasStale ? 1 : 0;
     lastFence = options.respectsFence ? fence : std::max(fence, lastFence);
     lastNonce = nonce;
     record.wasObeyed = true;
-    const engine_setup &heading = changingTo ? *changingTo : setup;
-    if (!(heading == wanted)) {
+    const engine_setup &latestSetup = changingTo ? *changingTo : setup;
+    if (!(latestSetup == requested)) {
         counts.ordersDuringChange += changingTo ? 1 : 0;
         record.streamsCut = closeAll();
-        startChange(wanted);
+        startChange(requested);
     }
     counts.orders.push_back(record);
     return std::nullopt;
@@ -75,9 +76,9 @@
     return std::max(last + 1, static_cast<std::uint64_t>(wall.count()));
 }
 
-void engine_core::startChange(const engine_setup &wanted)
+void engine_core::startChange(const engine_setup &requested)
 {
-    changingTo = wanted;
+    changingTo = requested;
     changeEnds = steady::now() + scaled(options.changeTime);
     ++interruptions;
     changed.notify_all();
@@ -85,7 +86,7 @@
 
 void engine_core::finishChange()
 {
-    // Weights are laid out anew, so no KV outlives a change.
+    // Loading weights lays out the memory again, so no KV survives a change.
     cache.clear();
     setup = *changingTo;
     changingTo.reset();
@@ -116,15 +117,15 @@
     return !isStopping && !isDown;
 }
 
-void engine_core::setFault(const engine_fault &wanted)
+void engine_core::setFault(const engine_fault &requested)
 {
     const std::lock_guard guard(lock);
-    fault = wanted;
-    if (wanted.mode == fault_mode::Crash) {
+    fault = requested;
+    if (requested.mode == fault_mode::Crash) {
         fault = {};
         crash();
     }
-    // A frozen engine must not finish the iteration that it is in.
+    // A frozen engine must not finish its current iteration.
     ++interruptions;
     changed.notify_all();
 }
@@ -177,7 +178,7 @@
             steady::now() + scaled(std::chrono::duration_cast<std::chrono::nanoseconds>(transfer));
     changed.wait_until(guard, end, [this] { return isStopping || isDown || changingTo; });
     if (isStopping || isDown || changingTo)
-        return engine_refusal{409, "unavailable", "engine is changing"};
+        return engine_refusal{409, "unavailable", "engine is changing its role or models"};
     for (const std::uint64_t hash : hashes) {
         if (!cache.insert(hash))
             break;
--- a/src/standin/engine_core.cpp
+++ b/src/standin/engine_core.cpp
@@ -90,8 +90,8 @@
 {
     const batch_step step = work.plan(ratesNow());
     const std::uint64_t before = interruptions;
-    // Counted from the last iteration's end, so that the time in which this process hands tokens to
-    // its connections does not slow the emulated engine down.
+    // Counted from the end of the last iteration, so that the time in which this process delivers
+    // tokens to its connections does not slow down the emulated engine.
     const auto duration = scaled(step.duration);
     const time_point now = steady::now();
     const bool isNext = iterationEnd + duration > now;
@@ -133,7 +133,7 @@
     if (isStopping)
         return engine_refusal{503, "unavailable", "engine is stopping"};
     if (changingTo)
-        return engine_refusal{409, "unavailable", "engine is changing"};
+        return engine_refusal{409, "unavailable", "engine is changing its role or models"};
     if (!carries(spec.model))
         return engine_refusal{409, "unavailable", "model is not loaded: " + spec.model};
     if (work.queuedCount() >= options.maxQueue)
@@ -153,7 +153,7 @@
     if (--fault.count == 0)
         fault = {};
     if (mode == fault_mode::Refuse)
-        return engine_refusal{503, "unavailable", "refused on request"};
+        return engine_refusal{503, "unavailable", "refused by an injected fault"};
     return std::nullopt;
 }
 
@@ -161,29 +161,29 @@
 {
     auto stream = std::make_shared<engine_stream>();
     stream->spec = std::move(spec);
-    const stream_spec &asked = stream->spec;
-    piece_chain chain(asked.model, options.batch.pieceTokens);
-    chain.addPrompt(asked.prompt);
-    for (const std::string &token : asked.emitted)
+    const stream_spec &requested = stream->spec;
+    piece_chain chain(requested.model, options.batch.pieceTokens);
+    chain.addPrompt(requested.prompt);
+    for (const std::string &token : requested.emitted)
         chain.add(token);
-    const auto emitted = static_cast<std::uint32_t>(asked.emitted.size());
+    const auto emitted = static_cast<std::uint32_t>(requested.emitted.size());
     auto one = std::make_shared<sequence>();
-    one->rank = asked.rank;
+    one->rank = requested.rank;
     one->hashes = chain.hashes();
-    one->contextTokens = std::max(1U, promptTokensOf(asked.prompt) + emitted);
-    one->wantedTokens = asked.maxTokens - std::min(asked.maxTokens, emitted);
+    one->contextTokens = std::max(1U, promptTokensOf(requested.prompt) + emitted);
+    one->wantedTokens = requested.maxTokens - std::min(requested.maxTokens, emitted);
     stream->work = one;
     stream->record = std::make_shared<request_record>();
-    stream->record->request = asked.request;
-    stream->record->attempt = asked.attempt;
+    stream->record->request = requested.request;
+    stream->record->attempt = requested.attempt;
     stream->record->resumedFrom = emitted;
 
     const std::lock_guard guard(lock);
-    auto refusal = refusalNow(asked);
+    auto refusal = refusalNow(requested);
     if (!refusal)
         refusal = takeRequestFault(*stream);
     if (!refusal && !work.fits(*one))
-        refusal = engine_refusal{413, "too_large", "never fits into the KV memory"};
+        refusal = engine_refusal{413, "too_large", "request exceeds the KV memory"};
     if (refusal) {
         ++counts.refused;
         return *refusal;
--- a/src/standin/engine_core.h
+++ b/src/standin/engine_core.h
@@ -18,7 +18,7 @@
 
 namespace poplarspool::standin {
 
-/// A request, as the engine read it.
+/// A generation request as received.
 struct stream_spec
 {
     std::string request;
@@ -35,8 +35,8 @@
 struct engine_stream
 {
     stream_spec spec;
-    fault_mode fault = fault_mode::None; ///< How its connection has to misbehave.
-    std::uint32_t faultAfter = 0;
+    fault_mode fault = fault_mode::None; ///< Fault to inject into its connection.
+    std::uint32_t faultAfter = 0; ///< Tokens before the fault.
     stream_channel channel;
     sequence_ptr work;
     std::shared_ptr<request_record> record;
@@ -44,7 +44,7 @@
 
 using engine_stream_ptr = std::shared_ptr<engine_stream>;
 
-/// Why the engine does not do something; it has not begun it.
+/// Reason why the engine refused a request; it has not started it.
 struct engine_refusal
 {
     int status = 0;
@@ -52,7 +52,7 @@
     std::string message;
 };
 
-/// KV that was taken out of this engine, for another to fetch.
+/// KV exported by this engine, for another engine to fetch.
 struct kv_blob
 {
     std::uint64_t number = 0;
@@ -60,7 +60,8 @@
     std::vector<std::uint64_t> hashes;
 };
 
-/// The emulated engine without its wire: one thread batches, all members may be called from any.
+/// The emulated engine without its HTTP interface. One thread runs the batches; all public members
+/// are thread-safe.
 class engine_core
 {
 public:
@@ -70,26 +71,26 @@
     void stop();
 
     std::variant<engine_stream_ptr, engine_refusal> submit(stream_spec spec);
-    /// The reader of a stream has gone away.
+    /// Cancels a stream whose reader has disconnected.
     void cancel(const engine_stream_ptr &stream);
-    /// @param attempt Empty: any.
+    /// @param attempt Any attempt if empty.
     /// @returns Whether there was such a stream.
     bool cancel(const std::string &request, const std::string &attempt);
-    /// A stream is cut by a fault of its connection.
+    /// Cuts a stream because of an injected fault of its connection.
     void cut(const engine_stream_ptr &stream);
     std::optional<engine_refusal> order(std::uint64_t fence, const std::string &nonce,
-                                        const engine_setup &wanted);
+                                        const engine_setup &requested);
     std::variant<kv_blob, engine_refusal> exportKv(const std::string &request);
     std::optional<kv_blob> findBlob(std::uint64_t number) const;
-    /// Takes the time of the transfer.
+    /// Blocks for the emulated time of the transfer.
     std::optional<engine_refusal> importKv(const std::vector<std::uint64_t> &hashes);
     engine_report report();
     cache_event_page cacheEvents(std::uint64_t after) const;
 
-    void setFault(const engine_fault &wanted);
+    void setFault(const engine_fault &requested);
     engine_records records() const;
-    /// Waits while frozen.
-    /// @returns False where the engine is down and must not answer.
+    /// Blocks while the engine is frozen.
+    /// @returns False if the engine is down and must not answer.
     bool waitUntilReachable();
 
 private:
@@ -102,19 +103,19 @@
     void waitForChange(guard_type &guard);
     void finishChange();
     void crash();
-    /// @returns How many of the streams it dropped had begun.
+    /// @returns How many of the closed streams had started.
     std::uint32_t closeAll();
     void forget(const engine_stream_ptr &stream, stream_state state);
     std::optional<engine_refusal> refusalNow(const stream_spec &spec) const;
     std::optional<engine_refusal> takeRequestFault(engine_stream &stream);
-    void startChange(const engine_setup &wanted);
-    /// @returns A number of life above the last one, of this process or an earlier one.
+    void startChange(const engine_setup &requested);
+    /// @returns An incarnation number above the last one, of this process or an earlier one.
     static std::uint64_t newLife(std::uint64_t last);
     engine_stream_ptr findStream(const std::string &request, const std::string &attempt) const;
     bool carries(const std::string &model) const;
     role_rates ratesNow() const;
     engine_report reportNow();
-    /// Keeps a report for readers who get it late.
+    /// Stores a report for delayed delivery (`loadLag`).
     void noteReport();
     std::chrono::nanoseconds scaled(std::chrono::nanoseconds time) const;
 
@@ -123,7 +124,7 @@
     std::condition_variable changed;
     std::thread thread;
     bool isStopping = false;
-    std::uint64_t interruptions = 0; ///< Grows when the running iteration must not be finished.
+    std::uint64_t interruptions = 0; ///< Incremented when the running iteration must be abandoned.
 
     cache_event_log events;
     kv_cache cache;
@@ -143,7 +144,7 @@
     std::string lastNonce;
     engine_fault fault;
 
-    engine_records counts; ///< Without its requests.
+    engine_records counts; ///< Without the requests.
     std::deque<std::shared_ptr<request_record>> requests;
     std::deque<std::pair<time_point, engine_report>> reports;
     std::uint64_t reportSequence = 0;
--- a/src/standin/engine_types.h
+++ b/src/standin/engine_types.h
@@ -13,8 +13,8 @@
 
 enum class crash_mode {
     None,
-    DropState, ///< Forgets everything and comes back as a new life, in the same process.
-    Exit, ///< Ends the process.
+    DropState, ///< Drops all state and returns as a new incarnation in the same process.
+    Exit, ///< Exits the process.
 };
 
 struct engine_model
@@ -25,7 +25,7 @@
     bool operator==(const engine_model &) const = default;
 };
 
-/// What an order can set.
+/// Role and models of an engine, as set by an order.
 struct engine_setup
 {
     std::string role = "mixed"; ///< "mixed", "prefill" or "decode".
@@ -44,31 +44,32 @@
     endpoint bind{"127.0.0.1", 0};
     std::uint32_t connections = 4096;
     batch_options batch;
-    std::uint32_t maxQueue = 4096; ///< Beyond it, requests are refused.
-    /// Rates of a prefill or decode engine at its own work and at the other, against a mixed one.
+    std::uint32_t maxQueue = 4096; ///< Requests beyond it are refused.
+    /// Rates of a prefill or decode engine for its own and for the other kind of work, relative to
+    /// a mixed engine.
     double ownWorkShare = 1.5;
     double otherWorkShare = 0.25;
-    engine_setup setup; ///< At the start of each life.
-    std::chrono::milliseconds changeTime{3000}; ///< Without service, for an order that changes it.
-    std::chrono::milliseconds loadLag{0};
-    std::chrono::milliseconds eventDelay{0};
-    std::uint32_t eventGapEvery = 0;
-    double kvPiecesPerSecond = 20000; ///< Import of KV from another engine.
+    engine_setup setup; ///< At the start of each incarnation.
+    std::chrono::milliseconds changeTime{3000}; ///< Downtime of a change of role or models.
+    std::chrono::milliseconds loadLag{0}; ///< Age of load reports.
+    std::chrono::milliseconds eventDelay{0}; ///< Delay of cache events.
+    std::uint32_t eventGapEvery = 0; ///< Drops every Nth cache event; 0: none.
+    double kvPiecesPerSecond = 20000; ///< Rate of KV import from another engine.
     double speed = 1.0; ///< Divides every emulated time.
     bool respectsFence = true;
-    std::uint64_t lastFence = 0; ///< Known at the start; kept over DropState.
-    crash_mode crashInChange = crash_mode::None; ///< At half of the first change.
+    std::uint64_t lastFence = 0; ///< Known at the start; survives DropState.
+    crash_mode crashInChange = crash_mode::None; ///< Halfway through the first change.
 };
 
 enum class fault_mode {
     None,
-    Crash, ///< Drops all state and connections, is away for changeTime, returns as a new life.
-    Freeze, ///< Nothing moves, connections stay.
+    Crash, ///< Drops all state and connections; returns after changeTime as a new incarnation.
+    Freeze, ///< Makes no progress and keeps its connections open.
     Slow, ///< Iterations take `factor` times as long.
-    Refuse, ///< The next `count` requests are refused truly not begun.
+    Refuse, ///< The next `count` requests are refused before they start.
     CutNext, ///< The next `count` streams are cut after `afterTokens` tokens.
-    EndEarly, ///< As CutNext, but the transport ends well: only the end event is missing.
-    Crossed, ///< The next `count` streams name another attempt.
+    EndEarly, ///< As CutNext, but the HTTP body ends normally: only the end event is missing.
+    Crossed, ///< The next `count` streams carry the id of another attempt.
     Repeat, ///< The next `count` streams repeat their first token.
 };
 
@@ -80,7 +81,7 @@
     double factor = 1.0;
 };
 
-/// What the engine itself saw of one request.
+/// The engine's own record of one request.
 struct request_record
 {
     std::string request;
@@ -106,7 +107,7 @@
 
 struct engine_records
 {
-    std::vector<request_record> requests; ///< The latest ones.
+    std::vector<request_record> requests; ///< The most recent ones.
     std::vector<order_record> orders;
     std::uint64_t started = 0;
     std::uint64_t finished = 0;
@@ -117,8 +118,8 @@
     std::uint64_t preempted = 0;
     std::uint64_t staleOrdersRefused = 0;
     std::uint64_t staleOrdersObeyed = 0;
-    std::uint64_t ordersDuringChange = 0; ///< Another order obeyed before the last one was done.
-    std::uint64_t changes = 0; ///< Done.
+    std::uint64_t ordersDuringChange = 0; ///< Orders obeyed before the previous change had ended.
+    std::uint64_t changes = 0; ///< Completed changes.
 };
 
 struct engine_report
--- a/src/standin/engine_wire.cpp
+++ b/src/standin/engine_wire.cpp
@@ -48,12 +48,13 @@
     return value;
 }
 
-/// Reads with `take`; nothing where the text is no JSON or a field has another type.
-template <class T, class Take>
-std::optional<T> readWith(std::string_view body, const Take &take)
+/// Parses the body as JSON and converts it with `convert`.
+/// @returns Nothing if it is not valid JSON, or a field is missing or has the wrong type.
+template <class T, class Convert>
+std::optional<T> parseWith(std::string_view body, const Convert &convert)
 {
     try {
-        return take(json::parse(body));
+        return convert(json::parse(body));
     } catch (const json::exception &) {
         return std::nullopt;
     }
@@ -99,7 +100,7 @@
 
 std::optional<stream_spec> readStreamSpec(std::string_view body)
 {
-    return readWith<stream_spec>(body, [](const json &object) {
+    return parseWith<stream_spec>(body, [](const json &object) {
         stream_spec spec;
         spec.request = object.at("request").get<std::string>();
         spec.attempt = object.at("attempt").get<std::string>();
@@ -115,15 +116,15 @@
 
 std::optional<order_spec> readOrder(std::string_view body)
 {
-    auto order = readWith<order_spec>(body, [](const json &object) {
-        order_spec read;
-        read.fence = object.at("fence").get<std::uint64_t>();
-        read.nonce = object.at("nonce").get<std::string>();
-        read.wanted.role = object.at("role").get<std::string>();
-        read.wanted.models.clear();
+    auto order = parseWith<order_spec>(body, [](const json &object) {
+        order_spec parsed;
+        parsed.fence = object.at("fence").get<std::uint64_t>();
+        parsed.nonce = object.at("nonce").get<std::string>();
+        parsed.wanted.role = object.at("role").get<std::string>();
+        parsed.wanted.models.clear();
         for (const json &entry : object.at("models"))
-            read.wanted.models.push_back({entry.at("model"), entry.at("version")});
-        return read;
+            parsed.wanted.models.push_back({entry.at("model"), entry.at("version")});
+        return parsed;
     });
     if (order && !isRole(order->wanted.role))
         return std::nullopt;
@@ -132,11 +133,11 @@
 
 std::optional<engine_fault> readFault(std::string_view body)
 {
-    const std::string wanted = readText(body, "mode");
+    const std::string modeName = readText(body, "mode");
     for (const fault_name &entry : faultNames) {
-        if (entry.name != wanted)
+        if (entry.name != modeName)
             continue;
-        return readWith<engine_fault>(body, [&](const json &object) {
+        return parseWith<engine_fault>(body, [&](const json &object) {
             engine_fault fault;
             fault.mode = entry.mode;
             fault.count = std::max(1U, object.value("count", fault.count));
@@ -150,14 +151,14 @@
 
 std::string readText(std::string_view body, const char *key)
 {
-    const auto text = readWith<std::string>(
+    const auto text = parseWith<std::string>(
             body, [&](const json &object) { return object.at(key).get<std::string>(); });
     return text.value_or(std::string{});
 }
 
 std::optional<kv_blob> readBlob(std::string_view body)
 {
-    return readWith<kv_blob>(body, [](const json &object) {
+    return parseWith<kv_blob>(body, [](const json &object) {
         kv_blob blob;
         blob.tokens = object.at("tokens").get<std::uint32_t>();
         for (const json &hash : object.at("hashes"))
@@ -173,7 +174,8 @@
 
 std::string tokenLine(std::uint32_t index, const std::string &text)
 {
-    // A stand-in's tokens need no escapes, and this line is most of what a bench makes it write.
+    // Formatted by hand because this line is most of the output under load; the tokens of a
+    // stand-in need no JSON escapes.
     return "{\"index\":" + std::to_string(index) + ",\"text\":\"" + text + "\"}\n";
 }
 
--- a/src/standin/engine_wire.h
+++ b/src/standin/engine_wire.h
@@ -7,7 +7,8 @@
 #include <string>
 #include <string_view>
 
-/// JSON of the engine stand-in, written apart from the client's so that each checks the other.
+/// JSON messages of the engine stand-in. Implemented independently of the client's encoding, so
+/// that each checks the other.
 namespace poplarspool::standin {
 
 struct order_spec
@@ -20,7 +21,7 @@
 std::optional<stream_spec> readStreamSpec(std::string_view body);
 std::optional<order_spec> readOrder(std::string_view body);
 std::optional<engine_fault> readFault(std::string_view body);
-/// @returns The text at that key of a JSON object; empty where there is none.
+/// @returns The string at that key of a JSON object; empty if there is none.
 std::string readText(std::string_view body, const char *key);
 std::optional<kv_blob> readBlob(std::string_view body);
 
--- a/src/standin/kv_cache.h
+++ b/src/standin/kv_cache.h
@@ -10,14 +10,15 @@
 
 namespace poplarspool::standin {
 
-/// Names the full pieces of a token sequence: each hash covers its piece and all before it.
+/// Prefix hashes of the full pieces of a token sequence: each hash covers its piece and all pieces
+/// before it.
 class piece_chain
 {
 public:
     piece_chain(std::string_view model, std::uint32_t pieceTokens);
 
     void add(std::string_view token);
-    /// Adds a prompt, cut into tokens.
+    /// Splits a prompt into tokens and adds them.
     void addPrompt(std::string_view prompt);
     const std::vector<std::uint64_t> &hashes() const { return full; }
 
@@ -29,35 +30,35 @@
     std::vector<std::uint64_t> full;
 };
 
-/// KV memory in pieces: private to one sequence, or shared under their hash. Shared pieces that
-/// nobody holds stay as prefix cache until the memory is needed, least recently used first.
+/// KV memory in pieces, which are private to one sequence or shared by prefix hash. Shared pieces
+/// that are not in use stay as prefix cache and are evicted least recently used first.
 class kv_cache
 {
 public:
-    /// Told of each piece that became or ceased to be shareable.
+    /// Called for each shared piece that is stored or evicted.
     using change_receiver = std::function<void(bool isStored, std::uint64_t hash)>;
 
     kv_cache(std::uint32_t pieces, change_receiver onChange);
 
     std::uint32_t total() const { return pieces; }
-    /// @returns Pieces that sequences hold.
+    /// @returns Pieces in use by sequences.
     std::uint32_t held() const { return privatePieces + heldShared; }
     std::uint32_t available() const { return pieces - held(); }
 
-    /// Holds the leading pieces that are there.
-    /// @param limit Pieces at most.
-    /// @returns How many.
+    /// Acquires the leading pieces that are cached.
+    /// @param limit Maximum number of pieces.
+    /// @returns The number of acquired pieces.
     std::uint32_t holdPrefix(const std::vector<std::uint64_t> &hashes, std::uint32_t limit);
-    /// Takes private pieces, evicting where needed; all or none.
+    /// Allocates private pieces, evicting cached ones if needed; all or none.
     bool allocate(std::uint32_t count);
     void release(std::uint32_t privateCount) { privatePieces -= privateCount; }
-    /// Makes one private piece shareable; its owner goes on holding it.
+    /// Turns a private piece into a shared one; its owner keeps using it.
     void publish(std::uint64_t hash);
     void unhold(std::uint64_t hash);
-    /// Puts an imported piece into the cache, held by nobody.
-    /// @returns False where there is no room.
+    /// Adds an imported piece to the cache, not in use by any sequence.
+    /// @returns False if there is no free memory.
     bool insert(std::uint64_t hash);
-    /// Forgets everything, as a restart does.
+    /// Drops everything, as a restart does.
     void clear();
 
 private:
@@ -69,7 +70,8 @@
 
     void hold(shared_piece &piece);
     void makeIdle(std::uint64_t hash, shared_piece &piece);
-    /// Evicts until that many pieces are free.
+    /// Evicts cached pieces until that many are free.
+    /// @returns False if there are not enough.
     bool makeRoom(std::uint32_t count);
 
     std::uint32_t pieces;
--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -20,19 +20,19 @@
 using nlohmann::json;
 
 constexpr std::size_t maxValueBytes = 1024 * 1024;
-/// A value's JSON text may be six times as long (\u00XX) as the value.
+/// JSON escapes (\u00XX) can make the text six times as long as the value.
 constexpr std::size_t maxBodyBytes = 6 * maxValueBytes + 1024;
 constexpr std::uint32_t maxConnections = 4096;
 constexpr std::chrono::milliseconds maxWatchTime{60000};
 constexpr std::uint64_t weightBytes = 16ULL * 1024 * 1024 * 1024;
 
-/// Header of all answers once the store has come back from an older copy: how often.
+/// Header of every reply after the first store rollback: the number of rollbacks.
 constexpr char epochHeader[] = "Store-Epoch";
 
-/// Lost: the connection is closed without an answer.
+/// A reply; if empty, the connection is closed without one.
 using answer = std::optional<http_reply>;
 
-http_limits limitsOfStandin()
+http_limits httpLimits()
 {
     http_limits limits = defaultHttpLimits();
     limits.bodyBytes = maxBodyBytes;
@@ -69,12 +69,15 @@
     return {{"objects", std::move(objects)}, {"version", list.version}};
 }
 
-json jsonOf(const instance_line &line)
+json jsonOf(const instance_line &entry)
 {
-    return {{"id", line.id}, {"zone", line.zone}, {"peer", line.peer}, {"leaving", line.isLeaving}};
+    return {{"id", entry.id},
+            {"zone", entry.zone},
+            {"peer", entry.peer},
+            {"leaving", entry.isLeaving}};
 }
 
-instance_line lineOf(const json &entry)
+instance_line instanceEntryOf(const json &entry)
 {
     return {entry.at("id").get<std::string>(), entry.at("zone").get<std::string>(),
             entry.at("peer").get<std::string>(), entry.value("leaving", false)};
@@ -90,7 +93,7 @@
     return names.at(name);
 }
 
-http_reply outcomeReply(const write_outcome &outcome)
+http_reply writeReply(const write_outcome &outcome)
 {
     return replyOf(outcome.isDone ? 200 : 409, {{"version", outcome.version}});
 }
@@ -102,7 +105,7 @@
     state(const endpoint &bind, double weightsPerSecond)
         : weightRate(weightsPerSecond),
           server(
-                  "standin_platform", bind, limitsOfStandin(),
+                  "standin_platform", bind, httpLimits(),
                   [this](const http_request &request, http_sink & /*sink*/) {
                       return serve(request);
                   },
@@ -111,9 +114,9 @@
 
     answer serve(const http_request &request);
     answer serveControl(const http_request &request, const request_target &target);
-    std::optional<int> serveCopies(const http_request &request, const request_target &target);
-    answer serveInOneEpoch(const http_request &request, const request_target &target);
-    answer servePlatform(const http_request &request, const request_target &target);
+    std::optional<int> serveSnapshots(const http_request &request, const request_target &target);
+    answer serveWithinEpoch(const http_request &request, const request_target &target);
+    answer serveCall(const http_request &request, const request_target &target);
     answer serveObject(const http_request &request, const request_target &target,
                        const std::string &key);
     answer serveWrite(const http_reply &reply);
@@ -127,7 +130,7 @@
 
     metrics_registry metrics;
     object_table objects;
-    lagging_list lines;
+    lagging_list instanceList;
     fault_switch faults;
     rate_limit weightRate;
     std::atomic<std::uint64_t> gets{0};
@@ -137,7 +140,7 @@
     std::atomic<std::uint64_t> watches{0};
     std::atomic<std::uint64_t> instanceLists{0};
     std::atomic<std::uint64_t> weights{0};
-    http_server server; ///< Last: its threads use all others.
+    http_server server; ///< Declared last, because its threads use all other members.
 };
 
 answer platform_standin::state::serve(const http_request &request)
@@ -149,7 +152,7 @@
         faults.delay();
         if (faults.isOut())
             return std::nullopt;
-        return serveInOneEpoch(request, target);
+        return serveWithinEpoch(request, target);
     } catch (const json::exception &fault) {
         return refusal(400, fault.what());
     } catch (const std::out_of_range &) {
@@ -171,28 +174,29 @@
                         {"instances", counts.instanceLists},
                         {"weights", counts.weights}});
     }
-    if (const auto status = serveCopies(request, target))
+    if (const auto status = serveSnapshots(request, target))
         return replyOf(*status, json::object());
     const json body = json::parse(request.body);
     if (target.path == "/standin/fault") {
         setFault({faultOf(body.at("mode").get<std::string>()), body.value("slow_ms", 0U),
                   body.value("count", 1U)});
     } else if (target.path == "/standin/lag") {
-        lines.setLag(std::chrono::milliseconds(body.at("ms").get<std::uint32_t>()));
+        instanceList.setLag(std::chrono::milliseconds(body.at("ms").get<std::uint32_t>()));
     } else if (target.path == "/standin/instances") {
         for (const json &entry : body.value("set", json::array()))
-            lines.set(lineOf(entry));
+            instanceList.set(instanceEntryOf(entry));
         for (const json &id : body.value("remove", json::array()))
-            lines.remove(id.get<std::string>());
+            instanceList.remove(id.get<std::string>());
     } else {
-        return refusal(404, "no such control");
+        return refusal(404, "unknown control path");
     }
     return replyOf(200, json::object());
 }
 
-/// @returns The status; nothing where the call is none of these.
-std::optional<int> platform_standin::state::serveCopies(const http_request &request,
-                                                        const request_target &target)
+/// Serves the calls that take and restore snapshots and replay lost writes.
+/// @returns The status; nothing if the path is none of them.
+std::optional<int> platform_standin::state::serveSnapshots(const http_request &request,
+                                                           const request_target &target)
 {
     if (target.path == "/standin/copy") {
         objects.keepCopy();
@@ -208,13 +212,13 @@
     return 200;
 }
 
-/// A call during which the store goes back is broken off: its answer would name versions of one
-/// epoch as those of another.
-answer platform_standin::state::serveInOneEpoch(const http_request &request,
-                                                const request_target &target)
+/// Serves a call, but closes its connection if the store is rolled back meanwhile: the reply would
+/// name versions of one epoch as those of another.
+answer platform_standin::state::serveWithinEpoch(const http_request &request,
+                                                 const request_target &target)
 {
     const std::uint64_t epoch = objects.epoch();
-    answer reply = servePlatform(request, target);
+    answer reply = serveCall(request, target);
     if (objects.epoch() != epoch)
         return std::nullopt;
     if (reply && epoch > 0)
@@ -222,13 +226,12 @@
     return reply;
 }
 
-answer platform_standin::state::servePlatform(const http_request &request,
-                                              const request_target &target)
+answer platform_standin::state::serveCall(const http_request &request, const request_target &target)
 {
     if (const auto key = pathAfter(target, "/objects/"))
         return serveObject(request, target, *key);
     if (request.method != "GET")
-        return refusal(405, "only GET here");
+        return refusal(405, "only GET is allowed");
     if (target.path == "/list") {
         ++lists;
         const auto prefix = target.query.find("prefix");
@@ -252,7 +255,7 @@
     if (request.method == "DELETE")
         return serveWrite(removeObject(target, key));
     if (request.method != "GET")
-        return refusal(405, "GET, PUT or DELETE");
+        return refusal(405, "only GET, PUT and DELETE are allowed");
     ++gets;
     const auto found = objects.get(key);
     return found ? replyOf(200, jsonOf(*found)) : refusal(404, "no such object");
@@ -271,8 +274,8 @@
     const json body = json::parse(request.body);
     const auto value = body.at("value").get<std::string>();
     if (value.size() > maxValueBytes)
-        return refusal(413, "value above 1 MiB");
-    return outcomeReply(objects.put(key, value, body.at("if_version").get<std::uint64_t>()));
+        return refusal(413, "value exceeds 1 MiB");
+    return writeReply(objects.put(key, value, body.at("if_version").get<std::uint64_t>()));
 }
 
 http_reply platform_standin::state::removeObject(const request_target &target,
@@ -281,8 +284,8 @@
     ++removes;
     const auto ifVersion = numberOf(target, "if_version");
     if (!ifVersion || *ifVersion == 0)
-        return refusal(400, "if_version missing");
-    return outcomeReply(objects.remove(key, *ifVersion));
+        return refusal(400, "if_version is missing");
+    return writeReply(objects.remove(key, *ifVersion));
 }
 
 answer platform_standin::state::serveWatch(const request_target &target)
@@ -292,22 +295,22 @@
     const auto after = numberOf(target, "after");
     const auto wait = numberOf(target, "wait_ms");
     if (prefix == target.query.end() || !after || !wait)
-        return refusal(400, "prefix, after and wait_ms are needed");
-    const auto bounded = std::min<std::uint64_t>(*wait, maxWatchTime.count());
-    const auto seen = objects.watch(prefix->second, *after, std::chrono::milliseconds(bounded));
+        return refusal(400, "prefix, after and wait_ms are required");
+    const auto waitMs = std::min<std::uint64_t>(*wait, maxWatchTime.count());
+    const auto changes = objects.watch(prefix->second, *after, std::chrono::milliseconds(waitMs));
     if (faults.isOut())
         return std::nullopt;
-    if (seen.isGone)
+    if (changes.isGone)
         return refusal(410, "no such version in this epoch");
-    return replyOf(200, jsonOf(seen));
+    return replyOf(200, jsonOf(changes));
 }
 
 http_reply platform_standin::state::listInstances()
 {
     ++instanceLists;
     json entries = json::array();
-    for (const instance_line &line : lines.seen())
-        entries.push_back(jsonOf(line));
+    for (const instance_line &entry : instanceList.seen())
+        entries.push_back(jsonOf(entry));
     return replyOf(200, {{"instances", std::move(entries)}});
 }
 
@@ -316,9 +319,9 @@
     ++weights;
     const auto slash = modelAndVersion.rfind('/');
     if (slash == std::string::npos)
-        return refusal(404, "MODEL/VERSION is needed");
+        return refusal(404, "MODEL/VERSION is required");
     if (!weightRate.take()) {
-        http_reply reply = refusal(429, "above the rate of the weight store");
+        http_reply reply = refusal(429, "rate limit of the weight store exceeded");
         reply.headers.emplace_back("Retry-After", std::to_string(weightRate.secondsLeft()));
         return reply;
     }
@@ -367,7 +370,7 @@
 
 void platform_standin::setLag(std::uint32_t lagMs)
 {
-    inner->lines.setLag(std::chrono::milliseconds(lagMs));
+    inner->instanceList.setLag(std::chrono::milliseconds(lagMs));
 }
 
 platform_records platform_standin::records() const
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -8,27 +8,27 @@
 #include <string>
 #include <vector>
 
-/// Small programs that take the place of what stands around the product, for tests and demos.
+/// Stand-ins for the systems that the product depends on, for tests and demos.
 namespace poplarspool::standin {
 
-/// What goes wrong with the stand-in's object API, instance list and weight store.
+/// Fault to inject into the stand-in's object API, instance list and weight store.
 enum class platform_fault {
     None,
-    Outage, ///< Connections are closed without an answer and without an effect.
+    Outage, ///< Connections are closed without a reply; the call has no effect.
     Slow, ///< Every call takes `slowMs` longer.
-    LoseAnswers, ///< Writes take effect and their connection is closed without an answer.
+    LoseAnswers, ///< Writes take effect, but their connection is closed without a reply.
 };
 
 struct platform_fault_setting
 {
     platform_fault mode = platform_fault::None;
     std::uint32_t slowMs = 0;
-    std::uint32_t count = 1; ///< Answers to lose.
+    std::uint32_t count = 1; ///< Number of replies to lose.
 
     bool operator==(const platform_fault_setting &) const = default;
 };
 
-/// Calls since the start, a waiting watch counted as one.
+/// Number of calls since the start; a watch counts as one call.
 struct platform_records
 {
     std::uint64_t gets = 0;
@@ -42,21 +42,21 @@
     bool operator==(const platform_records &) const = default;
 };
 
-/// Object API, instance list and weight store in one process, kept in memory; the wire is described
-/// in docs/API-PLATFORM.md.
+/// Object API, instance list and weight store in one process, held in memory. The HTTP interface is
+/// described in docs/API-PLATFORM.md.
 class platform_standin
 {
 public:
-    /// @param bind Port 0 lets the system choose.
-    /// @param weightsPerSecond Rate of the weight store.
+    /// @param bind Address to listen on; the system chooses the port if it is 0.
+    /// @param weightsPerSecond Rate limit of the weight store, calls per second.
     explicit platform_standin(const endpoint &bind, double weightsPerSecond = 10.0);
     ~platform_standin();
 
     result<endpoint> start();
-    /// Ends waiting watches and stops.
+    /// Ends pending watches and stops the server.
     void stop();
 
-    // The same as the calls under /standin/, for tests in the same process.
+    // Equivalents of the calls under /standin/, for tests in the same process.
     void setFault(const platform_fault_setting &setting);
     void setLag(std::uint32_t lagMs);
     platform_records records() const;
@@ -67,8 +67,8 @@
 };
 
 /// `poplarspool-standin platform --listen ADDR [--rate N]`: runs until SIGTERM or SIGINT.
-/// @param words The command line after the subcommand.
+/// @param arguments The command-line arguments after the subcommand.
 /// @returns The exit status.
-int platformMain(const std::vector<std::string> &words);
+int platformMain(const std::vector<std::string> &arguments);
 
 } // namespace poplarspool::standin
--- a/src/standin/platform_faults.h
+++ b/src/standin/platform_faults.h
@@ -8,15 +8,15 @@
 
 namespace poplarspool::standin {
 
-/// The fault that is set now, and what it does to one call.
+/// Applies the current fault to calls. Thread-safe.
 class fault_switch
 {
 public:
     void set(const platform_fault_setting &next);
     bool isOut() const;
-    /// Delays a call as the fault says; a change of the fault or end() cuts it short.
+    /// Delays a call if the fault is Slow. A change of the fault or shutDown() ends the delay.
     void delay();
-    /// @returns Whether this write's answer is to be lost; uses up one of the count.
+    /// @returns Whether the reply of this write must be lost; decrements the count if so.
     bool takesAnswer();
     void end();
 
@@ -27,14 +27,14 @@
     bool isEnding = false;
 };
 
-/// Rate limit of the weight store: a token bucket of one second's worth.
+/// Rate limit of the weight store: a token bucket with a capacity of one second.
 class rate_limit
 {
 public:
     explicit rate_limit(double perSecond);
 
     bool take();
-    /// @returns Whole seconds until the next call is allowed, for Retry-After.
+    /// @returns Seconds until the next call is allowed, rounded up; for Retry-After.
     std::uint32_t secondsLeft();
 
 private:
--- a/src/standin/platform_lines.cpp
+++ b/src/standin/platform_lines.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Longest lag that a test asks for; older lists are forgotten.
-constexpr std::chrono::minutes keptTime{10};
+/// Maximum lag that a test sets; older lists are dropped.
+constexpr std::chrono::minutes retention{10};
 
 } // namespace
 
@@ -19,28 +19,28 @@
     lag = time;
 }
 
-void lagging_list::append(lines_by_id lines)
+void lagging_list::append(lines_by_id entries)
 {
     const auto time = now();
-    past.push_back({time, std::move(lines)});
-    while (past.size() > 1 && past[1].since < time - keptTime)
+    past.push_back({time, std::move(entries)});
+    while (past.size() > 1 && past[1].since < time - retention)
         past.pop_front();
 }
 
-void lagging_list::set(const instance_line &line)
+void lagging_list::set(const instance_line &entry)
 {
     const std::lock_guard guard(lock);
-    lines_by_id lines = past.back().lines;
-    lines[line.id] = line;
-    append(std::move(lines));
+    lines_by_id entries = past.back().lines;
+    entries[entry.id] = entry;
+    append(std::move(entries));
 }
 
 void lagging_list::remove(const std::string &id)
 {
     const std::lock_guard guard(lock);
-    lines_by_id lines = past.back().lines;
-    lines.erase(id);
-    append(std::move(lines));
+    lines_by_id entries = past.back().lines;
+    entries.erase(id);
+    append(std::move(entries));
 }
 
 std::vector<instance_line> lagging_list::seen()
@@ -50,10 +50,10 @@
     auto at = past.rbegin();
     while (at->since > asOf && std::next(at) != past.rend())
         ++at;
-    std::vector<instance_line> out;
-    for (const auto &[id, line] : at->lines)
-        out.push_back(line);
-    return out;
+    std::vector<instance_line> found;
+    for (const auto &[id, entry] : at->lines)
+        found.push_back(entry);
+    return found;
 }
 
 } // namespace poplarspool::standin
--- a/src/standin/platform_lines.h
+++ b/src/standin/platform_lines.h
@@ -10,7 +10,7 @@
 
 namespace poplarspool::standin {
 
-/// One line of the stand-in's list of instances.
+/// One entry of the stand-in's list of instances.
 struct instance_line
 {
     std::string id;
@@ -21,7 +21,7 @@
     bool operator==(const instance_line &) const = default;
 };
 
-/// The list of instances as it was a settable time ago.
+/// Serves the list of instances as it was a configurable time ago. Thread-safe.
 class lagging_list
 {
 public:
@@ -29,10 +29,10 @@
     explicit lagging_list(std::function<clock_type::time_point()> now = clock_type::now);
 
     void setLag(std::chrono::milliseconds time);
-    /// Adds the line, or takes the place of the one with its id.
-    void set(const instance_line &line);
+    /// Adds the entry, or replaces the one with its id.
+    void set(const instance_line &entry);
     void remove(const std::string &id);
-    /// @returns The list of `lag` ago.
+    /// @returns The list as it was `lag` ago.
     std::vector<instance_line> seen();
 
 private:
@@ -43,7 +43,7 @@
         lines_by_id lines;
     };
 
-    void append(lines_by_id lines);
+    void append(lines_by_id entries);
 
     const std::function<clock_type::time_point()> now;
     std::mutex lock;
--- a/src/standin/platform_main.cpp
+++ b/src/standin/platform_main.cpp
@@ -15,10 +15,11 @@
 cxxopts::Options optionsOfPlatform()
 {
     cxxopts::Options options("poplarspool-standin platform",
-                             "Object API, instance list and weight store in memory.");
-    options.add_options()("listen", "Address, such as 127.0.0.1:7000; port 0 chooses one",
+                             "Emulates the object API, instance list and weight store in memory.");
+    options.add_options()("listen",
+                          "Address, for example 127.0.0.1:7000; port 0: chosen by the system",
                           cxxopts::value<std::string>())(
-            "rate", "Calls a second that the weight store allows",
+            "rate", "Rate limit of the weight store, calls per second",
             cxxopts::value<double>()->default_value("10"))("help", "Show this text");
     return options;
 }
@@ -50,14 +51,14 @@
 
 } // namespace
 
-int platformMain(const std::vector<std::string> &words)
+int platformMain(const std::vector<std::string> &arguments)
 {
     cxxopts::Options options = optionsOfPlatform();
-    std::vector<const char *> arguments{"platform"};
-    for (const std::string &word : words)
-        arguments.push_back(word.c_str());
+    std::vector<const char *> argv{"platform"};
+    for (const std::string &argument : arguments)
+        argv.push_back(argument.c_str());
     try {
-        const auto parsed = options.parse(static_cast<int>(arguments.size()), arguments.data());
+        const auto parsed = options.parse(static_cast<int>(argv.size()), argv.data());
         if (parsed.count("help") == 0)
             return runParsed(parsed);
         std::cout << options.help();
--- a/src/standin/platform_objects.cpp
+++ b/src/standin/platform_objects.cpp
@@ -21,31 +21,31 @@
 std::vector<stored_object> object_table::changedSince(const std::string &prefix,
                                                       std::uint64_t after) const
 {
-    std::vector<stored_object> out;
+    std::vector<stored_object> changes;
     for (auto at = objects.lower_bound(prefix); at != objects.end(); ++at) {
         if (!at->first.starts_with(prefix))
             break;
         if (at->second.version > after)
-            out.push_back(at->second);
+            changes.push_back(at->second);
     }
-    return out;
+    return changes;
 }
 
 stored_list object_table::list(const std::string &prefix) const
 {
     const std::lock_guard guard(lock);
-    stored_list out{changedSince(prefix, 0), version};
-    std::erase_if(out.objects, [](const stored_object &each) { return each.isDeleted; });
-    return out;
+    stored_list listed{changedSince(prefix, 0), version};
+    std::erase_if(listed.objects, [](const stored_object &each) { return each.isDeleted; });
+    return listed;
 }
 
 write_outcome object_table::write(const std::string &key, stored_object next,
                                   std::uint64_t ifVersion)
 {
     const std::lock_guard guard(lock);
-    const std::uint64_t present = versionOf(key);
-    if (present != ifVersion)
-        return {false, present};
+    const std::uint64_t current = versionOf(key);
+    if (current != ifVersion)
+        return {false, current};
     next.key = key;
     next.version = ++version;
     objects[key] = std::move(next);
@@ -69,15 +69,15 @@
 {
     std::unique_lock guard(lock);
     const std::uint64_t wakesBefore = wakes;
-    stored_list out;
+    stored_list changes;
     if (epochs > 0 && after > version)
         return {{}, version, true};
     changed.wait_for(guard, wait, [&] {
-        out.objects = changedSince(prefix, after);
-        return !out.objects.empty() || wakes != wakesBefore || isEnding;
+        changes.objects = changedSince(prefix, after);
+        return !changes.objects.empty() || wakes != wakesBefore || isEnding;
     });
-    out.version = version;
-    return out;
+    changes.version = version;
+    return changes;
 }
 
 void object_table::keepCopy()
@@ -110,8 +110,8 @@
     const std::lock_guard guard(lock);
     auto at = lost.lower_bound(prefix);
     while (at != lost.end() && at->first.starts_with(prefix)) {
-        const auto present = objects.find(at->first);
-        const bool isNewer = present != objects.end() && present->second.version > backVersion;
+        const auto current = objects.find(at->first);
+        const bool isNewer = current != objects.end() && current->second.version > backVersion;
         if (!isNewer) {
             at->second.version = ++version;
             objects[at->first] = at->second;
--- a/src/standin/platform_objects.h
+++ b/src/standin/platform_objects.h
@@ -11,7 +11,7 @@
 
 namespace poplarspool::standin {
 
-/// One object of the stand-in's store; a removed one stays as a tombstone for watches.
+/// An object of the stand-in's store; a removed one stays as a tombstone for watches.
 struct stored_object
 {
     std::string key;
@@ -26,19 +26,20 @@
 {
     std::vector<stored_object> objects;
     std::uint64_t version = 0;
-    bool isGone = false; ///< Only of a watch: its version isn't of this epoch.
+    bool isGone = false; ///< Only for a watch: the version is not of this epoch.
 };
 
-/// Outcome of a conditional write: the new version, or the present one where it lost.
+/// Outcome of a conditional write.
 struct write_outcome
 {
     bool isDone = false;
-    std::uint64_t version = 0;
+    std::uint64_t version = 0; ///< The new version, or the current one if the condition failed.
 
     bool operator==(const write_outcome &) const = default;
 };
 
-/// Objects in memory with versions over the whole store, conditional writes and watches.
+/// In-memory object store with store-wide versions, conditional writes, watches and snapshots.
+/// Thread-safe.
 class object_table
 {
 public:
@@ -46,22 +47,23 @@
     stored_list list(const std::string &prefix) const;
     write_outcome put(const std::string &key, const std::string &value, std::uint64_t ifVersion);
     write_outcome remove(const std::string &key, std::uint64_t ifVersion);
-    /// Waits for a change under the prefix beyond `after`, until `wait` is over or wakeAll().
+    /// Waits for changes under the prefix with a version above `after`, until `wait` has passed or
+    /// wakeWatches() is called.
     stored_list watch(const std::string &prefix, std::uint64_t after,
                       std::chrono::milliseconds wait);
-    /// Keeps a copy of all that it holds, in place of the one before.
+    /// Takes a snapshot of all objects, which replaces the previous one.
     void keepCopy();
-    /// Comes back from that copy, in a new epoch: what was acknowledged since is lost, and its
-    /// versions are given out again.
-    /// @returns False where none was kept.
+    /// Rolls the store back to the snapshot and starts a new epoch: writes acknowledged since then
+    /// are lost, and their versions are assigned again.
+    /// @returns False if there is no snapshot.
     bool goBack();
-    /// What was lost under the prefix is written again, unless it has been written since.
+    /// Writes the lost objects under the prefix again, except those written since the rollback.
     void writeAgain(const std::string &prefix);
-    /// @returns How often it has come back from a copy.
+    /// @returns Number of rollbacks.
     std::uint64_t epoch() const;
-    /// Ends the watches that wait now, without a change.
+    /// Ends the watches that are waiting now; they return no change.
     void wakeAll();
-    /// Ends all watches, also later ones, at once.
+    /// Ends all current and later watches immediately.
     void end();
 
 private:
@@ -78,8 +80,8 @@
     std::uint64_t epochs = 0;
     std::optional<object_map> copied;
     std::uint64_t copiedVersion = 0;
-    std::uint64_t backVersion = 0; ///< At the last coming back.
-    object_map lost; ///< Newest of each that no copy had.
+    std::uint64_t backVersion = 0; ///< Store version after the last rollback.
+    object_map lost; ///< Latest version of each object lost in a rollback and not replayed yet.
     std::uint64_t wakes = 0;
     bool isEnding = false;
 };
--- a/src/standin/platform_paths.cpp
+++ b/src/standin/platform_paths.cpp
@@ -8,16 +8,16 @@
 
 std::string percentDecoded(std::string_view text)
 {
-    std::string out;
-    for (std::size_t at = 0; at < text.size(); ++at) {
+    std::string decoded;
+    for (std::size_t i = 0; i < text.size(); ++i) {
         unsigned value = 0;
-        const char *digits = text.data() + at + 1;
-        const bool isEscape = text[at] == '%' && at + 2 < text.size()
+        const char *digits = text.data() + i + 1;
+        const bool isEscape = text[i] == '%' && i + 2 < text.size()
                 && std::from_chars(digits, digits + 2, value, 16).ptr == digits + 2;
-        out += isEscape ? static_cast<char>(value) : text[at];
-        at += isEscape ? 2 : 0;
+        decoded += isEscape ? static_cast<char>(value) : text[i];
+        i += isEscape ? 2 : 0;
     }
-    return out;
+    return decoded;
 }
 
 void addPair(std::map<std::string, std::string> &query, std::string_view pair)
@@ -32,16 +32,17 @@
 
 request_target parseTarget(std::string_view raw)
 {
-    const auto mark = raw.find('?');
-    request_target out;
-    out.path = percentDecoded(raw.substr(0, mark));
-    std::string_view rest = mark == std::string_view::npos ? "" : raw.substr(mark + 1);
+    const auto questionMark = raw.find('?');
+    request_target decoded;
+    decoded.path = percentDecoded(raw.substr(0, questionMark));
+    std::string_view rest =
+            questionMark == std::string_view::npos ? "" : raw.substr(questionMark + 1);
     while (!rest.empty()) {
         const auto end = rest.find('&');
-        addPair(out.query, rest.substr(0, end));
+        addPair(decoded.query, rest.substr(0, end));
         rest = end == std::string_view::npos ? "" : rest.substr(end + 1);
     }
-    return out;
+    return decoded;
 }
 
 std::optional<std::string> pathAfter(const request_target &target, std::string_view prefix)
--- a/src/standin/platform_paths.h
+++ b/src/standin/platform_paths.h
@@ -8,7 +8,7 @@
 
 namespace poplarspool::standin {
 
-/// A request's target, decoded.
+/// A request target (path and query), percent-decoded.
 struct request_target
 {
     std::string path;
@@ -17,13 +17,13 @@
     bool operator==(const request_target &) const = default;
 };
 
-/// @param raw Percent-encoded path with its query. Malformed escapes stay as they are.
+/// @param raw Percent-encoded path and query. Malformed escapes are left unchanged.
 request_target parseTarget(std::string_view raw);
 
-/// @returns What follows the prefix; none where the path doesn't start with it.
+/// @returns The path after the prefix; nothing if the path does not start with it.
 std::optional<std::string> pathAfter(const request_target &target, std::string_view prefix);
 
-/// @returns The query's number; none where it is missing or no number.
+/// @returns A numeric query parameter; nothing if it is missing or not an unsigned integer.
 std::optional<std::uint64_t> numberOf(const request_target &target, const std::string &name);
 
 } // namespace poplarspool::standin
--- a/src/standin/service.cpp
+++ b/src/standin/service.cpp
@@ -44,7 +44,7 @@
     return std::nullopt;
 }
 
-std::optional<service_fault> readFault(const std::string &body)
+std::optional<service_fault> parseFault(const std::string &body)
 {
     try {
         const json object = json::parse(body);
@@ -73,9 +73,9 @@
 
 struct service_standin::state
 {
-    explicit state(service_options wanted)
-        : options(std::move(wanted)),
-          life(static_cast<std::uint64_t>(
+    explicit state(service_options serviceOptions)
+        : options(std::move(serviceOptions)),
+          incarnation(static_cast<std::uint64_t>(
                   std::chrono::system_clock::now().time_since_epoch().count())),
           server(
                   "service", options.bind, limitsOf(options),
@@ -87,16 +87,17 @@
     std::optional<http_reply> run(const http_request &request);
     http_reply setFault(const std::string &body);
     http_reply load();
-    service_fault takeFault();
-    /// Counts the run.
-    /// @returns How often this key has run by now.
-    std::uint64_t count(const std::string &key, const std::string &path);
-    /// @returns False where the service stopped meanwhile.
-    bool work(std::chrono::milliseconds time);
+    service_fault consumeFault();
+    /// Records a run.
+    /// @returns Number of runs of this key so far.
+    std::uint64_t recordRun(const std::string &key, const std::string &path);
+    /// Emulates the processing time.
+    /// @returns False if the service was stopped meanwhile.
+    bool waitWorkTime(std::chrono::milliseconds time);
     service_records snapshot() const;
 
     const service_options options;
-    const std::uint64_t life;
+    const std::uint64_t incarnation;
     mutable std::mutex lock;
     std::condition_variable changed;
     bool isStopping = false;
@@ -109,7 +110,7 @@
     http_server server;
 };
 
-std::uint64_t service_standin::state::count(const std::string &key, const std::string &path)
+std::uint64_t service_standin::state::recordRun(const std::string &key, const std::string &path)
 {
     const std::lock_guard guard(lock);
     ++runs;
@@ -119,7 +120,7 @@
     return ++record.count;
 }
 
-bool service_standin::state::work(std::chrono::milliseconds time)
+bool service_standin::state::waitWorkTime(std::chrono::milliseconds time)
 {
     std::unique_lock guard(lock);
     ++running;
@@ -128,7 +129,7 @@
     return !isStopping;
 }
 
-service_fault service_standin::state::takeFault()
+service_fault service_standin::state::consumeFault()
 {
     const std::lock_guard guard(lock);
     const service_fault taken = fault;
@@ -141,38 +142,38 @@
 
 std::optional<http_reply> service_standin::state::run(const http_request &request)
 {
-    const service_fault now = takeFault();
+    const service_fault now = consumeFault();
     if (now.mode == service_fault_mode::Refuse)
-        return jsonReply(503, {{"message", "refused on request"}});
+        return jsonReply(503, {{"message", "refused by an injected fault"}});
     const auto extra =
             now.mode == service_fault_mode::Slow ? now.delay : std::chrono::milliseconds::zero();
     const std::string key(headerOf(request.headers, "Idempotency-Key"));
-    const std::uint64_t times = count(key, request.path);
-    if (!work(options.workTime + extra) || now.mode == service_fault_mode::DieAfterRun)
+    const std::uint64_t runCount = recordRun(key, request.path);
+    if (!waitWorkTime(options.workTime + extra) || now.mode == service_fault_mode::DieAfterRun)
         return std::nullopt;
     return jsonReply(200,
                      {{"service", options.name},
                       {"path", request.path},
                       {"method", request.method},
                       {"key", key},
-                      {"count", times},
+                      {"count", runCount},
                       {"body_bytes", request.body.size()}});
 }
 
 http_reply service_standin::state::setFault(const std::string &body)
 {
-    const auto wanted = readFault(body);
-    if (!wanted)
-        return jsonReply(400, {{"message", "no such fault"}});
+    const auto parsed = parseFault(body);
+    if (!parsed)
+        return jsonReply(400, {{"message", "malformed fault"}});
     const std::lock_guard guard(lock);
-    fault = *wanted;
+    fault = *parsed;
     return jsonReply(200, json::object());
 }
 
 http_reply service_standin::state::load()
 {
     const std::lock_guard guard(lock);
-    return jsonReply(200, {{"life", life}, {"sequence", ++reports}, {"running", running}});
+    return jsonReply(200, {{"life", incarnation}, {"sequence", ++reports}, {"running", running}});
 }
 
 service_records service_standin::state::snapshot() const
--- a/src/standin/service.h
+++ b/src/standin/service.h
@@ -15,14 +15,14 @@
     endpoint bind{"127.0.0.1", 0};
     std::string name = "service";
     std::uint32_t connections = 4096;
-    std::chrono::milliseconds workTime{0}; ///< Of each request.
+    std::chrono::milliseconds workTime{0}; ///< Processing time of each request.
 };
 
 enum class service_fault_mode {
     None,
-    DieAfterRun, ///< The next `count` requests run, and their connection breaks unanswered.
-    Refuse, ///< The next `count` requests get 503 and don't run.
-    Slow, ///< All requests work `delay` longer.
+    DieAfterRun, ///< The next `count` requests run, but their connection closes without a reply.
+    Refuse, ///< The next `count` requests get status 503 and do not run.
+    Slow, ///< Every request takes `delay` longer.
 };
 
 struct service_fault
@@ -32,11 +32,11 @@
     std::chrono::milliseconds delay{0};
 };
 
-/// Runs of one idempotency key.
+/// Recorded runs of one idempotency key.
 struct service_record
 {
     std::string key; ///< Empty for requests without one.
-    std::string path; ///< Of the last run.
+    std::string path; ///< Path of the last run.
     std::uint64_t count = 0;
 };
 
@@ -46,8 +46,8 @@
     std::uint64_t runs = 0;
 };
 
-/// A plain service that counts each run of a request by its Idempotency-Key and does not care how
-/// often it is asked to run one: a doubled request shows.
+/// Emulates a plain service that counts the runs of each Idempotency-Key. It does not deduplicate,
+/// so a request that is executed twice shows up in its records.
 class service_standin
 {
 public:
--- a/src/standin/stream_channel.h
+++ b/src/standin/stream_channel.h
@@ -10,9 +10,9 @@
 enum class stream_state {
     Open,
     Finished,
-    Exported, ///< Goes on elsewhere.
-    Refused, ///< Dropped before it began.
-    Cut, ///< Stopped in the middle.
+    Exported, ///< Continues on another engine.
+    Refused, ///< Dropped before it started.
+    Cut, ///< Ended before it was complete.
 };
 
 struct stream_progress
@@ -21,7 +21,7 @@
     stream_state state = stream_state::Open;
 };
 
-/// Carries a stream's progress from the batching thread to the connection's.
+/// Passes a stream's progress from the batching thread to the thread of its connection.
 class stream_channel
 {
 public:
@@ -29,35 +29,37 @@
     {
         {
             const std::lock_guard guard(lock);
-            ++now.produced;
+            ++progress.produced;
         }
         changed.notify_one();
     }
 
-    /// The first closing counts.
+    /// Sets the final state; later calls have no effect.
     void close(stream_state state)
     {
         {
             const std::lock_guard guard(lock);
-            if (now.state == stream_state::Open)
-                now.state = state;
+            if (progress.state == stream_state::Open)
+                progress.state = state;
         }
         changed.notify_one();
     }
 
-    /// Waits for more than `known` tokens or the close.
+    /// Waits until more than `known` tokens are produced, the stream is closed, or `limit` has
+    /// passed.
     stream_progress wait(std::uint32_t known, std::chrono::milliseconds limit)
     {
         std::unique_lock guard(lock);
-        changed.wait_for(guard, limit,
-                         [&] { return now.produced > known || now.state != stream_state::Open; });
-        return now;
+        changed.wait_for(guard, limit, [&] {
+            return progress.produced > known || progress.state != stream_state::Open;
+        });
+        return progress;
     }
 
 private:
     std::mutex lock;
     std::condition_variable changed;
-    stream_progress now;
+    stream_progress progress;
 };
 
 } // namespace poplarspool::standin
--- a/src/standin/tokens.h
+++ b/src/standin/tokens.h
@@ -6,14 +6,14 @@
 #include <string>
 #include <string_view>
 
-/// What stand-in engines say: a pure function of prompt and index, so that any reader of an answer
-/// can tell whether it is whole, its own, and without a repeat.
+/// Tokens of stand-in engines. Each is a pure function of prompt and index, so that a reader can
+/// verify that an answer is complete, belongs to its prompt and repeats no token.
 namespace poplarspool::standin {
 
 /// Bytes of a prompt that count as one token.
 inline constexpr std::uint32_t bytesPerToken = 4;
 
-/// @returns Token `index` of the answer to `prompt`: "w", five hex digits and a blank.
+/// @returns Token `index` of the answer to `prompt`: "w", five hex digits and a space.
 inline std::string standinToken(std::string_view prompt, std::uint32_t index)
 {
     constexpr std::string_view digits = "0123456789abcdef";
@@ -29,7 +29,7 @@
     return token;
 }
 
-/// @returns The first `count` tokens of the answer, put together.
+/// @returns The first `count` tokens of the answer, concatenated.
 inline std::string standinAnswer(std::string_view prompt, std::uint32_t count)
 {
     std::string answer;
@@ -38,7 +38,7 @@
     return answer;
 }
 
-/// @returns Tokens that a stand-in engine counts for a prompt.
+/// @returns Number of tokens that a stand-in engine counts for a prompt.
 inline std::uint32_t promptTokensOf(std::string_view prompt)
 {
     return static_cast<std::uint32_t>((prompt.size() + bytesPerToken - 1) / bytesPerToken);
--- a/src/standin_app/main.cpp
+++ b/src/standin_app/main.cpp
@@ -9,8 +9,9 @@
 #include <string>
 #include <vector>
 
-/// `poplarspool-standin platform|engine|service OPTION…`: what stands around the product, for
-/// tests, demos and benches. Prints "listening ADDRESS" and runs until SIGTERM or SIGINT.
+/// `poplarspool-standin platform|engine|service OPTION…`: stand-ins for the systems that the
+/// product depends on, for tests, demos and benchmarks. Prints "listening ADDRESS" and runs until
+/// SIGTERM or SIGINT.
 namespace {
 
 using namespace poplarspool;
@@ -53,11 +54,12 @@
 
 int main(int count, char **values)
 {
-    // A reader that goes away is an ordinary event here, not a reason to die.
+    // Clients may disconnect at any time; SIGPIPE must not end the process.
     std::signal(SIGPIPE, SIG_IGN);
-    const std::vector<std::string> words(values + 1, values + count);
-    const std::string command = words.empty() ? "" : words.front();
-    const std::vector<std::string> rest(words.begin() + (words.empty() ? 0 : 1), words.end());
+    const std::vector<std::string> arguments(values + 1, values + count);
+    const std::string command = arguments.empty() ? "" : arguments.front();
+    const std::vector<std::string> rest(arguments.begin() + (arguments.empty() ? 0 : 1),
+                                        arguments.end());
     if (command == "platform")
         return standin::platformMain(rest);
     if (command == "engine")
--- a/src/standin_app/target_options.cpp
+++ b/src/standin_app/target_options.cpp
@@ -13,16 +13,17 @@
 
 using std::chrono::milliseconds;
 
-/// "NAME@VERSION,NAME@VERSION"; without a version it is "1".
+/// Parses "NAME@VERSION,NAME@VERSION"; the version defaults to "1".
 std::vector<engine_model> modelsOf(const std::string &text)
 {
     std::vector<engine_model> models;
     std::istringstream list(text);
     std::string entry;
     while (std::getline(list, entry, ',')) {
-        const std::size_t mark = entry.find('@');
-        const bool hasVersion = mark != std::string::npos;
-        models.push_back({entry.substr(0, mark), hasVersion ? entry.substr(mark + 1) : "1"});
+        const std::size_t separator = entry.find('@');
+        const bool hasVersion = separator != std::string::npos;
+        models.push_back(
+                {entry.substr(0, separator), hasVersion ? entry.substr(separator + 1) : "1"});
     }
     return models;
 }
@@ -35,7 +36,7 @@
         return crash_mode::Exit;
     if (name == "none")
         return crash_mode::None;
-    throw cxxopts::exceptions::parsing("--crash-in-change is none, drop or exit");
+    throw cxxopts::exceptions::parsing("--crash-in-change must be none, drop or exit");
 }
 
 endpoint listenAddressOf(const cxxopts::ParseResult &parsed)
@@ -52,46 +53,48 @@
 }
 
 template <class T>
-std::shared_ptr<cxxopts::Value> valueWith(const char *standard)
+std::shared_ptr<cxxopts::Value> valueWith(const char *defaultValue)
 {
-    return cxxopts::value<T>()->default_value(standard);
+    return cxxopts::value<T>()->default_value(defaultValue);
 }
 
-void addCommon(cxxopts::Options &options)
+void addCommonOptions(cxxopts::Options &options)
 {
     auto add = options.add_options();
-    add("listen", "Address; port 0 chooses one", valueWith<std::string>("127.0.0.1:0"));
-    add("connections", "Open connections at most", valueWith<std::uint32_t>("4096"));
+    add("listen", "Address; port 0: chosen by the system", valueWith<std::string>("127.0.0.1:0"));
+    add("connections", "Maximum number of open connections", valueWith<std::uint32_t>("4096"));
     add("help", "Show this text");
 }
 
-cxxopts::Options engineCommandLine()
+cxxopts::Options engineCommandOptions()
 {
     cxxopts::Options options("poplarspool-standin engine", "Emulates a model engine.");
-    addCommon(options);
+    addCommonOptions(options);
     auto add = options.add_options();
     add("role", "mixed, prefill or decode", valueWith<std::string>("mixed"));
-    add("models", "Loaded at the start: NAME@VERSION,...",
+    add("models", "Models loaded at the start: NAME@VERSION,...",
         valueWith<std::string>("recovery-llm@1"));
     add("kv-pieces", "Pieces of KV memory", valueWith<std::uint32_t>("1000"));
     add("piece-tokens", "Tokens per piece", valueWith<std::uint32_t>("16"));
-    add("batch", "Streams per iteration at most", valueWith<std::uint32_t>("64"));
-    add("chunk", "Prefill tokens per iteration", valueWith<std::uint32_t>("512"));
-    add("prefill-rate", "Prefill tokens a second", valueWith<double>("8000"));
-    add("decode-rate", "Decoded tokens a second", valueWith<double>("1500"));
-    add("iteration-us", "Shortest iteration, microseconds", valueWith<std::uint32_t>("8000"));
-    add("max-queue", "Waiting requests at most", valueWith<std::uint32_t>("4096"));
-    add("own-work-share", "Rate of a role at its own work", valueWith<double>("1.5"));
-    add("other-work-share", "Rate of a role at the other work", valueWith<double>("0.25"));
-    add("speed", "Divides every emulated time", valueWith<double>("1"));
-    add("change-ms", "Time of a change of role or models", valueWith<std::uint32_t>("3000"));
-    add("load-lag-ms", "Age of load reports", valueWith<std::uint32_t>("0"));
-    add("event-delay-ms", "Lateness of cache events", valueWith<std::uint32_t>("0"));
-    add("event-gap-every", "Loses every Nth cache event", valueWith<std::uint32_t>("0"));
-    add("crash-in-change", "none, drop or exit: in the first change",
+    add("batch", "Maximum streams per iteration", valueWith<std::uint32_t>("64"));
+    add("chunk", "Maximum prefill tokens per iteration", valueWith<std::uint32_t>("512"));
+    add("prefill-rate", "Prefill tokens per second", valueWith<double>("8000"));
+    add("decode-rate", "Decoded tokens per second", valueWith<double>("1500"));
+    add("iteration-us", "Minimum duration of an iteration, microseconds",
+        valueWith<std::uint32_t>("8000"));
+    add("max-queue", "Maximum number of queued requests", valueWith<std::uint32_t>("4096"));
+    add("own-work-share", "Rate factor of a role for its own work", valueWith<double>("1.5"));
+    add("other-work-share", "Rate factor of a role for the other work", valueWith<double>("0.25"));
+    add("speed", "Divides all emulated times", valueWith<double>("1"));
+    add("change-ms", "Duration of a change of role or models, milliseconds",
+        valueWith<std::uint32_t>("3000"));
+    add("load-lag-ms", "Age of load reports, milliseconds", valueWith<std::uint32_t>("0"));
+    add("event-delay-ms", "Delay of cache events, milliseconds", valueWith<std::uint32_t>("0"));
+    add("event-gap-every", "Drop every Nth cache event; 0: none", valueWith<std::uint32_t>("0"));
+    add("crash-in-change", "Crash during the first change: none, drop or exit",
         valueWith<std::string>("none"));
     add("last-fence", "Fencing number known at the start", valueWith<std::uint64_t>("0"));
-    add("ignore-fence", "Obeys orders with old fencing numbers");
+    add("ignore-fence", "Obey orders with stale fencing numbers");
     return options;
 }
 
@@ -122,23 +125,23 @@
     options.lastFence = parsed["last-fence"].as<std::uint64_t>();
     options.respectsFence = parsed.count("ignore-fence") == 0;
     if (!isRole(options.setup.role))
-        throw cxxopts::exceptions::parsing("--role is mixed, prefill or decode");
+        throw cxxopts::exceptions::parsing("--role must be mixed, prefill or decode");
     const bool isUsable = options.batch.kvPieces > 0 && options.batch.pieceTokens > 0
             && options.batch.maxRunning > 0 && options.batch.chunkTokens > 0
             && options.batch.prefillRate > 0 && options.batch.decodeRate > 0 && options.speed > 0
             && options.ownWorkShare > 0 && options.otherWorkShare > 0;
     if (!isUsable)
-        throw cxxopts::exceptions::parsing("rates, sizes and speed must be above zero");
+        throw cxxopts::exceptions::parsing("rates, sizes and speed must be greater than zero");
     return options;
 }
 
-cxxopts::Options serviceCommandLine()
+cxxopts::Options serviceCommandOptions()
 {
     cxxopts::Options options("poplarspool-standin service", "Emulates a plain service.");
-    addCommon(options);
+    addCommonOptions(options);
     auto add = options.add_options();
-    add("name", "Told in each reply", valueWith<std::string>("service"));
-    add("work-ms", "Time of each request", valueWith<std::uint32_t>("0"));
+    add("name", "Service name in each reply", valueWith<std::string>("service"));
+    add("work-ms", "Processing time of each request, milliseconds", valueWith<std::uint32_t>("0"));
     return options;
 }
 
@@ -153,20 +156,21 @@
 }
 
 template <class T>
-result<std::variant<T, help_text>> parseWords(cxxopts::Options line,
-                                              const std::vector<std::string> &words,
-                                              T (*read)(const cxxopts::ParseResult &))
+result<std::variant<T, help_text>> parseArguments(cxxopts::Options options,
+                                                  const std::vector<std::string> &arguments,
+                                                  T (*convert)(const cxxopts::ParseResult &))
 {
-    std::vector<const char *> arguments{"poplarspool-standin"};
-    for (const std::string &word : words)
-        arguments.push_back(word.c_str());
+    std::vector<const char *> argv{"poplarspool-standin"};
+    for (const std::string &argument : arguments)
+        argv.push_back(argument.c_str());
     try {
-        const auto parsed = line.parse(static_cast<int>(arguments.size()), arguments.data());
+        const auto parsed = options.parse(static_cast<int>(argv.size()), argv.data());
         if (parsed.count("help") > 0)
-            return std::variant<T, help_text>(help_text{line.help()});
+            return std::variant<T, help_text>(help_text{options.help()});
         if (!parsed.unmatched().empty())
-            return notRun(error_code::BadRequest, "unknown word: " + parsed.unmatched().front());
-        return std::variant<T, help_text>(read(parsed));
+            return notRun(error_code::BadRequest,
+                          "unexpected argument: " + parsed.unmatched().front());
+        return std::variant<T, help_text>(convert(parsed));
     } catch (const cxxopts::exceptions::exception &fault) {
         return notRun(error_code::BadRequest, fault.what());
     }
@@ -175,15 +179,15 @@
 } // namespace
 
 result<std::variant<engine_options, help_text>>
-parseEngineOptions(const std::vector<std::string> &words)
+parseEngineOptions(const std::vector<std::string> &arguments)
 {
-    return parseWords(engineCommandLine(), words, engineOptionsOf);
+    return parseArguments(engineCommandOptions(), arguments, engineOptionsOf);
 }
 
 result<std::variant<service_options, help_text>>
-parseServiceOptions(const std::vector<std::string> &words)
+parseServiceOptions(const std::vector<std::string> &arguments)
 {
-    return parseWords(serviceCommandLine(), words, serviceOptionsOf);
+    return parseArguments(serviceCommandOptions(), arguments, serviceOptionsOf);
 }
 
 } // namespace poplarspool::standin
--- a/src/standin_app/target_options.h
+++ b/src/standin_app/target_options.h
@@ -10,16 +10,18 @@
 
 namespace poplarspool::standin {
 
-/// Text that the user asked for instead of a run.
+/// The help text, if `--help` was given.
 struct help_text
 {
     std::string text;
 };
 
-/// @param words The command line after the subcommand.
+/// Parses the options of the engine or the service.
+/// @param arguments The command-line arguments after the subcommand.
+/// @returns BadRequest for invalid arguments.
 result<std::variant<engine_options, help_text>>
-parseEngineOptions(const std::vector<std::string> &words);
+parseEngineOptions(const std::vector<std::string> &arguments);
 result<std::variant<service_options, help_text>>
-parseServiceOptions(const std::vector<std::string> &words);
+parseServiceOptions(const std::vector<std::string> &arguments);
 
 } // namespace poplarspool::standin
