--- a/tests/bench/answer_test.cpp
+++ b/tests/bench/answer_test.cpp
@@ -36,26 +36,26 @@
 class answer_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(answer_test);
-    CPPUNIT_TEST(aWholeAnswerIsWhole);
-    CPPUNIT_TEST(missingTokensAreACut);
-    CPPUNIT_TEST(repeatedTokensAreDoubled);
-    CPPUNIT_TEST(foreignTokensAreWrong);
-    CPPUNIT_TEST(streamsAreReadInAnyPieces);
-    CPPUNIT_TEST(aStreamWithoutItsEndIsNotEnded);
-    CPPUNIT_TEST(anErrorEventIsNoEnd);
-    CPPUNIT_TEST(nothingMayFollowTheEnd);
-    CPPUNIT_TEST(refusalsCarryTheirVerdict);
-    CPPUNIT_TEST(recordsShowWhatCallersWereNotTold);
+    CPPUNIT_TEST(completeAnswerIsWhole);
+    CPPUNIT_TEST(missingTokensAreReportedAsCut);
+    CPPUNIT_TEST(repeatedTokensAreReportedAsDoubled);
+    CPPUNIT_TEST(tokensOfOtherPromptsAreWrong);
+    CPPUNIT_TEST(streamIsParsedInPiecesOfAnySize);
+    CPPUNIT_TEST(streamWithoutDoneHasNoEnd);
+    CPPUNIT_TEST(errorEventIsNotTheEnd);
+    CPPUNIT_TEST(dataAfterDoneIsMalformed);
+    CPPUNIT_TEST(failureHasVerdictAndRetryAfter);
+    CPPUNIT_TEST(recordsRevealDoubledLostAndFalseNotRun);
     CPPUNIT_TEST_SUITE_END();
 
-    void aWholeAnswerIsWhole()
+    void completeAnswerIsWhole()
     {
         CPPUNIT_ASSERT(checkAnswer(prompt, 3, standin::standinAnswer(prompt, 3))
                        == answer_state::Whole);
         CPPUNIT_ASSERT(checkAnswer(prompt, 0, "") == answer_state::Whole);
     }
 
-    void missingTokensAreACut()
+    void missingTokensAreReportedAsCut()
     {
         CPPUNIT_ASSERT(checkAnswer(prompt, 4, standin::standinAnswer(prompt, 3))
                        == answer_state::Cut);
@@ -64,9 +64,10 @@
         CPPUNIT_ASSERT(checkAnswer(prompt, 3, broken) != answer_state::Whole);
     }
 
-    // An instance resumes a stream on another engine one token too early. The caller gets the last
-    // token twice, and a count of tokens alone would not show it: the answer then ends one short.
-    void repeatedTokensAreDoubled()
+    // An instance resumes a stream on another engine one token too early, so that the caller
+    // receives the last token twice. The token count alone does not show it, because the answer
+    // then ends one token short.
+    void repeatedTokensAreReportedAsDoubled()
     {
         CPPUNIT_ASSERT(checkAnswer(prompt, 3, tokenAt(0) + tokenAt(1) + tokenAt(1))
                        == answer_state::Doubled);
@@ -74,7 +75,7 @@
                        == answer_state::Doubled);
     }
 
-    void foreignTokensAreWrong()
+    void tokensOfOtherPromptsAreWrong()
     {
         const std::string other = standin::standinAnswer("another prompt", 2);
         CPPUNIT_ASSERT(checkAnswer(prompt, 2, other) == answer_state::Wrong);
@@ -82,7 +83,7 @@
         CPPUNIT_ASSERT(checkAnswer(prompt, 2, longer) == answer_state::Wrong);
     }
 
-    void streamsAreReadInAnyPieces()
+    void streamIsParsedInPiecesOfAnySize()
     {
         const std::string stream = chunkOf("one ") + chunkOf("two ")
                 + R"(data: {"choices":[{"text":"","finish_reason":"length"}],)"
@@ -96,11 +97,11 @@
         }
     }
 
-    // An engine dies, and its instance closes the caller's stream as if all had been said. The
-    // transport ends well; only the missing [DONE] tells the caller that its answer was cut.
-    void aStreamWithoutItsEndIsNotEnded() { CPPUNIT_ASSERT(!readAll(chunkOf("one "), 7).hasEnd); }
+    // An engine crashes and its instance closes the caller's stream normally. Only the missing
+    // [DONE] shows that the answer was cut.
+    void streamWithoutDoneHasNoEnd() { CPPUNIT_ASSERT(!readAll(chunkOf("one "), 7).hasEnd); }
 
-    void anErrorEventIsNoEnd()
+    void errorEventIsNotTheEnd()
     {
         const std::string failure = "data: {\"error\":{\"code\":\"broken\",\"message\":\"m\","
                                     "\"verdict\":\"may_have_run\"}}\n\n";
@@ -109,13 +110,13 @@
         CPPUNIT_ASSERT(answer.failure == mayHaveRun(error_code::Broken, "m"));
     }
 
-    void nothingMayFollowTheEnd()
+    void dataAfterDoneIsMalformed()
     {
         CPPUNIT_ASSERT(readAll("data: [DONE]\n\n" + chunkOf("more "), 50).isMalformed);
         CPPUNIT_ASSERT(readAll("data: nonsense\n\n", 50).isMalformed);
     }
 
-    void refusalsCarryTheirVerdict()
+    void failureHasVerdictAndRetryAfter()
     {
         const http_reply refused{503,
                                  {{"Retry-After", "2"}},
@@ -127,7 +128,7 @@
         CPPUNIT_ASSERT(failureIn({502, {}, "<html>", "text/html"}).ran == verdict::MayHaveRun);
     }
 
-    void recordsShowWhatCallersWereNotTold()
+    void recordsRevealDoubledLostAndFalseNotRun()
     {
         const key_ends ends{{"once", call_end::Whole},
                             {"twice", call_end::Whole},
--- a/tests/bench/figures_test.cpp
+++ b/tests/bench/figures_test.cpp
@@ -15,17 +15,17 @@
 class figures_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(figures_test);
-    CPPUNIT_TEST(quantilesAreSamples);
-    CPPUNIT_TEST(aLineIsFound);
-    CPPUNIT_TEST(summariesAreOneLine);
-    CPPUNIT_TEST(processFilesAreRead);
-    CPPUNIT_TEST(metricsAreSummedByTheirNamesEnd);
-    CPPUNIT_TEST(aMixIsReadOrRefused);
-    CPPUNIT_TEST(aRequestIsGivenByItsNumber);
-    CPPUNIT_TEST(aShiftTakesOneEntryAtATime);
+    CPPUNIT_TEST(quantileIsNearestRankSample);
+    CPPUNIT_TEST(lineIsFittedByLeastSquares);
+    CPPUNIT_TEST(figuresAreFormattedAsLineAndJson);
+    CPPUNIT_TEST(processFilesAreParsed);
+    CPPUNIT_TEST(metricsAreSummedByNameSuffix);
+    CPPUNIT_TEST(mixIsParsedOrRejected);
+    CPPUNIT_TEST(requestIsDeterminedByItsNumber);
+    CPPUNIT_TEST(shiftUsesOneMixEntryAtATime);
     CPPUNIT_TEST_SUITE_END();
 
-    void quantilesAreSamples()
+    void quantileIsNearestRankSample()
     {
         durations samples;
         for (int number = 100; number > 0; --number)
@@ -36,20 +36,20 @@
         CPPUNIT_ASSERT(quantileOf({}, 0.5) == 0ns);
     }
 
-    void aLineIsFound()
+    void lineIsFittedByLeastSquares()
     {
         CPPUNIT_ASSERT(fitLine({{3, 7}, {6, 13}, {12, 25}}) == (line_fit{1, 2}));
         CPPUNIT_ASSERT(fitLine({{3, 4}, {3, 6}}) == (line_fit{5, 0}));
     }
 
-    void summariesAreOneLine()
+    void figuresAreFormattedAsLineAndJson()
     {
         const figures all{{"requests", 12, 0}, {"p50_first_ms", 0.25, 3}};
         CPPUNIT_ASSERT_EQUAL(std::string("requests=12 p50_first_ms=0.250"), lineOf(all));
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"requests":12,"p50_first_ms":0.25})"), jsonOf(all));
     }
 
-    void processFilesAreRead()
+    void processFilesAreParsed()
     {
         const std::string stat = "77 (a) b (c)) S 1 77 77 0 -1 4194560 500 0 0 0 150 50 0 0 20 0";
         const auto cpuTime = cpuTimeIn(stat, 100);
@@ -60,7 +60,7 @@
         CPPUNIT_ASSERT(!succeeded(residentKbIn("Name:\tx\n")));
     }
 
-    void metricsAreSummedByTheirNamesEnd()
+    void metricsAreSummedByNameSuffix()
     {
         const metric_samples samples =
                 parseMetrics("# TYPE a_bytes_total counter\na_bytes_total 5\n"
@@ -69,7 +69,7 @@
         CPPUNIT_ASSERT_EQUAL(13.0, sumOfSuffix(samples, "_bytes_total"));
     }
 
-    void aMixIsReadOrRefused()
+    void mixIsParsedOrRejected()
     {
         const std::vector<mix_entry> expected{{2000, 50}, {100, 400}};
         CPPUNIT_ASSERT(parseMix("2000:50,100:400") == expected);
@@ -77,7 +77,7 @@
             CPPUNIT_ASSERT_THROW(parseMix(bad), usage_error);
     }
 
-    void aRequestIsGivenByItsNumber()
+    void requestIsDeterminedByItsNumber()
     {
         load_plan plan;
         plan.run = "run";
@@ -98,7 +98,7 @@
         CPPUNIT_ASSERT(keys.size() > 50 && keys.size() < 150);
     }
 
-    void aShiftTakesOneEntryAtATime()
+    void shiftUsesOneMixEntryAtATime()
     {
         load_plan plan;
         plan.mix = {{100, 10}, {30, 5}};
--- a/tests/bench/load_call_test.cpp
+++ b/tests/bench/load_call_test.cpp
@@ -25,7 +25,7 @@
             {{"error", {{"code", "unavailable"}, {"message", "m"}, {"verdict", verdictName}}}});
 }
 
-/// An instance that answers completions as it was told to, one after the other.
+/// An instance that answers requests with a scripted sequence of replies.
 class fake_instance
 {
 public:
@@ -45,18 +45,18 @@
 
     ~fake_instance() { server.stop(); }
 
-    call_outcome perform(const std::deque<answer> &wanted)
+    call_outcome perform(const std::deque<answer> &script)
     {
-        answers = wanted;
+        answers = script;
         http_pool pool(4, milliseconds(1000), metrics);
-        const caller_identity who{"tester", "", ""};
-        address_book book({address}, who, pool);
-        return performCall(call, who, book, pool, systemClock().mono());
+        const caller_identity identity{"tester", "", ""};
+        address_book cache({address}, identity, pool);
+        return performCall(call, identity, cache, pool, systemClock().mono());
     }
 
     endpoint address;
-    std::vector<endpoint> addresses; ///< Given to callers.
-    std::vector<std::string> keys; ///< Of all tries.
+    std::vector<endpoint> addresses; ///< Returned by /v1/addresses.
+    std::vector<std::string> keys; ///< Idempotency keys of all tries.
 
 private:
     std::optional<http_reply> serve(const http_request &request, http_sink &sink)
@@ -107,20 +107,20 @@
     return "data: " + nlohmann::json{{"choices", {{{"index", 0}, {"text", text}}}}}.dump() + "\n\n";
 }
 
-/// Streams so many tokens, then the last words.
-fake_instance::answer streaming(std::uint32_t tokens, const std::string &lastWords)
+/// Streams that many tokens, then `ending`.
+fake_instance::answer streaming(std::uint32_t tokens, const std::string &ending)
 {
     return [=](const load_call &call, http_sink &sink) -> std::optional<http_reply> {
         sink.begin(200, {}, "text/event-stream");
         for (std::uint32_t index = 0; index < tokens; ++index)
             sink.write(chunkOf(standin::standinToken(call.prompt, index)));
-        sink.write(lastWords);
+        sink.write(ending);
         sink.end();
         return std::nullopt;
     };
 }
 
-fake_instance::answer saying(const http_reply &reply)
+fake_instance::answer replying(const http_reply &reply)
 {
     return [reply](const load_call &, http_sink &) { return reply; };
 }
@@ -132,15 +132,15 @@
 class load_call_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(load_call_test);
-    CPPUNIT_TEST(aWholeStreamIsWhole);
-    CPPUNIT_TEST(notRunIsTriedAgainWithTheSameKey);
-    CPPUNIT_TEST(whatMayHaveRunIsNeverTriedAgain);
-    CPPUNIT_TEST(aCutStreamIsNeverTriedAgain);
-    CPPUNIT_TEST(aDeadAddressIsPassedOver);
-    CPPUNIT_TEST(anotherCallsAnswerIsWrong);
+    CPPUNIT_TEST(completeStreamIsWhole);
+    CPPUNIT_TEST(notRunIsRetriedWithTheSameKey);
+    CPPUNIT_TEST(mayHaveRunIsNotRetried);
+    CPPUNIT_TEST(cutStreamIsNotRetried);
+    CPPUNIT_TEST(unreachableAddressIsSkipped);
+    CPPUNIT_TEST(answerOfAnotherCallIsWrong);
     CPPUNIT_TEST_SUITE_END();
 
-    void aWholeStreamIsWhole()
+    void completeStreamIsWhole()
     {
         fake_instance instance(streamedCall());
         const call_outcome outcome = instance.perform({streaming(3, done)});
@@ -148,52 +148,53 @@
         CPPUNIT_ASSERT(outcome.firstByte.count() > 0);
     }
 
-    // The caller is told "not run" twice and the third try serves it. It must send the same key
-    // each time: with a new one, a verdict that was false would run the request twice unseen.
-    void notRunIsTriedAgainWithTheSameKey()
+    // Two tries end with the verdict "not run" and the third one succeeds. All must have the same
+    // idempotency key: with a new key, a false verdict would run the request twice without being
+    // detected.
+    void notRunIsRetriedWithTheSameKey()
     {
         fake_instance instance(streamedCall());
         const call_outcome outcome =
-                instance.perform({saying(failureReply("not_run")), saying(failureReply("not_run")),
-                                  streaming(3, done)});
+                instance.perform({replying(failureReply("not_run")),
+                                  replying(failureReply("not_run")), streaming(3, done)});
         CPPUNIT_ASSERT(outcome.end == call_end::Whole);
         CPPUNIT_ASSERT_EQUAL(2U, outcome.notRunAnswers);
         const std::vector<std::string> expected(3, "key-1");
         CPPUNIT_ASSERT(instance.keys == expected);
     }
 
-    void whatMayHaveRunIsNeverTriedAgain()
+    void mayHaveRunIsNotRetried()
     {
         fake_instance instance(streamedCall());
         const call_outcome outcome =
-                instance.perform({saying(failureReply("may_have_run")), streaming(3, done)});
+                instance.perform({replying(failureReply("may_have_run")), streaming(3, done)});
         CPPUNIT_ASSERT(outcome.end == call_end::MayHaveRun);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, instance.keys.size());
     }
 
-    // Two of three tokens come, and then an honest error event, or nothing more. For the caller the
-    // answer is cut either way, and the count of cut answers has to say so.
-    void aCutStreamIsNeverTriedAgain()
+    // Two of three tokens are followed by an error event, by [DONE] or by the end of the stream.
+    // The answer is cut in each case and must be counted as cut, even if the event says "not run".
+    void cutStreamIsNotRetried()
     {
         const std::string failure = "data: {\"error\":{\"code\":\"broken\",\"message\":\"m\","
                                     "\"verdict\":\"not_run\"}}\n\n";
-        for (const std::string &lastWords : {failure, done, std::string()}) {
+        for (const std::string &ending : {failure, done, std::string()}) {
             fake_instance instance(streamedCall());
             const call_outcome outcome =
-                    instance.perform({streaming(2, lastWords), streaming(3, done)});
+                    instance.perform({streaming(2, ending), streaming(3, done)});
             CPPUNIT_ASSERT(outcome.end == call_end::Cut);
             CPPUNIT_ASSERT_EQUAL(std::size_t{1}, instance.keys.size());
         }
     }
 
-    // An instance was killed a moment ago, and the caller still keeps its address as the best one.
-    // The connection is refused, so nothing can have run, and the next address serves at once.
-    void aDeadAddressIsPassedOver()
+    // An instance was killed, and the caller still has its address cached as the best one. The
+    // connection is refused, so nothing can have run, and the next address is used at once.
+    void unreachableAddressIsSkipped()
     {
         endpoint dead;
         {
-            fake_instance gone(streamedCall());
-            dead = gone.address;
+            fake_instance stopped(streamedCall());
+            dead = stopped.address;
         }
         fake_instance instance(streamedCall());
         instance.addresses = {dead, instance.address};
@@ -202,7 +203,7 @@
         CPPUNIT_ASSERT_EQUAL(0U, outcome.notRunAnswers);
     }
 
-    void anotherCallsAnswerIsWrong()
+    void answerOfAnotherCallIsWrong()
     {
         load_call call;
         call.service = "desk";
@@ -211,10 +212,10 @@
         call.idempotencyKey = "mine";
         fake_instance instance(call);
         const auto own = instance.perform(
-                {saying(jsonReply(200, {{"key", "mine"}, {"path", "/orders/mine"}}))});
+                {replying(jsonReply(200, {{"key", "mine"}, {"path", "/orders/mine"}}))});
         CPPUNIT_ASSERT(own.end == call_end::Whole);
         const auto crossed = instance.perform(
-                {saying(jsonReply(200, {{"key", "other"}, {"path", "/orders/other"}}))});
+                {replying(jsonReply(200, {{"key", "other"}, {"path", "/orders/other"}}))});
         CPPUNIT_ASSERT(crossed.end == call_end::Wrong);
     }
 };
--- a/tests/standin/batch_test.cpp
+++ b/tests/standin/batch_test.cpp
@@ -29,7 +29,7 @@
           work(options, cache)
     { }
 
-    sequence_ptr add(const std::string &prompt, std::uint32_t wanted, std::uint32_t rank = 0)
+    sequence_ptr add(const std::string &prompt, std::uint32_t outputTokens, std::uint32_t rank = 0)
     {
         piece_chain chain("m", pieceTokens);
         for (const char letter : prompt)
@@ -39,15 +39,16 @@
         one->arrival = ++arrivals;
         one->hashes = chain.hashes();
         one->contextTokens = static_cast<std::uint32_t>(prompt.size());
-        one->wantedTokens = wanted;
+        one->wantedTokens = outputTokens;
         work.add(one);
         return one;
     }
 
     std::vector<sequence_ptr> iterate() { return work.finish(work.plan({})); }
 
-    /// @returns Iterations until nothing is left.
-    std::uint32_t runAll()
+    /// Runs until all sequences have finished.
+    /// @returns The number of iterations.
+    std::uint32_t runToCompletion()
     {
         std::uint32_t iterations = 0;
         while (!work.isEmpty()) {
@@ -71,32 +72,32 @@
 class batch_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(batch_test);
-    CPPUNIT_TEST(chunksPrefillAndDecodes);
-    CPPUNIT_TEST(reusesPrefixes);
-    CPPUNIT_TEST(evictsLeastRecentlyUsed);
-    CPPUNIT_TEST(highPriorityGoesFirst);
-    CPPUNIT_TEST(preemptedSequencesFinish);
-    CPPUNIT_TEST(rolesChangeTheRates);
-    CPPUNIT_TEST(eventsAreLateAndGappy);
+    CPPUNIT_TEST(prefillIsChunkedBeforeDecoding);
+    CPPUNIT_TEST(cachedPrefixesAreReused);
+    CPPUNIT_TEST(leastRecentlyUsedPieceIsEvicted);
+    CPPUNIT_TEST(higherPriorityPreemptsLower);
+    CPPUNIT_TEST(preemptedSequenceFinishesWithAllTokens);
+    CPPUNIT_TEST(roleScalesTheRates);
+    CPPUNIT_TEST(eventsAreDelayedAndEveryNthIsDropped);
     CPPUNIT_TEST_SUITE_END();
 
-    void chunksPrefillAndDecodes()
+    void prefillIsChunkedBeforeDecoding()
     {
         batch_fixture fixture(100);
         const auto one = fixture.add(std::string(20, 'a'), 3);
         CPPUNIT_ASSERT(fixture.iterate().empty());
         CPPUNIT_ASSERT(fixture.iterate().empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), fixture.iterate().size());
-        CPPUNIT_ASSERT_EQUAL(2U, fixture.runAll());
+        CPPUNIT_ASSERT_EQUAL(2U, fixture.runToCompletion());
         CPPUNIT_ASSERT_EQUAL(3U, one->produced);
         CPPUNIT_ASSERT_EQUAL(0U, fixture.cache.held());
     }
 
-    void reusesPrefixes()
+    void cachedPrefixesAreReused()
     {
         batch_fixture fixture(100);
         fixture.add("aaaabbbbccccdddd", 1);
-        CPPUNIT_ASSERT_EQUAL(2U, fixture.runAll());
+        CPPUNIT_ASSERT_EQUAL(2U, fixture.runToCompletion());
         CPPUNIT_ASSERT_EQUAL(4, fixture.stored);
         const auto again = fixture.add("aaaabbbbccccdddd", 1);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), fixture.iterate().size());
@@ -106,23 +107,23 @@
         CPPUNIT_ASSERT_EQUAL(4, fixture.stored);
     }
 
-    void evictsLeastRecentlyUsed()
+    void leastRecentlyUsedPieceIsEvicted()
     {
         batch_fixture fixture(4);
         fixture.add("aaaabbbb", 1);
-        fixture.runAll();
+        fixture.runToCompletion();
         fixture.add("ccccdddd", 1);
-        fixture.runAll();
+        fixture.runToCompletion();
         CPPUNIT_ASSERT_EQUAL(0, fixture.evicted);
         fixture.add("eeee", 1);
-        fixture.runAll();
+        fixture.runToCompletion();
         CPPUNIT_ASSERT_EQUAL(1, fixture.evicted);
         const auto kept = fixture.add("ccccddddx", 1);
         fixture.work.plan({});
         CPPUNIT_ASSERT_EQUAL(2U, kept->sharedPieces);
     }
 
-    void highPriorityGoesFirst()
+    void higherPriorityPreemptsLower()
     {
         batch_fixture fixture(4);
         const auto low = fixture.add(std::string(12, 'a'), 4, 5);
@@ -131,14 +132,14 @@
         const auto high = fixture.add(std::string(12, 'b'), 4, 1);
         fixture.iterate();
         CPPUNIT_ASSERT(high->isRunning && !low->isRunning);
-        fixture.runAll();
+        fixture.runToCompletion();
         CPPUNIT_ASSERT_EQUAL(4U, low->produced);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), fixture.work.preemptedCount());
     }
 
-    // Four streams need more pieces than there are. The last one is preempted and computed again
-    // later; it must neither lose a token nor give one twice, nor may any piece be left behind.
-    void preemptedSequencesFinish()
+    // Four streams need more pieces than exist, so the last one is preempted and recomputed later.
+    // It must neither lose nor repeat a token, and no piece may leak.
+    void preemptedSequenceFinishesWithAllTokens()
     {
         batch_fixture fixture(10);
         std::vector<sequence_ptr> all;
@@ -152,7 +153,7 @@
         CPPUNIT_ASSERT_EQUAL(0U, fixture.cache.held());
     }
 
-    void rolesChangeTheRates()
+    void roleScalesTheRates()
     {
         batch_fixture fixture(4000);
         fixture.options.chunkTokens = 4000;
@@ -167,7 +168,7 @@
         CPPUNIT_ASSERT(own == std::chrono::milliseconds(250));
     }
 
-    void eventsAreLateAndGappy()
+    void eventsAreDelayedAndEveryNthIsDropped()
     {
         const auto start = std::chrono::steady_clock::time_point{};
         const std::chrono::milliseconds delay(10);
--- a/tests/standin/engine_core_test.cpp
+++ b/tests/standin/engine_core_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds safetyTime{20000};
+constexpr std::chrono::milliseconds testTimeout{20000};
 
 engine_options optionsOf(double speed)
 {
@@ -31,14 +31,14 @@
 
 engine_stream_ptr open(engine_core &core, const std::string &name, std::uint32_t tokens)
 {
-    const auto taken = core.submit(specOf(name, tokens));
-    CPPUNIT_ASSERT(std::holds_alternative<engine_stream_ptr>(taken));
-    return std::get<engine_stream_ptr>(taken);
+    const auto submitted = core.submit(specOf(name, tokens));
+    CPPUNIT_ASSERT(std::holds_alternative<engine_stream_ptr>(submitted));
+    return std::get<engine_stream_ptr>(submitted);
 }
 
-void awaitThat(const std::function<bool()> &holds)
+void waitUntil(const std::function<bool()> &holds)
 {
-    const auto end = std::chrono::steady_clock::now() + safetyTime;
+    const auto end = std::chrono::steady_clock::now() + testTimeout;
     while (!holds()) {
         CPPUNIT_ASSERT(std::chrono::steady_clock::now() < end);
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -50,27 +50,27 @@
 class engine_core_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(engine_core_test);
-    CPPUNIT_TEST(orderCutsWhatBeganAndRefusesTheRest);
-    CPPUNIT_TEST(crashesInAChange);
-    CPPUNIT_TEST(repeatedOrderChangesNothing);
-    CPPUNIT_TEST(reportsLag);
-    CPPUNIT_TEST(refusesWhatNeverFits);
+    CPPUNIT_TEST(orderCutsStartedStreamsAndRefusesQueuedOnes);
+    CPPUNIT_TEST(crashDuringChangeKeepsTheFence);
+    CPPUNIT_TEST(repeatedOrderHasNoEffect);
+    CPPUNIT_TEST(loadReportsAreDelayed);
+    CPPUNIT_TEST(requestLargerThanKvMemoryIsRefused);
     CPPUNIT_TEST_SUITE_END();
 
-    // Two streams on an engine that runs one at a time, then an order: the first was begun and is
-    // cut, the second waited in the queue and is refused truly "not run".
-    void orderCutsWhatBeganAndRefusesTheRest()
+    // An engine that runs one stream at a time has two and receives an order. The first has started
+    // and is cut; the second is still queued and must be refused as not started.
+    void orderCutsStartedStreamsAndRefusesQueuedOnes()
     {
         auto options = optionsOf(1);
         options.batch.maxRunning = 1;
         engine_core core(options);
         core.start();
         const auto first = open(core, "first", 10000);
-        CPPUNIT_ASSERT(first->channel.wait(0, safetyTime).produced > 0);
+        CPPUNIT_ASSERT(first->channel.wait(0, testTimeout).produced > 0);
         const auto second = open(core, "second", 10);
         CPPUNIT_ASSERT(!core.order(1, "n", {"decode", {{"m", "1"}}}));
-        CPPUNIT_ASSERT(first->channel.wait(10000, safetyTime).state == stream_state::Cut);
-        CPPUNIT_ASSERT(second->channel.wait(0, safetyTime).state == stream_state::Refused);
+        CPPUNIT_ASSERT(first->channel.wait(10000, testTimeout).state == stream_state::Cut);
+        CPPUNIT_ASSERT(second->channel.wait(0, testTimeout).state == stream_state::Refused);
         const auto refusal = core.submit(specOf("third", 1));
         CPPUNIT_ASSERT_EQUAL(409, std::get<engine_refusal>(refusal).status);
         const auto records = core.records();
@@ -80,9 +80,9 @@
         core.stop();
     }
 
-    // The engine dies in the middle of a change: it comes back as a new life in the state that it
-    // starts with, and still refuses numbers below the one it had obeyed.
-    void crashesInAChange()
+    // The engine crashes halfway through a change. It returns as a new incarnation with its initial
+    // setup and must still refuse fencing numbers below the last one that it obeyed.
+    void crashDuringChangeKeepsTheFence()
     {
         auto options = optionsOf(100);
         options.crashInChange = crash_mode::DropState;
@@ -90,8 +90,8 @@
         core.start();
         const auto before = core.report();
         CPPUNIT_ASSERT(!core.order(5, "n", {"decode", {{"m", "1"}}}));
-        awaitThat([&] { return core.report().life > before.life; });
-        awaitThat([&] { return core.waitUntilReachable(); });
+        waitUntil([&] { return core.report().life > before.life; });
+        waitUntil([&] { return core.waitUntilReachable(); });
         const auto after = core.report();
         CPPUNIT_ASSERT_EQUAL(std::string("mixed"), after.setup.role);
         CPPUNIT_ASSERT(!after.isChanging);
@@ -101,21 +101,21 @@
         core.stop();
     }
 
-    void repeatedOrderChangesNothing()
+    void repeatedOrderHasNoEffect()
     {
         engine_core core(optionsOf(1));
         core.start();
         const auto stream = open(core, "first", 10000);
-        CPPUNIT_ASSERT(stream->channel.wait(0, safetyTime).produced > 0);
+        CPPUNIT_ASSERT(stream->channel.wait(0, testTimeout).produced > 0);
         CPPUNIT_ASSERT(!core.order(3, "n", {"mixed", {{"m", "1"}}}));
         CPPUNIT_ASSERT(!core.order(3, "n", {"mixed", {{"m", "1"}}}));
         CPPUNIT_ASSERT(core.order(3, "other", {"mixed", {{"m", "1"}}}).has_value());
-        CPPUNIT_ASSERT(stream->channel.wait(0, safetyTime).state == stream_state::Open);
+        CPPUNIT_ASSERT(stream->channel.wait(0, testTimeout).state == stream_state::Open);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), core.records().cut);
         core.stop();
     }
 
-    void reportsLag()
+    void loadReportsAreDelayed()
     {
         auto options = optionsOf(1);
         options.loadLag = std::chrono::hours(1);
@@ -123,12 +123,12 @@
         core.start();
         CPPUNIT_ASSERT_EQUAL(0U, core.report().running);
         const auto stream = open(core, "first", 10000);
-        CPPUNIT_ASSERT(stream->channel.wait(0, safetyTime).produced > 0);
+        CPPUNIT_ASSERT(stream->channel.wait(0, testTimeout).produced > 0);
         CPPUNIT_ASSERT_EQUAL(0U, core.report().running);
         core.stop();
     }
 
-    void refusesWhatNeverFits()
+    void requestLargerThanKvMemoryIsRefused()
     {
         engine_core core(optionsOf(1));
         const auto refusal = core.submit(specOf("big", 16001));
--- a/tests/standin/platform_copies_test.cpp
+++ b/tests/standin/platform_copies_test.cpp
@@ -14,14 +14,14 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-constexpr milliseconds callTime{10000};
+constexpr milliseconds callTimeout{10000};
 
-/// The stand-in, called over HTTP as a process would.
-struct called_platform
+/// The platform stand-in and an HTTP client for it.
+struct platform_client
 {
-    called_platform() : address(valueOf(standin.start())) { }
+    platform_client() : address(valueOf(standin.start())) { }
 
-    ~called_platform()
+    ~platform_client()
     {
         pool.stop();
         standin.stop();
@@ -35,7 +35,7 @@
         request.path = path;
         if (method != "GET")
             request.body = body.dump();
-        return pool.send(address, request, callTime);
+        return pool.send(address, request, callTimeout);
     }
 
     int statusOf(const std::string &method, const std::string &path,
@@ -45,7 +45,7 @@
         return succeeded(reply) ? valueOf(reply).status : 0;
     }
 
-    /// @returns The version that the store gave; 0 where it refused.
+    /// @returns The version that the store assigned; 0 if it refused the write.
     std::uint64_t put(const std::string &key, const std::string &value, std::uint64_t ifVersion = 0)
     {
         const auto reply =
@@ -55,7 +55,7 @@
         return json::parse(valueOf(reply).body).at("version").get<std::uint64_t>();
     }
 
-    /// @returns Empty where there is none.
+    /// @returns The value; empty if there is no such object.
     std::string get(const std::string &key)
     {
         const auto reply = call("GET", "/objects/" + key);
@@ -78,24 +78,24 @@
 
 } // namespace
 
-class platform_copies_test : public CppUnit::TestFixture
+class platform_snapshots_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(platform_copies_test);
-    CPPUNIT_TEST(goesBackToItsCopyAndGivesVersionsAgain);
-    CPPUNIT_TEST(withoutACopyItStays);
-    CPPUNIT_TEST(watchesBeyondItsVersionAreRefused);
-    CPPUNIT_TEST(aWaitingWatchIsBrokenOff);
-    CPPUNIT_TEST(lostWritesComeAgain);
-    CPPUNIT_TEST(lostRemovalsComeAgain);
-    CPPUNIT_TEST(whatWasWrittenSinceIsKept);
-    CPPUNIT_TEST(whatACopyHasSinceIsKept);
-    CPPUNIT_TEST(lostWritesOutlastASecondCopy);
+    CPPUNIT_TEST_SUITE(platform_snapshots_test);
+    CPPUNIT_TEST(rollbackRestoresSnapshotAndReassignsVersions);
+    CPPUNIT_TEST(rollbackWithoutSnapshotIsRefused);
+    CPPUNIT_TEST(watchAboveTheRollbackVersionIsRefused);
+    CPPUNIT_TEST(pendingWatchIsClosedByRollback);
+    CPPUNIT_TEST(lostWritesAreReplayed);
+    CPPUNIT_TEST(lostRemovalsAreReplayed);
+    CPPUNIT_TEST(replayKeepsNewerWrites);
+    CPPUNIT_TEST(replayKeepsNewerWritesOfASnapshot);
+    CPPUNIT_TEST(lostWritesSurviveASecondRollback);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void goesBackToItsCopyAndGivesVersionsAgain()
+    void rollbackRestoresSnapshotAndReassignsVersions()
     {
-        called_platform store;
+        platform_client store;
         store.put("a", "old");
         CPPUNIT_ASSERT_EQUAL(200, store.statusOf("POST", "/standin/copy"));
         const std::uint64_t lost = store.put("b", "lost");
@@ -109,18 +109,18 @@
         CPPUNIT_ASSERT_EQUAL(std::string("2"), store.epoch());
     }
 
-    void withoutACopyItStays()
+    void rollbackWithoutSnapshotIsRefused()
     {
-        called_platform store;
+        platform_client store;
         store.put("a", "1");
         CPPUNIT_ASSERT_EQUAL(409, store.statusOf("POST", "/standin/go_back"));
         CPPUNIT_ASSERT_EQUAL(std::string("1"), store.get("a"));
         CPPUNIT_ASSERT_EQUAL(std::string(), store.epoch());
     }
 
-    void watchesBeyondItsVersionAreRefused()
+    void watchAboveTheRollbackVersionIsRefused()
     {
-        called_platform store;
+        platform_client store;
         const std::uint64_t kept = store.put("a", "1");
         store.statusOf("POST", "/standin/copy");
         const std::uint64_t lost = store.put("b", "2");
@@ -132,10 +132,10 @@
         CPPUNIT_ASSERT_EQUAL(200, watch(kept));
     }
 
-    /// Answered as if nothing had happened, it would name a version of the epoch before.
-    void aWaitingWatchIsBrokenOff()
+    /// A normal reply would name a version of the previous epoch.
+    void pendingWatchIsClosedByRollback()
     {
-        called_platform store;
+        platform_client store;
         const std::uint64_t kept = store.put("a", "1");
         store.statusOf("POST", "/standin/copy");
         const std::string path = "/watch?prefix=&wait_ms=9000&after=" + std::to_string(kept);
@@ -147,9 +147,9 @@
         CPPUNIT_ASSERT_EQUAL(0, watch.get());
     }
 
-    void lostWritesComeAgain()
+    void lostWritesAreReplayed()
     {
-        called_platform store;
+        platform_client store;
         const std::uint64_t first = store.put("operators/a", "1");
         store.statusOf("POST", "/standin/copy");
         store.put("operators/a", "2", first);
@@ -161,9 +161,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string(), store.get("ours/b"));
     }
 
-    void lostRemovalsComeAgain()
+    void lostRemovalsAreReplayed()
     {
-        called_platform store;
+        platform_client store;
         const std::uint64_t first = store.put("a", "1");
         store.statusOf("POST", "/standin/copy");
         store.statusOf("DELETE", "/objects/a?if_version=" + std::to_string(first));
@@ -173,9 +173,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string(), store.get("a"));
     }
 
-    void whatWasWrittenSinceIsKept()
+    void replayKeepsNewerWrites()
     {
-        called_platform store;
+        platform_client store;
         const std::uint64_t first = store.put("a", "1");
         store.statusOf("POST", "/standin/copy");
         store.put("a", "lost", first);
@@ -185,10 +185,10 @@
         CPPUNIT_ASSERT_EQUAL(std::string("since"), store.get("a"));
     }
 
-    /// As above, with a copy taken in between.
-    void whatACopyHasSinceIsKept()
+    /// As above, with a snapshot taken before the replay.
+    void replayKeepsNewerWritesOfASnapshot()
     {
-        called_platform store;
+        platform_client store;
         store.statusOf("POST", "/standin/copy");
         store.put("a", "lost");
         store.statusOf("POST", "/standin/go_back");
@@ -198,10 +198,10 @@
         CPPUNIT_ASSERT_EQUAL(std::string("since"), store.get("a"));
     }
 
-    /// The store goes back twice before anybody has written again.
-    void lostWritesOutlastASecondCopy()
+    /// The store is rolled back twice before the lost writes are replayed.
+    void lostWritesSurviveASecondRollback()
     {
-        called_platform store;
+        platform_client store;
         store.statusOf("POST", "/standin/copy");
         store.put("a", "lost");
         store.statusOf("POST", "/standin/go_back");
@@ -211,6 +211,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(platform_copies_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(platform_snapshots_test);
 
 } // namespace poplarspool::standin
