--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -30,7 +30,7 @@
 constexpr char epochHeader[] = "Store-Epoch";
 
 /// A reply; if empty, the connection is closed without one.
-using answer = std::optional<http_reply>;
+using optional_reply = std::optional<http_reply>;
 
 http_limits httpLimits()
 {
@@ -112,17 +112,17 @@
                   metrics)
     { }
 
-    answer serve(const http_request &request);
-    answer serveControl(const http_request &request, const request_target &target);
+    optional_reply serve(const http_request &request);
+    optional_reply serveControl(const http_request &request, const request_target &target);
     std::optional<int> serveSnapshots(const http_request &request, const request_target &target);
-    answer serveWithinEpoch(const http_request &request, const request_target &target);
-    answer serveCall(const http_request &request, const request_target &target);
-    answer serveObject(const http_request &request, const request_target &target,
-                       const std::string &key);
-    answer serveWrite(const http_reply &reply);
+    optional_reply serveWithinEpoch(const http_request &request, const request_target &target);
+    optional_reply serveCall(const http_request &request, const request_target &target);
+    optional_reply serveObject(const http_request &request, const request_target &target,
+                               const std::string &key);
+    optional_reply serveWrite(const http_reply &reply);
     http_reply putObject(const http_request &request, const std::string &key);
     http_reply removeObject(const request_target &target, const std::string &key);
-    answer serveWatch(const request_target &target);
+    optional_reply serveWatch(const request_target &target);
     http_reply listInstances();
     http_reply weightsOf(const std::string &modelAndVersion);
     void setFault(const platform_fault_setting &setting);
@@ -143,7 +143,7 @@
     http_server server; ///< Declared last, because its threads use all other members.
 };
 
-answer platform_standin::state::serve(const http_request &request)
+optional_reply platform_standin::state::serve(const http_request &request)
 {
     const request_target target = parseTarget(request.path);
     try {
@@ -160,8 +160,8 @@
     }
 }
 
-answer platform_standin::state::serveControl(const http_request &request,
-                                             const request_target &target)
+optional_reply platform_standin::state::serveControl(const http_request &request,
+                                                     const request_target &target)
 {
     if (target.path == "/standin/records") {
         const platform_records counts = records();
@@ -214,11 +214,11 @@
 
 /// Serves a call, but closes its connection if the store is rolled back meanwhile: the reply would
 /// name versions of one epoch as those of another.
-answer platform_standin::state::serveWithinEpoch(const http_request &request,
-                                                 const request_target &target)
+optional_reply platform_standin::state::serveWithinEpoch(const http_request &request,
+                                                         const request_target &target)
 {
     const std::uint64_t epoch = objects.epoch();
-    answer reply = serveCall(request, target);
+    optional_reply reply = serveCall(request, target);
     if (objects.epoch() != epoch)
         return std::nullopt;
     if (reply && epoch > 0)
@@ -226,7 +226,8 @@
     return reply;
 }
 
-answer platform_standin::state::serveCall(const http_request &request, const request_target &target)
+optional_reply platform_standin::state::serveCall(const http_request &request,
+                                                  const request_target &target)
 {
     if (const auto key = pathAfter(target, "/objects/"))
         return serveObject(request, target, *key);
@@ -247,8 +248,9 @@
     return refusal(404, "no such path");
 }
 
-answer platform_standin::state::serveObject(const http_request &request,
-                                            const request_target &target, const std::string &key)
+optional_reply platform_standin::state::serveObject(const http_request &request,
+                                                    const request_target &target,
+                                                    const std::string &key)
 {
     if (request.method == "PUT")
         return serveWrite(putObject(request, key));
@@ -261,7 +263,7 @@
     return found ? replyOf(200, jsonOf(*found)) : refusal(404, "no such object");
 }
 
-answer platform_standin::state::serveWrite(const http_reply &reply)
+optional_reply platform_standin::state::serveWrite(const http_reply &reply)
 {
     if (faults.takesAnswer())
         return std::nullopt;
@@ -288,7 +290,7 @@
     return writeReply(objects.remove(key, *ifVersion));
 }
 
-answer platform_standin::state::serveWatch(const request_target &target)
+optional_reply platform_standin::state::serveWatch(const request_target &target)
 {
     ++watches;
     const auto prefix = target.query.find("prefix");
