--- a/tests/faults/answer_scenarios.cpp
+++ b/tests/faults/answer_scenarios.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t idlePerTarget = 4;
-constexpr milliseconds connectTime{500};
+constexpr milliseconds connectTimeout{500};
 
 load_spec longStreams()
 {
@@ -17,111 +17,114 @@
     return spec;
 }
 
-void expectAllWhole(const tally &counts)
+void expectAllWhole(const outcome_counts &counts)
 {
     expect(counts.whole == counts.requests,
-           std::to_string(counts.requests - counts.whole) + " answers are not whole");
+           std::to_string(counts.requests - counts.whole) + " answers are incomplete");
 }
 
-// Callers see a short pause in their streams. An engine is killed with all its connections while
-// streams run; they go on at another engine from the token that the caller has.
-tally engineKilledMidStream(const stage &place)
+// An engine is killed with all its connections while streams run. The streams resume on another
+// engine after the last token that the caller received; callers only see a short pause.
+outcome_counts engineKilledMidStream(const scenario_environment &environment)
 {
     fleet_spec spec;
     spec.engines = 3;
-    fleet site(place, spec);
-    load work(site, longStreams());
-    work.waitForWhole(10);
-    site.killEngine(0);
-    work.waitForWhole(30);
-    site.restartEngine(0);
-    work.waitForWhole(10);
-    tally counts = countOf(site, work.stop(), disturbance::Failures);
+    test_fleet fleet(environment, spec);
+    load_generator load(fleet, longStreams());
+    load.waitForWholeAnswers(10);
+    fleet.killEngine(0);
+    load.waitForWholeAnswers(30);
+    fleet.restartEngine(0);
+    load.waitForWholeAnswers(10);
+    outcome_counts counts = countOutcomes(fleet, load.stop(), disruption::Failures);
     expectAllWhole(counts);
     return counts;
 }
 
-// Callers see nothing. One engine answers with other attempts' streams, one ends its streams as if
-// they were whole, one sends a token twice, all at the same time: none of it may reach a caller.
-tally crossedAndEndedEarly(const stage &place)
+// At the same time, one engine answers with the streams of other attempts, one ends its streams
+// early as if they were complete, and one sends a token twice. None of this may reach a caller.
+outcome_counts crossedAndEndedEarly(const scenario_environment &environment)
 {
     fleet_spec spec;
     spec.engines = 3;
-    fleet site(place, spec);
-    load work(site, longStreams());
-    work.waitForWhole(10);
-    site.engineFault(0, {{"mode", "crossed"}, {"count", 4}});
-    site.engineFault(1, {{"mode", "end_early"}, {"count", 4}, {"after_tokens", 5}});
-    site.engineFault(2, {{"mode", "repeat"}, {"count", 4}});
-    work.waitForWhole(60);
-    tally counts = countOf(site, work.stop(), disturbance::Failures);
+    test_fleet fleet(environment, spec);
+    load_generator load(fleet, longStreams());
+    load.waitForWholeAnswers(10);
+    fleet.injectEngineFault(0, {{"mode", "crossed"}, {"count", 4}});
+    fleet.injectEngineFault(1, {{"mode", "end_early"}, {"count", 4}, {"after_tokens", 5}});
+    fleet.injectEngineFault(2, {{"mode", "repeat"}, {"count", 4}});
+    load.waitForWholeAnswers(60);
+    outcome_counts counts = countOutcomes(fleet, load.stop(), disruption::Failures);
     expectAllWhole(counts);
     return counts;
 }
 
-// Callers whose streams are on a frozen engine wait, or go on elsewhere. The engine's connections
-// stay open, so that its silence alone tells; woken, it sends on into streams that have moved.
-tally engineFrozenAndWoken(const stage &place)
+// An engine is frozen: its connections stay open, so only its silence shows the failure. Callers of
+// its streams wait, or their streams resume on another engine. After the engine is unfrozen it
+// continues to send on streams that have moved; none of that may reach a caller.
+outcome_counts engineFrozenAndWoken(const scenario_environment &environment)
 {
     fleet_spec spec;
     spec.engines = 3;
-    fleet site(place, spec);
-    load work(site, longStreams());
-    work.waitForWhole(10);
-    site.engine(0).freeze();
-    work.waitForWhole(40);
-    site.engine(0).wake();
-    work.waitForWhole(40);
-    return countOf(site, work.stop(), disturbance::Failures);
+    test_fleet fleet(environment, spec);
+    load_generator load(fleet, longStreams());
+    load.waitForWholeAnswers(10);
+    fleet.engine(0).freeze();
+    load.waitForWholeAnswers(40);
+    fleet.engine(0).unfreeze();
+    load.waitForWholeAnswers(40);
+    return countOutcomes(fleet, load.stop(), disruption::Failures);
 }
 
-// Callers of what must not be repeated hear at once that it has not run, and when to come back:
-// without the store there is no claim, and without a claim nothing is sent. Streams go on. Once the
-// store is back the same keys run, once each.
-tally storeOutageRefusesKeys(const stage &place)
+// During a store outage, calls that must not be repeated are refused as not run at once, with the
+// time after which to retry: without the store there is no claim, and without a claim nothing is
+// sent. Streams go on. Once the store is back, each of the refused keys runs exactly once.
+outcome_counts storeOutageRefusesKeys(const scenario_environment &environment)
 {
-    fleet site(place, {});
-    load work(site, longStreams());
+    test_fleet fleet(environment, {});
+    load_generator load(fleet, longStreams());
     metrics_registry metrics;
-    http_pool pool(idlePerTarget, connectTime, metrics);
-    work.waitForWhole(10);
-    site.platformFault({{"mode", "outage"}});
+    http_pool pool(idlePerTarget, connectTimeout, metrics);
+    load.waitForWholeAnswers(10);
+    fleet.injectPlatformFault({{"mode", "outage"}});
     std::vector<call_record> calls;
     for (std::size_t turn = 0; turn < 12; ++turn) {
-        calls.push_back(tryCall({"receipt-" + std::to_string(turn), "", 0},
-                                site.callerAddress(turn % 3), pool));
-        expect(calls.back().end == call_end::NotRun, "refused as not run: " + calls.back().detail);
+        calls.push_back(sendAttempt({"receipt-" + std::to_string(turn), "", 0},
+                                    fleet.callerAddress(turn % 3), pool));
+        expect(calls.back().outcome == call_outcome::NotRun,
+               "the call is refused as not run: " + calls.back().detail);
     }
-    expect(site.serviceRuns().empty(), "no service has begun any of them");
-    work.waitForWhole(20);
-    site.platformFault({{"mode", "none"}});
+    expect(fleet.serviceRuns().empty(), "no service has begun any refused call");
+    load.waitForWholeAnswers(20);
+    fleet.injectPlatformFault({{"mode", "none"}});
     for (std::size_t turn = 0; turn < 12; ++turn) {
-        calls.push_back(performCall({"receipt-" + std::to_string(turn), "", 0},
-                                    site.callerAddresses(), pool));
-        expect(calls.back().end == call_end::Whole, "runs later: " + calls.back().detail);
+        calls.push_back(callWithRetries({"receipt-" + std::to_string(turn), "", 0},
+                                        fleet.callerAddresses(), pool));
+        expect(calls.back().outcome == call_outcome::Whole,
+               "the call runs after the outage: " + calls.back().detail);
     }
-    const std::vector<call_record> streams = work.stop();
+    const std::vector<call_record> streams = load.stop();
     calls.insert(calls.end(), streams.begin(), streams.end());
-    return countOf(site, calls, disturbance::Failures);
+    return countOutcomes(fleet, calls, disruption::Failures);
 }
 
-// Callers are refused by "not run" again and again: all engines crash at once, twice, while the
-// store is out. What was begun on an engine must never be among the refused.
-tally enginesAndStoreDown(const stage &place)
+// All engines crash at the same time, three times, during a store outage, so that callers often get
+// "not run". A request that an engine has begun must never get that answer.
+outcome_counts enginesAndStoreDown(const scenario_environment &environment)
 {
-    fleet site(place, {});
-    load work(site, {});
-    work.waitForWhole(10);
-    site.platformFault({{"mode", "outage"}});
+    test_fleet fleet(environment, {});
+    load_generator load(fleet, {});
+    load.waitForWholeAnswers(10);
+    fleet.injectPlatformFault({{"mode", "outage"}});
     for (int turn = 0; turn < 3; ++turn) {
         for (std::size_t index : {0, 1})
-            site.engineFault(index, {{"mode", "crash"}});
-        work.waitForWhole(10);
+            fleet.injectEngineFault(index, {{"mode", "crash"}});
+        load.waitForWholeAnswers(10);
     }
-    site.platformFault({{"mode", "none"}});
-    work.waitForWhole(20);
-    tally counts = countOf(site, work.stop(), disturbance::Failures);
-    expect(counts.notRun > 0, "some were refused");
+    fleet.injectPlatformFault({{"mode", "none"}});
+    load.waitForWholeAnswers(20);
+    outcome_counts counts = countOutcomes(fleet, load.stop(), disruption::Failures);
+    expect(counts.notRun > 0, "some calls were refused as not run");
     return counts;
 }
 
--- a/tests/faults/caller.cpp
+++ b/tests/faults/caller.cpp
@@ -14,11 +14,11 @@
 using nlohmann::json;
 
 constexpr int statusOk = 200;
-/// Beyond the time limit, for the verdict that it has passed.
-constexpr milliseconds verdictTime{2000};
-constexpr milliseconds pauseAfterRefusal{200};
+/// Added to a call's time limit, so that the instance can still answer that the limit has passed.
+constexpr milliseconds verdictMargin{2000};
+constexpr milliseconds retryPause{200};
 
-http_request requestOf(const wanted_call &call)
+http_request buildRequest(const call_spec &call)
 {
     http_request request;
     request.method = "POST";
@@ -42,47 +42,48 @@
     return request;
 }
 
-call_record failedWith(const wanted_call &call, const error &failure, const std::string &request)
+call_record recordOfFailure(const call_spec &call, const error &failure, const std::string &request)
 {
-    call_record record{call.key, call_end::MayHaveRun, {}, false, "", ""};
+    call_record record{call.key, call_outcome::MayHaveRun, {}, false, "", ""};
     record.detail = std::string(nameOf(failure.code)) + ": " + failure.message;
     if (failure.ran != verdict::NotRun)
         return record;
-    record.end = call_end::NotRun;
-    // Without an id no instance was reached.
+    record.outcome = call_outcome::NotRun;
+    // Without a request id, no instance was reached.
     if (!request.empty())
-        record.notRunRequests.push_back(request);
+        record.notRunRequestIds.push_back(request);
     return record;
 }
 
-call_record judge(const wanted_call &call, const bench::completion_answer &answer)
+call_record classifyCompletion(const call_spec &call, const bench::completion_answer &answer)
 {
-    call_record record{call.key, call_end::Wrong, {}, false, "", ""};
+    call_record record{call.key, call_outcome::Wrong, {}, false, "", ""};
     const auto state = bench::checkAnswer(call.prompt, call.tokens, answer.text);
     if (answer.isMalformed || state == bench::answer_state::Wrong)
         return record;
     if (state == bench::answer_state::Doubled) {
-        record.end = call_end::Doubled;
+        record.outcome = call_outcome::Doubled;
     } else if (!answer.hasEnd) {
-        record.end = call_end::MayHaveRun;
-        record.hasBrokenOff = true;
-        record.detail = answer.failure ? answer.failure->message : "broken off";
+        record.outcome = call_outcome::MayHaveRun;
+        record.wasInterrupted = true;
+        record.detail =
+                answer.failure ? answer.failure->message : "the stream ended without an end marker";
     } else {
         const bool isWhole = state == bench::answer_state::Whole && !answer.failure;
-        record.end = isWhole ? call_end::Whole : call_end::Cut;
+        record.outcome = isWhole ? call_outcome::Whole : call_outcome::Cut;
     }
     return record;
 }
 
-call_record tryCompletion(const wanted_call &call, const endpoint &to, http_pool &pool)
+call_record sendCompletion(const call_spec &call, const endpoint &to, http_pool &pool)
 {
     const clock_source clock = systemClock();
     bench::stream_answer_reader reader(clock);
     http_reply head;
     const auto sent = pool.stream(
-            to, requestOf(call), call.timeLimit + verdictTime,
-            [&](const http_reply &begun) {
-                head = begun;
+            to, buildRequest(call), call.timeLimit + verdictMargin,
+            [&](const http_reply &received) {
+                head = received;
                 return true;
             },
             [&](std::string_view piece) {
@@ -93,51 +94,51 @@
             });
     const std::string request(headerOf(head.headers, caller::requestIdHeader));
     if (head.status == 0)
-        return failedWith(call, errorOf(sent), request);
+        return recordOfFailure(call, errorOf(sent), request);
     if (head.status != statusOk)
-        return failedWith(call, bench::failureIn(head), request);
+        return recordOfFailure(call, bench::failureIn(head), request);
     const bench::completion_answer &answer = reader.answer();
     if (answer.text.empty() && answer.failure)
-        return failedWith(call, *answer.failure, request);
-    return judge(call, answer);
+        return recordOfFailure(call, *answer.failure, request);
+    return classifyCompletion(call, answer);
 }
 
-call_record tryService(const wanted_call &call, const endpoint &to, http_pool &pool)
+call_record sendServiceCall(const call_spec &call, const endpoint &to, http_pool &pool)
 {
-    const auto sent = pool.send(to, requestOf(call), call.timeLimit + verdictTime);
+    const auto sent = pool.send(to, buildRequest(call), call.timeLimit + verdictMargin);
     if (!succeeded(sent))
-        return failedWith(call, errorOf(sent), "");
+        return recordOfFailure(call, errorOf(sent), "");
     const http_reply &reply = valueOf(sent);
     const std::string request(headerOf(reply.headers, caller::requestIdHeader));
     if (reply.status != statusOk)
-        return failedWith(call, bench::failureIn(reply), request);
+        return recordOfFailure(call, bench::failureIn(reply), request);
     const json answer = json::parse(reply.body, nullptr, false);
     const bool isOwn = answer.is_object() && answer.value("key", "") == call.key;
-    return {call.key, isOwn ? call_end::Whole : call_end::Wrong, {}, false, "", reply.body};
+    return {call.key, isOwn ? call_outcome::Whole : call_outcome::Wrong, {}, false, "", reply.body};
 }
 
 } // namespace
 
-call_record tryCall(const wanted_call &call, const endpoint &to, http_pool &pool)
+call_record sendAttempt(const call_spec &call, const endpoint &to, http_pool &pool)
 {
-    return call.key.empty() ? tryCompletion(call, to, pool) : tryService(call, to, pool);
+    return call.key.empty() ? sendCompletion(call, to, pool) : sendServiceCall(call, to, pool);
 }
 
-call_record performCall(const wanted_call &call, const std::vector<endpoint> &addresses,
-                        http_pool &pool)
+call_record callWithRetries(const call_spec &call, const std::vector<endpoint> &addresses,
+                            http_pool &pool)
 {
     const clock_source clock = systemClock();
     const mono_time deadline = clock.mono() + call.timeLimit;
-    std::vector<std::string> notRunRequests;
-    for (std::size_t turn = 0;; ++turn) {
-        call_record last = tryCall(call, addresses[turn % addresses.size()], pool);
-        notRunRequests.insert(notRunRequests.end(), last.notRunRequests.begin(),
-                              last.notRunRequests.end());
-        last.notRunRequests = notRunRequests;
-        if (last.end != call_end::NotRun || clock.mono() >= deadline)
+    std::vector<std::string> notRunRequestIds;
+    for (std::size_t attempt = 0;; ++attempt) {
+        call_record last = sendAttempt(call, addresses[attempt % addresses.size()], pool);
+        notRunRequestIds.insert(notRunRequestIds.end(), last.notRunRequestIds.begin(),
+                                last.notRunRequestIds.end());
+        last.notRunRequestIds = notRunRequestIds;
+        if (last.outcome != call_outcome::NotRun || clock.mono() >= deadline)
             return last;
-        if (turn % addresses.size() + 1 == addresses.size())
-            std::this_thread::sleep_for(pauseAfterRefusal);
+        if (attempt % addresses.size() + 1 == addresses.size())
+            std::this_thread::sleep_for(retryPause);
     }
 }
 
--- a/tests/faults/caller.h
+++ b/tests/faults/caller.h
@@ -9,42 +9,42 @@
 
 namespace poplarspool::faults {
 
-/// How a call ended for its caller.
-enum class call_end {
+/// The result of a call as its caller sees it.
+enum class call_outcome {
     Whole,
     NotRun, ///< The last answer was "not run".
-    MayHaveRun, ///< Said so, or broken off visibly.
-    Cut, ///< Looked whole and was not.
-    Doubled, ///< A token came twice.
-    Wrong, ///< Another call's answer, or nonsense.
+    MayHaveRun, ///< Answered "may have run", or the stream ended without an end marker.
+    Cut, ///< The answer was marked as complete, but tokens are missing.
+    Doubled, ///< A token was received twice.
+    Wrong, ///< The answer belongs to another call or is malformed.
 };
 
-/// One call with all its tries.
+/// One call with all its attempts.
 struct call_record
 {
-    std::string key; ///< Of a service call; empty for a completion.
-    call_end end = call_end::NotRun;
-    std::vector<std::string> notRunRequests; ///< Request ids of the tries answered "not run".
-    bool hasBrokenOff = false; ///< Text came and then its end was missing.
+    std::string key; ///< Idempotency key of a service call; empty for a completion.
+    call_outcome outcome = call_outcome::NotRun;
+    std::vector<std::string> notRunRequestIds; ///< Of the attempts answered "not run".
+    bool wasInterrupted = false; ///< The stream broke off after some text.
     std::string detail;
-    std::string body; ///< Of a service's whole answer.
+    std::string body; ///< Of a complete answer of a service.
 };
 
-/// What a caller wants: a streamed completion, or a keyed call of the service.
-struct wanted_call
+/// A call to send: a streamed completion, or a service call with an idempotency key.
+struct call_spec
 {
-    std::string key; ///< Empty: a completion.
+    std::string key; ///< Idempotency key of a service call; empty for a completion.
     std::string prompt;
     std::uint32_t tokens = 0;
     milliseconds timeLimit{15000};
 };
 
-/// Sends one try to that address.
-call_record tryCall(const wanted_call &call, const endpoint &to, http_pool &pool);
+/// Sends the call once, to that address.
+call_record sendAttempt(const call_spec &call, const endpoint &to, http_pool &pool);
 
-/// Sends as docs/API.md tells callers to: on to the next address where a connection is refused, and
-/// again after "not run", until the time limit is over.
-call_record performCall(const wanted_call &call, const std::vector<endpoint> &addresses,
-                        http_pool &pool);
+/// Sends the call and retries as docs/API.md requires of callers: at the next address after a
+/// refused connection or a "not run" answer, until the call's time limit has passed.
+call_record callWithRetries(const call_spec &call, const std::vector<endpoint> &addresses,
+                            http_pool &pool);
 
 } // namespace poplarspool::faults
--- a/tests/faults/child_process.cpp
+++ b/tests/faults/child_process.cpp
@@ -13,37 +13,37 @@
 
 namespace {
 
-constexpr int signalStatus = 128;
-constexpr int execFailed = 127;
+constexpr int signalStatusBase = 128;
+constexpr int execFailedStatus = 127;
 
-/// Runs in the forked child: only calls that are safe between fork and exec.
-[[noreturn]] void runChild(char *const *arguments, int log)
+/// Runs in the forked child, so it may only make calls that are safe between fork and exec.
+[[noreturn]] void runChild(char *const *argv, int log)
 {
-    // A driver that is killed leaves no fleet behind.
+    // The child must not outlive this program, even if it is killed.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     dup2(log, STDOUT_FILENO);
     dup2(log, STDERR_FILENO);
-    execv(arguments[0], arguments);
-    _exit(execFailed);
+    execv(argv[0], argv);
+    _exit(execFailedStatus);
 }
 
 } // namespace
 
-child_process::child_process(const std::vector<std::string> &words, const std::string &logFile)
+child_process::child_process(const std::vector<std::string> &arguments, const std::string &logFile)
 {
-    std::vector<std::string> copies = words;
-    std::vector<char *> arguments;
-    arguments.reserve(copies.size() + 1);
-    for (std::string &word : copies)
-        arguments.push_back(word.data());
-    arguments.push_back(nullptr);
+    std::vector<std::string> strings = arguments;
+    std::vector<char *> argv;
+    argv.reserve(strings.size() + 1);
+    for (std::string &text : strings)
+        argv.push_back(text.data());
+    argv.push_back(nullptr);
     const int log = open(logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
     pid = fork();
     if (pid == 0)
-        runChild(arguments.data(), log);
+        runChild(argv.data(), log);
     close(log);
     if (pid < 0)
-        throw std::runtime_error("fork: " + words.front());
+        throw std::runtime_error("fork failed: " + arguments.front());
 }
 
 child_process::~child_process()
@@ -54,14 +54,14 @@
 void child_process::reap(int options)
 {
     int status = 0;
-    if (endedWith || waitpid(pid, &status, options) != pid || WIFSTOPPED(status))
+    if (exitStatus || waitpid(pid, &status, options) != pid || WIFSTOPPED(status))
         return;
-    endedWith = WIFEXITED(status) ? WEXITSTATUS(status) : signalStatus + WTERMSIG(status);
+    exitStatus = WIFEXITED(status) ? WEXITSTATUS(status) : signalStatusBase + WTERMSIG(status);
 }
 
 void child_process::kill()
 {
-    if (endedWith)
+    if (exitStatus)
         return;
     ::kill(pid, SIGKILL);
     reap(0);
@@ -73,7 +73,7 @@
     reap(WUNTRACED);
 }
 
-void child_process::wake()
+void child_process::unfreeze()
 {
     ::kill(pid, SIGCONT);
 }
@@ -83,13 +83,13 @@
     ::kill(pid, SIGTERM);
 }
 
-std::optional<int> child_process::waitForEnd()
+std::optional<int> child_process::waitForExit()
 {
-    holdsInTime([this] {
+    pollUntil([this] {
         reap(WNOHANG);
-        return endedWith.has_value();
+        return exitStatus.has_value();
     });
-    return endedWith;
+    return exitStatus;
 }
 
 } // namespace poplarspool::faults
--- a/tests/faults/child_process.h
+++ b/tests/faults/child_process.h
@@ -7,32 +7,33 @@
 
 namespace poplarspool::faults {
 
-/// One process that a scenario started. It is killed by its id when this object goes.
+/// A process started by a scenario. The destructor kills it by its process id.
 class child_process
 {
 public:
-    /// @param logFile Gets what the process writes.
-    /// @throws std::runtime_error Where it can't be started.
-    child_process(const std::vector<std::string> &words, const std::string &logFile);
+    /// @param arguments The program's path, and its arguments.
+    /// @param logFile Standard output and error of the process are appended to it.
+    /// @throws std::runtime_error If the process can't be forked.
+    child_process(const std::vector<std::string> &arguments, const std::string &logFile);
     ~child_process();
     child_process(const child_process &) = delete;
     child_process &operator=(const child_process &) = delete;
 
     void kill();
-    /// Returns once the process has stopped: nothing that it does can come later.
+    /// Sends SIGSTOP. Returns once the process has stopped and can no longer have any effect.
     void freeze();
-    void wake();
+    void unfreeze();
     void terminate();
-    /// @returns Its exit status, 128 and the signal's number where a signal ended it; none where it
-    ///          goes on beyond the safety time.
-    std::optional<int> waitForEnd();
-    bool isRunning() const { return !endedWith; }
+    /// @returns The exit status, or 128 plus the signal's number if a signal ended the process.
+    ///          None if it is still running after the safety timeout.
+    std::optional<int> waitForExit();
+    bool isRunning() const { return !exitStatus; }
 
 private:
     void reap(int options);
 
     pid_t pid = -1;
-    std::optional<int> endedWith;
+    std::optional<int> exitStatus;
 };
 
 } // namespace poplarspool::faults
--- a/tests/faults/config_scenarios.cpp
+++ b/tests/faults/config_scenarios.cpp
@@ -11,119 +11,124 @@
 
 namespace {
 
-std::uint64_t acceptedOn(fleet &site, std::size_t index)
+std::uint64_t acceptedVersion(test_fleet &fleet, std::size_t index)
 {
-    return site.status(index).at("accepted_version").get<std::uint64_t>();
+    return fleet.status(index).at("accepted_version").get<std::uint64_t>();
 }
 
-/// Lets two operators send different changes on top of the same version at the same moment.
-/// @returns The version of the one that was accepted; 0 where neither was.
-std::uint64_t raceOnce(fleet &site, std::uint64_t present)
+/// Sends two different changes based on the same version through two instances at the same time.
+/// @returns The version of the accepted change; 0 if neither was accepted.
+/// @throws expectation_failed If both were accepted, or a refusal is not "not run".
+std::uint64_t raceChanges(test_fleet &fleet, std::uint64_t currentVersion)
 {
     const auto change = [&](std::size_t index) {
-        return std::async(std::launch::async, [&site, index, present] {
-            return site.apply(index, {.draining = {index}}, "", present);
+        return std::async(std::launch::async, [&fleet, index, currentVersion] {
+            return fleet.apply(index, {.draining = {index}}, "", currentVersion);
         });
     };
     auto one = change(0);
     auto two = change(1);
     std::uint64_t accepted = 0;
-    for (const change_answer &answer : {one.get(), two.get()}) {
-        expect(answer.version == 0 || accepted == 0, "one change replaces one version");
+    for (const change_result &answer : {one.get(), two.get()}) {
+        expect(answer.version == 0 || accepted == 0,
+               "only one change based on a version is accepted");
         expect(answer.version != 0 || answer.verdict == "not_run", answer.detail);
         accepted = std::max(accepted, answer.version);
     }
     return accepted;
 }
 
-// Callers see nothing. Two operators send different changes at the same moment, through different
-// instances, both on top of the same version: one is accepted and in force everywhere, the other
-// hears truly that nothing of it was done. Where an instance has used up its calls to the store,
-// both may hear so, and come back.
-tally operatorsRace(const stage &place)
+// Two operators send different changes, both based on the same version, through different instances
+// at the same time. One change is accepted and in force everywhere; the other is refused as not
+// run, and none of it is applied. Both may be refused if an instance has used up its budget of
+// store calls; the operators then retry. Callers notice nothing.
+outcome_counts operatorsRace(const scenario_environment &environment)
 {
-    fleet site(place, {});
-    load work(site, {});
+    test_fleet fleet(environment, {});
+    load_generator load(fleet, {});
     for (int turn = 0; turn < 8; ++turn) {
-        const std::uint64_t present = acceptedOn(site, 0);
+        const std::uint64_t currentVersion = acceptedVersion(fleet, 0);
         std::uint64_t accepted = 0;
-        waitUntil("one is accepted", [&] {
-            accepted = raceOnce(site, present);
-            // As docs/OPERATING.md says: they come back after a second, with new calls to spend.
+        waitUntil("one of the changes is accepted", [&] {
+            accepted = raceChanges(fleet, currentVersion);
+            // Operators retry after 1 s, when store calls are available again (docs/OPERATING.md).
             if (accepted == 0)
                 std::this_thread::sleep_for(std::chrono::seconds(1));
             return accepted != 0;
         });
-        site.waitInForce(accepted);
+        fleet.waitInForce(accepted);
     }
-    work.waitForWhole(10);
-    return countOf(site, work.stop(), disturbance::Planned);
+    load.waitForWholeAnswers(10);
+    return countOutcomes(fleet, load.stop(), disruption::Planned);
 }
 
-// The operator hears nothing, or that it is not known: the store loses the answers of the writes
-// that accept the change. The very same change sent again, through another instance, is told as
-// accepted under the version that it has, and is not applied twice.
-tally acceptanceAnswerLost(const stage &place)
+// The store loses the answers to the writes that accept a change, so the operator gets no answer or
+// "may have run". When the identical change is sent again through another instance, it is reported
+// as accepted under its existing version and not applied a second time.
+outcome_counts acceptanceAnswerLost(const scenario_environment &environment)
 {
-    fleet site(place, {});
-    load work(site, {.serviceEvery = 0});
+    test_fleet fleet(environment, {});
+    load_generator load(fleet, {.serviceEvery = 0});
     for (const std::string version : {"2", "3"}) {
-        const std::uint64_t present = acceptedOn(site, 0);
-        const config_choice choice{version, "mixed", {}};
-        site.platformFault({{"mode", "lose_answers"}, {"count", 4}});
-        const change_answer first = site.apply(0, choice, "change-" + version, present);
-        const change_answer second = site.apply(1, choice, "change-" + version, present);
-        const change_answer third = site.apply(2, choice, "change-" + version, present);
-        expect(third.version != 0 && second.version == third.version, "it is accepted");
-        expect(first.version == 0 || first.version == third.version, "it is accepted once");
-        site.waitInForce(third.version);
+        const std::uint64_t currentVersion = acceptedVersion(fleet, 0);
+        const config_variant variant{version, "mixed", {}};
+        fleet.injectPlatformFault({{"mode", "lose_answers"}, {"count", 4}});
+        const change_result first = fleet.apply(0, variant, "change-" + version, currentVersion);
+        const change_result second = fleet.apply(1, variant, "change-" + version, currentVersion);
+        const change_result third = fleet.apply(2, variant, "change-" + version, currentVersion);
+        expect(third.version != 0 && second.version == third.version,
+               "the repeated change is accepted under one version");
+        expect(first.version == 0 || first.version == third.version,
+               "the change is not accepted under two versions");
+        fleet.waitInForce(third.version);
     }
-    work.waitForWhole(10);
-    return countOf(site, work.stop(), disturbance::Planned);
+    load.waitForWholeAnswers(10);
+    return countOutcomes(fleet, load.stop(), disruption::Planned);
 }
 
-// Callers see nothing but the killed instance. A change has been accepted, then the store goes out
-// and an instance starts anew: it takes the accepted configuration from the others and neither
-// shows nor spreads an older one.
-tally instanceRestartsStoreDown(const stage &place)
+// A change has been accepted; then the store fails and an instance is killed and restarted. It gets
+// the accepted configuration from the other instances, and neither uses nor spreads an older one.
+// Callers notice only the killed instance.
+outcome_counts instanceRestartsStoreDown(const scenario_environment &environment)
 {
-    fleet site(place, {});
-    load work(site, {});
-    const std::uint64_t version = site.applyEverywhere({.draining = {1}});
-    site.platformFault({{"mode", "outage"}});
+    test_fleet fleet(environment, {});
+    load_generator load(fleet, {});
+    const std::uint64_t version = fleet.applyAndWait({.draining = {1}});
+    fleet.injectPlatformFault({{"mode", "outage"}});
     for (std::size_t index : {2, 0}) {
-        site.restartInstance(index);
-        site.waitInForce(version);
+        fleet.restartInstance(index);
+        fleet.waitInForce(version);
     }
-    const std::uint64_t started = site.startedOn(1);
-    work.waitForWhole(30);
-    expect(site.startedOn(1) == started, "the drained engine stays drained");
-    site.platformFault({{"mode", "none"}});
-    work.waitForWhole(10);
-    site.waitInForce(version);
-    return countOf(site, work.stop(), disturbance::Failures);
+    const std::uint64_t started = fleet.startedRequests(1);
+    load.waitForWholeAnswers(30);
+    expect(fleet.startedRequests(1) == started, "the drained engine stays drained");
+    fleet.injectPlatformFault({{"mode", "none"}});
+    load.waitForWholeAnswers(10);
+    fleet.waitInForce(version);
+    return countOutcomes(fleet, load.stop(), disruption::Failures);
 }
 
-// Callers see nothing. An instance is cut off from the store, and its watch is lost, while three
-// changes are accepted elsewhere, with answers lost: gossip brings them, each in force on it as on
-// the others; back at the store it does not fall behind them.
-tally cutOffInstanceLearnsFromOthers(const stage &place)
+// An instance loses its connection to the store, and with it its watch, while three changes are
+// accepted through other instances and the store loses answers. The instance receives each change
+// by gossip and puts it in force like the others do. It does not fall back when the store is
+// reachable again. Callers notice nothing.
+outcome_counts cutOffInstanceLearnsFromOthers(const scenario_environment &environment)
 {
     fleet_spec spec;
-    spec.isGated = true;
-    fleet site(place, spec);
-    load work(site, {});
-    site.gate(2).setClosed(true);
+    spec.hasStoreProxies = true;
+    test_fleet fleet(environment, spec);
+    load_generator load(fleet, {});
+    fleet.storeProxy(2).setBlocked(true);
     std::uint64_t version = 0;
-    for (const config_choice &choice :
-         {config_choice{"1", "mixed", {0}}, {"1", "mixed", {1}}, {"1", "mixed", {}}}) {
-        site.platformFault({{"mode", "lose_answers"}, {"count", 2}});
-        version = site.applyEverywhere(choice);
+    for (const config_variant &variant :
+         {config_variant{"1", "mixed", {0}}, {"1", "mixed", {1}}, {"1", "mixed", {}}}) {
+        fleet.injectPlatformFault({{"mode", "lose_answers"}, {"count", 2}});
+        version = fleet.applyAndWait(variant);
     }
-    site.gate(2).setClosed(false);
-    work.waitForWhole(20);
-    site.waitInForce(version);
-    return countOf(site, work.stop(), disturbance::Failures);
+    fleet.storeProxy(2).setBlocked(false);
+    load.waitForWholeAnswers(20);
+    fleet.waitInForce(version);
+    return countOutcomes(fleet, load.stop(), disruption::Failures);
 }
 
 } // namespace
--- a/tests/faults/leaving_scenarios.cpp
+++ b/tests/faults/leaving_scenarios.cpp
@@ -10,47 +10,48 @@
 
 namespace {
 
-constexpr milliseconds connectTime{500};
+constexpr milliseconds connectTimeout{500};
 
-/// SIGTERM, as the platform does it: it marks the instance as leaving in its list.
-void shutDown(fleet &site, std::size_t index)
+/// Shuts down an instance as the platform does: marks it as leaving in the instance list, then
+/// sends SIGTERM. Removes it from the list when it has ended.
+void shutDown(test_fleet &fleet, std::size_t index)
 {
-    site.list(index, true);
-    site.instance(index).terminate();
-    const std::optional<int> status = site.instance(index).waitForEnd();
+    fleet.addToInstanceList(index, true);
+    fleet.instance(index).terminate();
+    const std::optional<int> status = fleet.instance(index).waitForExit();
     expect(status == 0, "a graceful shutdown ends with status 0");
-    site.unlist(index);
+    fleet.removeFromInstanceList(index);
 }
 
-// Callers see nothing. An engine is drained by the inventory while the list of instances is minutes
-// old: once the change is in force, the engine begins no request any more, however many come.
-tally drainedEngineListLagging(const stage &place)
+// An engine is drained through the inventory while the instance list is 2 minutes outdated. Once
+// the change is in force, the engine starts no further request under load. Callers notice nothing.
+outcome_counts drainedEngineListLagging(const scenario_environment &environment)
 {
-    fleet site(place, {});
-    load work(site, {});
-    work.waitForWhole(20);
-    site.platformLag(120000);
-    site.applyEverywhere({.draining = {0}});
-    const std::uint64_t before = site.startedOn(0);
-    work.waitForWhole(80);
-    expect(site.startedOn(0) == before, "the leaving engine gets nothing new");
-    return countOf(site, work.stop(), disturbance::Planned);
+    test_fleet fleet(environment, {});
+    load_generator load(fleet, {});
+    load.waitForWholeAnswers(20);
+    fleet.setInstanceListLag(120000);
+    fleet.applyAndWait({.draining = {0}});
+    const std::uint64_t before = fleet.startedRequests(0);
+    load.waitForWholeAnswers(80);
+    expect(fleet.startedRequests(0) == before, "the leaving engine gets nothing new");
+    return countOutcomes(fleet, load.stop(), disruption::Planned);
 }
 
-/// Calls of an instance that can't answer now: they wait in its sockets.
-class waiting_calls
+/// Calls to a frozen instance, which wait in its sockets.
+class pending_calls
 {
 public:
-    explicit waiting_calls(const endpoint &to) : pool(count, connectTime, metrics)
+    explicit pending_calls(const endpoint &to) : pool(count, connectTimeout, metrics)
     {
         for (std::size_t turn = 0; turn < count; ++turn)
             sent.push_back(std::async(std::launch::async, [this, to, turn] {
                 const std::string prompt = "waiting " + std::to_string(turn);
-                return tryCall({"", prompt, 5, waitTime}, to, pool);
+                return sendAttempt({"", prompt, 5, waitTime}, to, pool);
             }));
     }
 
-    std::vector<call_record> take()
+    std::vector<call_record> collect()
     {
         std::vector<call_record> calls;
         calls.reserve(count);
@@ -65,84 +66,84 @@
 
     metrics_registry metrics;
     http_pool pool;
-    std::vector<std::future<call_record>> sent; ///< Last: its threads use the pool.
+    std::vector<std::future<call_record>> sent; ///< Declared last: the threads use the pool.
 };
 
-// Callers of a frozen instance are refused when it wakes. It slept through a drain and has the old
-// view, and requests wait in its sockets: it can't confirm its view, so that it sends nothing to
-// the leaving engine before it has the new one.
-tally frozenInstanceWakesAfterDrain(const stage &place)
+// An instance is frozen during the drain of an engine. When unfrozen it still has the old view, and
+// requests wait in its sockets. Since it can't confirm the old view, it refuses them, and sends
+// nothing to the drained engine before it has the new view.
+outcome_counts frozenInstanceWakesAfterDrain(const scenario_environment &environment)
 {
-    fleet site(place, {});
-    load work(site, {});
-    work.waitForWhole(20);
-    site.instance(2).freeze();
+    test_fleet fleet(environment, {});
+    load_generator load(fleet, {});
+    load.waitForWholeAnswers(20);
+    fleet.instance(2).freeze();
     const auto frozenAt = std::chrono::steady_clock::now();
-    waiting_calls waiting(site.callerAddress(2));
-    site.platformLag(120000);
-    const change_answer drained = site.apply(0, {.draining = {0}});
+    pending_calls pending(fleet.callerAddress(2));
+    fleet.setInstanceListLag(120000);
+    const change_result drained = fleet.apply(0, {.draining = {0}});
     expect(drained.version != 0, "the drain is accepted");
-    site.waitInForce(drained.version, {2});
-    waitUntil("its view is no longer fresh",
+    fleet.waitInForce(drained.version, {2});
+    waitUntil("the frozen instance's view is no longer fresh",
               [&] { return std::chrono::steady_clock::now() - frozenAt > config::freshTime; });
-    const std::uint64_t before = site.startedOn(0);
-    site.instance(2).wake();
-    std::vector<call_record> calls = waiting.take();
-    site.waitInForce(drained.version);
-    work.waitForWhole(40);
-    expect(site.startedOn(0) == before, "the leaving engine gets nothing new");
-    const std::vector<call_record> others = work.stop();
+    const std::uint64_t before = fleet.startedRequests(0);
+    fleet.instance(2).unfreeze();
+    std::vector<call_record> calls = pending.collect();
+    fleet.waitInForce(drained.version);
+    load.waitForWholeAnswers(40);
+    expect(fleet.startedRequests(0) == before, "the leaving engine gets nothing new");
+    const std::vector<call_record> others = load.stop();
     calls.insert(calls.end(), others.begin(), others.end());
-    return countOf(site, calls, disturbance::Failures);
+    return countOutcomes(fleet, calls, disruption::Failures);
 }
 
-// Callers see nothing. An entry instance gets SIGTERM while streams and orders run through it: it
-// serves on while callers may hold its address, then ends with its last stream.
-tally shutdownUnderStreams(const stage &place)
+// An instance gets SIGTERM while streams and service calls run through it. It continues to serve
+// while callers may still have its address, and ends after its last stream. Callers notice nothing.
+outcome_counts shutdownUnderStreams(const scenario_environment &environment)
 {
-    fleet site(place, {});
-    load work(site, {.tokens = 200});
-    work.waitForWhole(10);
-    shutDown(site, 1);
-    work.waitForWhole(20);
-    return countOf(site, work.stop(), disturbance::Planned);
+    test_fleet fleet(environment, {});
+    load_generator load(fleet, {.tokens = 200});
+    load.waitForWholeAnswers(10);
+    shutDown(fleet, 1);
+    load.waitForWholeAnswers(20);
+    return countOutcomes(fleet, load.stop(), disruption::Planned);
 }
 
-// As above while the store is out: an instance that leaves must neither need the store for it, nor
-// give up the streams that it has. Orders are refused as not run meanwhile.
-tally shutdownStoreDown(const stage &place)
+// As above, during a store outage. An instance must be able to shut down without the store and
+// without dropping its streams. Service calls are refused as not run during the outage.
+outcome_counts shutdownStoreDown(const scenario_environment &environment)
 {
-    fleet site(place, {});
-    load work(site, {.tokens = 200});
-    work.waitForWhole(10);
-    site.platformFault({{"mode", "outage"}});
-    shutDown(site, 1);
-    work.waitForWhole(10);
-    site.platformFault({{"mode", "none"}});
-    work.waitForWhole(10);
-    return countOf(site, work.stop(), disturbance::Planned);
+    test_fleet fleet(environment, {});
+    load_generator load(fleet, {.tokens = 200});
+    load.waitForWholeAnswers(10);
+    fleet.injectPlatformFault({{"mode", "outage"}});
+    shutDown(fleet, 1);
+    load.waitForWholeAnswers(10);
+    fleet.injectPlatformFault({{"mode", "none"}});
+    load.waitForWholeAnswers(10);
+    return countOutcomes(fleet, load.stop(), disruption::Planned);
 }
 
-// Callers see nothing while every instance is replaced, one by one: for each a new one starts, and
-// the old one is told to end.
-tally allInstancesReplaced(const stage &place)
+// Every instance is replaced, one at a time: a new one starts, then the old one is shut down.
+// Callers notice nothing.
+outcome_counts allInstancesReplaced(const scenario_environment &environment)
 {
-    fleet site(place, {});
-    load work(site, {});
-    work.waitForWhole(10);
-    const auto version = site.status(0).at("accepted_version").get<std::uint64_t>();
-    for (std::size_t old : {0, 1, 2}) {
-        site.addInstance();
-        site.waitInForce(version);
-        shutDown(site, old);
-        work.waitForWhole(10);
+    test_fleet fleet(environment, {});
+    load_generator load(fleet, {});
+    load.waitForWholeAnswers(10);
+    const auto version = fleet.status(0).at("accepted_version").get<std::uint64_t>();
+    for (std::size_t replaced : {0, 1, 2}) {
+        fleet.addInstance();
+        fleet.waitInForce(version);
+        shutDown(fleet, replaced);
+        load.waitForWholeAnswers(10);
     }
-    return countOf(site, work.stop(), disturbance::Planned);
+    return countOutcomes(fleet, load.stop(), disruption::Planned);
 }
 
 } // namespace
 
-std::vector<scenario> leavingScenarios()
+std::vector<scenario> drainScenarios()
 {
     return {{"drained_engine_list_lagging", 7, 1, drainedEngineListLagging},
             {"frozen_instance_wakes_after_drain", 7, 2, frozenInstanceWakesAfterDrain},
--- a/tests/faults/load.cpp
+++ b/tests/faults/load.cpp
@@ -8,46 +8,49 @@
 namespace {
 
 constexpr std::size_t idlePerTarget = 16;
-constexpr milliseconds connectTime{500};
+constexpr milliseconds connectTimeout{500};
 
 } // namespace
 
-load::load(fleet &site, const load_spec &spec)
-    : spec(spec), name(randomHex128()), pool(idlePerTarget, connectTime, metrics)
+load_generator::load_generator(test_fleet &fleet, const load_spec &spec)
+    : spec(spec), runId(randomHex128()), pool(idlePerTarget, connectTimeout, metrics)
 {
     for (std::size_t caller = 0; caller < spec.callers; ++caller)
-        books.push_back(std::make_unique<bench::address_book>(
-                site.callerAddresses(),
+        addressCaches.push_back(std::make_unique<bench::address_book>(
+                fleet.callerAddresses(),
                 bench::caller_identity{"caller-" + std::to_string(caller), "", ""}, pool));
     for (std::size_t caller = 0; caller < spec.callers; ++caller)
         threads.emplace_back([this, caller] { run(caller); });
 }
 
-load::~load()
+load_generator::~load_generator()
 {
     stop();
 }
 
-void load::run(std::size_t caller)
+void load_generator::run(std::size_t caller)
 {
-    for (std::size_t turn = 0; !isStopping; ++turn) {
-        const std::string own = name + '-' + std::to_string(caller) + '-' + std::to_string(turn);
-        const bool isService = spec.serviceEvery != 0 && turn % spec.serviceEvery == 0;
-        const wanted_call call{isService ? own : "", "case " + own, spec.tokens, spec.timeLimit};
-        call_record record = performCall(call, books[caller]->addresses(), pool);
-        whole += record.end == call_end::Whole ? 1 : 0;
+    for (std::size_t callNumber = 0; !isStopping; ++callNumber) {
+        const std::string callId =
+                runId + '-' + std::to_string(caller) + '-' + std::to_string(callNumber);
+        const bool isService = spec.serviceEvery != 0 && callNumber % spec.serviceEvery == 0;
+        const call_spec call{isService ? callId : "", "case " + callId, spec.tokens,
+                             spec.timeLimit};
+        call_record record = callWithRetries(call, addressCaches[caller]->addresses(), pool);
+        wholeCount += record.outcome == call_outcome::Whole ? 1 : 0;
         const std::lock_guard lock(mutex);
         calls.push_back(std::move(record));
     }
 }
 
-void load::waitForWhole(std::size_t more)
+void load_generator::waitForWholeAnswers(std::size_t count)
 {
-    const std::size_t wanted = whole + more;
-    waitUntil(std::to_string(more) + " more whole answers", [&] { return whole >= wanted; });
+    const std::size_t expected = wholeCount + count;
+    waitUntil(std::to_string(count) + " more complete answers",
+              [&] { return wholeCount >= expected; });
 }
 
-std::vector<call_record> load::stop()
+std::vector<call_record> load_generator::stop()
 {
     isStopping = true;
     for (std::thread &thread : threads)
--- a/tests/faults/main.cpp
+++ b/tests/faults/main.cpp
@@ -9,28 +9,30 @@
 #include <mutex>
 #include <thread>
 
-/// `poplarspool-faults BUILD [NAME...]`: real processes under the failures that the fleet has to
-/// stand. Prints one line a scenario and ends with 0 only if all of them held.
+/// `poplarspool-faults BUILD [NAME...]` runs fault-injection scenarios against real processes of
+/// the build folder BUILD: all scenarios, or only those named. Prints one line per scenario. Exits
+/// with 0 only if at least one scenario ran and none failed.
 namespace {
 
 using namespace poplarspool::faults;
 
-constexpr std::size_t atOnce = 3;
-constexpr std::uint32_t firstNet = 20;
+constexpr std::size_t maxParallel = 3;
+constexpr std::uint32_t firstSubnet = 20;
 
-std::vector<scenario> chosen(const std::vector<std::string> &names)
+std::vector<scenario> selectScenarios(const std::vector<std::string> &names)
 {
     std::vector<scenario> all;
-    for (const auto &group : {orderScenarios(), changeScenarios(), answerScenarios(),
-                              onceScenarios(), leavingScenarios(), configScenarios()})
+    for (const auto &group : {orderScenarios(), engineChangeScenarios(), answerScenarios(),
+                              atMostOnceScenarios(), drainScenarios(), configScenarios()})
         all.insert(all.end(), group.begin(), group.end());
-    std::erase_if(all, [&](const scenario &one) {
-        return !names.empty() && std::find(names.begin(), names.end(), one.name) == names.end();
+    std::erase_if(all, [&](const scenario &selected) {
+        return !names.empty()
+                && std::find(names.begin(), names.end(), selected.name) == names.end();
     });
     return all;
 }
 
-/// Runs scenarios, a few side by side, each with processes and addresses of its own.
+/// Runs up to `maxParallel` scenarios at a time, each with its own processes and addresses.
 class scenario_run
 {
 public:
@@ -40,12 +42,12 @@
                  / ("poplarspool-faults-" + std::to_string(getpid())))
     { }
 
-    /// @returns How many failed.
+    /// @returns The number of scenarios that failed.
     std::size_t run()
     {
         std::vector<std::thread> threads;
-        for (std::size_t index = 0; index < std::min(atOnce, scenarios.size()); ++index)
-            threads.emplace_back([this] { work(); });
+        for (std::size_t index = 0; index < std::min(maxParallel, scenarios.size()); ++index)
+            threads.emplace_back([this] { runWorker(); });
         for (std::thread &thread : threads)
             thread.join();
         if (failures == 0)
@@ -54,21 +56,22 @@
     }
 
 private:
-    void work()
+    void runWorker()
     {
         for (std::size_t index = next++; index < scenarios.size(); index = next++)
-            runOne(scenarios[index], firstNet + static_cast<std::uint32_t>(index));
+            runOne(scenarios[index], firstSubnet + static_cast<std::uint32_t>(index));
     }
 
-    void runOne(const scenario &one, std::uint32_t net)
+    void runOne(const scenario &selected, std::uint32_t subnet)
     {
-        const std::filesystem::path place = folder / one.name;
-        std::filesystem::create_directories(place);
+        const std::filesystem::path scenarioFolder = folder / selected.name;
+        std::filesystem::create_directories(scenarioFolder);
         try {
-            const tally counts = one.run({build, place.string(), net});
-            report(lineOf(one.name, one.point, counts), counts.isClean() ? "" : "counts");
+            const outcome_counts counts = selected.run({build, scenarioFolder.string(), subnet});
+            report(formatResultLine(selected.name, selected.guarantee, counts),
+                   counts.hasNoViolations() ? "" : "counts");
         } catch (const std::exception &failure) {
-            report("scenario=" + one.name + " failed", failure.what());
+            report("scenario=" + selected.name + " failed", failure.what());
         }
     }
 
@@ -92,15 +95,16 @@
 
 } // namespace
 
-int main(int count, char **words)
+int main(int argumentCount, char **arguments)
 {
     std::signal(SIGPIPE, SIG_IGN);
-    if (count < 2) {
+    if (argumentCount < 2) {
         std::cerr << "usage: poplarspool-faults BUILD [NAME...]\n";
         return 2;
     }
-    const std::vector<scenario> scenarios = chosen({words + 2, words + count});
-    const std::size_t failures = scenario_run(words[1], scenarios).run();
+    const std::vector<scenario> scenarios =
+            selectScenarios({arguments + 2, arguments + argumentCount});
+    const std::size_t failures = scenario_run(arguments[1], scenarios).run();
     std::cout << "faults: " << scenarios.size() - failures << " of " << scenarios.size()
               << " scenarios held" << std::endl;
     return failures == 0 && !scenarios.empty() ? 0 : 1;
--- a/tests/faults/order_scenarios.cpp
+++ b/tests/faults/order_scenarios.cpp
@@ -13,62 +13,65 @@
 
 constexpr std::size_t noInstance = SIZE_MAX;
 
-/// Strikes where the first order is opened, after its record has taken effect and before its writer
-/// hears so: the order is recorded and not sent.
-class writer_trap
+/// Runs an action when the first order is opened: after its record has taken effect in the store
+/// and before the writer gets the answer. The order is then recorded but not sent.
+class order_write_trap
 {
 public:
-    using strike = std::function<void(std::size_t instance, std::size_t engine)>;
+    using trap_action = std::function<void(std::size_t instance, std::size_t engine)>;
 
-    writer_trap(fleet &site, std::size_t instances, strike how)
-        : site(site), instances(instances), how(std::move(how))
+    order_write_trap(test_fleet &fleet, std::size_t instances, trap_action action)
+        : fleet(fleet), instances(instances), action(std::move(action))
     {
         for (std::size_t index = 0; index < instances; ++index)
-            site.gate(index).setHook([this](const http_request &write) { return onWrite(write); });
+            fleet.storeProxy(index).setWriteHook(
+                    [this](const http_request &write) { return onWrite(write); });
     }
-    ~writer_trap()
+    ~order_write_trap()
     {
         for (std::size_t index = 0; index < instances; ++index)
-            site.gate(index).setHook({});
+            fleet.storeProxy(index).setWriteHook({});
     }
-    writer_trap(const writer_trap &) = delete;
-    writer_trap &operator=(const writer_trap &) = delete;
+    order_write_trap(const order_write_trap &) = delete;
+    order_write_trap &operator=(const order_write_trap &) = delete;
 
-    std::size_t waitForCatch()
+    std::size_t waitUntilCaught()
     {
-        waitUntil("an order is opened", [this] { return caught != noInstance; });
-        return caught;
+        waitUntil("an order is opened", [this] { return caughtWriter != noInstance; });
+        return caughtWriter;
     }
 
-    /// Freezes the writer between its record and its send: as long as the engine is frozen, the
-    /// writer can't get the load report that it wants before it sends.
+    /// Freezes the writer after it has recorded the order and before it sends it. The action must
+    /// have frozen the engine: until the engine is unfrozen here, the writer can't get the load
+    /// report that it needs before sending.
+    /// @returns The writer's index.
     std::size_t freezeWriter()
     {
-        const std::size_t writer = waitForCatch();
-        site.instance(writer).freeze();
-        site.engine(engine).wake();
+        const std::size_t writer = waitUntilCaught();
+        fleet.instance(writer).freeze();
+        fleet.engine(engine).unfreeze();
         return writer;
     }
 
 private:
     bool onWrite(const http_request &write)
     {
-        const std::string text = orderRecordIn(write);
+        const std::string text = extractOrderRecord(write);
         const json record = json::parse(text.empty() ? "{}" : text);
-        if (record.value("phase", "") != "open" || caught != noInstance)
+        if (record.value("phase", "") != "open" || caughtWriter != noInstance)
             return true;
-        const std::size_t writer = fleet::numberOf(record.at("writer").get<std::string>());
-        engine = fleet::numberOf(record.at("runner").get<std::string>());
-        how(writer, engine);
-        caught = writer;
+        const std::size_t writer = test_fleet::indexInName(record.at("writer").get<std::string>());
+        engine = test_fleet::indexInName(record.at("runner").get<std::string>());
+        action(writer, engine);
+        caughtWriter = writer;
         return true;
     }
 
-    fleet &site;
+    test_fleet &fleet;
     const std::size_t instances;
-    const strike how;
+    const trap_action action;
     std::atomic<std::size_t> engine{0};
-    std::atomic<std::size_t> caught{noInstance};
+    std::atomic<std::size_t> caughtWriter{noInstance};
 };
 
 std::size_t otherThan(std::size_t index)
@@ -76,96 +79,100 @@
     return index == 0 ? 1 : 0;
 }
 
-void waitForVersion(fleet &site, std::size_t engines, const std::string &version)
+void waitForVersion(test_fleet &fleet, std::size_t engines, const std::string &version)
 {
     for (std::size_t index = 0; index < engines; ++index)
         waitUntil("engine " + std::to_string(index) + " has version " + version,
-                  [&] { return site.hasVersion(index, version); });
+                  [&] { return fleet.hasVersion(index, version); });
 }
 
-tally plannerFrozen(const stage &place, bool checksFence)
+outcome_counts plannerFrozen(const scenario_environment &environment, bool checksFence)
 {
     fleet_spec spec;
-    spec.isGated = true;
+    spec.hasStoreProxies = true;
     spec.checksFence = checksFence;
-    fleet site(place, spec);
-    load work(site, {});
-    writer_trap trap(site, spec.instances,
-                     [&](std::size_t, std::size_t engine) { site.engine(engine).freeze(); });
-    expect(site.apply(0, {.version = "2"}).version != 0, "the change is accepted");
+    test_fleet fleet(environment, spec);
+    load_generator load(fleet, {});
+    order_write_trap trap(fleet, spec.instances,
+                          [&](std::size_t, std::size_t engine) { fleet.engine(engine).freeze(); });
+    expect(fleet.apply(0, {.version = "2"}).version != 0, "the change is accepted");
     const std::size_t frozen = trap.freezeWriter();
     const std::size_t other = otherThan(frozen);
-    site.unlist(frozen);
-    waitForVersion(site, spec.engines, "2");
-    const change_answer next = site.apply(other, {.version = "3"});
-    waitForVersion(site, spec.engines, "3");
-    site.instance(frozen).wake();
-    site.list(frozen);
-    site.waitInForce(next.version);
-    waitUntil("the woken planner is back", [&] { return site.stateOf(frozen, other) == "alive"; });
-    work.waitForWhole(20);
-    waitForVersion(site, spec.engines, "3");
-    return countOf(site, work.stop(), disturbance::Failures);
+    fleet.removeFromInstanceList(frozen);
+    waitForVersion(fleet, spec.engines, "2");
+    const change_result next = fleet.apply(other, {.version = "3"});
+    waitForVersion(fleet, spec.engines, "3");
+    fleet.instance(frozen).unfreeze();
+    fleet.addToInstanceList(frozen);
+    fleet.waitInForce(next.version);
+    waitUntil("the unfrozen planner is alive again",
+              [&] { return fleet.stateOf(frozen, other) == "alive"; });
+    load.waitForWholeAnswers(20);
+    waitForVersion(fleet, spec.engines, "3");
+    return countOutcomes(fleet, load.stop(), disruption::Failures);
 }
 
-// Callers see nothing but a slow instance. A planner is frozen after its order's record took effect
-// and before it sends. A successor takes over, finishes that order and the next change. The woken
-// planner still believes in its order, which would take the engine back: the engine's check of the
-// number, and the window, keep it from having an effect.
-tally plannerFrozenFenceChecked(const stage &place)
+// A planner is frozen after the record of its order took effect and before it sends the order. A
+// successor takes over, and completes that order and the next change. When unfrozen, the first
+// planner still considers its order valid, which would return the engine to the older version. The
+// engine's check of the fence and the send window prevent that. Callers only notice a slow
+// instance.
+outcome_counts plannerFrozenFenceChecked(const scenario_environment &environment)
 {
-    return plannerFrozen(place, true);
+    return plannerFrozen(environment, true);
 }
 
-// As above, with engines that obey any number: here only the window, the successor's wait and the
-// guard of the window stand between the woken planner and the engine.
-tally plannerFrozenFenceIgnored(const stage &place)
+// As above, with engines that do not check the fence. Only the send window, the check of that
+// window before sending, and the successor's wait protect the engine from the unfrozen planner.
+outcome_counts plannerFrozenFenceIgnored(const scenario_environment &environment)
 {
-    return plannerFrozen(place, false);
+    return plannerFrozen(environment, false);
 }
 
-// Two planners are at work at once, and each hears wrongly what became of its writes: the first is
-// frozen over its open order and woken in the middle of its successor's work, while the store loses
-// answers of writes that took effect. One history of records decides, so that engines hear one
-// order at a time.
-tally twoPlannersLostAnswers(const stage &place)
+// Two planners are active at the same time, and neither reliably learns the outcome of its writes:
+// the first is frozen while its order is open and unfrozen while its successor works, and the store
+// loses answers to writes that took effect. Since the single history of records in the store
+// decides, engines receive one order at a time.
+outcome_counts twoPlannersLostAnswers(const scenario_environment &environment)
 {
     fleet_spec spec;
-    spec.isGated = true;
+    spec.hasStoreProxies = true;
     spec.checksFence = false;
-    fleet site(place, spec);
-    load work(site, {});
-    writer_trap trap(site, spec.instances,
-                     [&](std::size_t, std::size_t engine) { site.engine(engine).freeze(); });
-    const change_answer change = site.apply(0, {.version = "2"});
+    test_fleet fleet(environment, spec);
+    load_generator load(fleet, {});
+    order_write_trap trap(fleet, spec.instances,
+                          [&](std::size_t, std::size_t engine) { fleet.engine(engine).freeze(); });
+    const change_result change = fleet.apply(0, {.version = "2"});
     const std::size_t frozen = trap.freezeWriter();
-    waitUntil("another planner takes over", [&] { return site.isGone(frozen, otherThan(frozen)); });
-    site.platformFault({{"mode", "lose_answers"}, {"count", 12}});
-    site.instance(frozen).wake();
-    waitForVersion(site, spec.engines, "2");
-    site.waitInForce(change.version);
-    work.waitForWhole(20);
-    return countOf(site, work.stop(), disturbance::Failures);
+    waitUntil("another planner takes over",
+              [&] { return fleet.isDeadOrUnknown(frozen, otherThan(frozen)); });
+    fleet.injectPlatformFault({{"mode", "lose_answers"}, {"count", 12}});
+    fleet.instance(frozen).unfreeze();
+    waitForVersion(fleet, spec.engines, "2");
+    fleet.waitInForce(change.version);
+    load.waitForWholeAnswers(20);
+    return countOutcomes(fleet, load.stop(), disruption::Failures);
 }
 
-// Callers go on with the other engine. The planner is killed over its open order, and the engine
-// crashes in the middle of the change that the successor orders: the same order under the same
-// number is sent to the new life, and no other one comes before it is done.
-tally engineCrashesAndPlannerKilled(const stage &place)
+// The planner is killed while its order is open, and the engine crashes in the middle of the change
+// that the successor orders. The same order with the same fence is sent to the engine's new
+// incarnation, and no other order is sent before it is done. Callers are served by the other
+// engine.
+outcome_counts engineCrashesAndPlannerKilled(const scenario_environment &environment)
 {
     fleet_spec spec;
-    spec.isGated = true;
+    spec.hasStoreProxies = true;
     spec.engineOptions = {"--crash-in-change", "drop"};
-    fleet site(place, spec);
-    load work(site, {});
-    writer_trap trap(site, spec.instances,
-                     [&](std::size_t writer, std::size_t) { site.instance(writer).kill(); });
-    expect(site.apply(0, {.version = "2"}).version != 0, "the change is accepted");
-    const std::size_t killed = trap.waitForCatch();
-    site.killInstance(killed);
-    waitForVersion(site, spec.engines, "2");
-    work.waitForWhole(20);
-    return countOf(site, work.stop(), disturbance::Failures);
+    test_fleet fleet(environment, spec);
+    load_generator load(fleet, {});
+    order_write_trap trap(fleet, spec.instances,
+                          [&](std::size_t writer, std::size_t) { fleet.instance(writer).kill(); });
+    expect(fleet.apply(0, {.version = "2"}).version != 0, "the change is accepted");
+    const std::size_t killed = trap.waitUntilCaught();
+    fleet.killInstance(killed);
+    waitForVersion(fleet, spec.engines, "2");
+    load.waitForWholeAnswers(20);
+    return countOutcomes(fleet, load.stop(), disruption::Failures);
 }
 
 } // namespace
--- a/tests/faults/scenarios.h
+++ b/tests/faults/scenarios.h
@@ -11,16 +11,23 @@
 struct scenario
 {
     std::string name;
-    int point = 0; ///< Of "What must always hold" in the brief, 1 to 9.
-    int faults = 1; ///< Kinds of faults at once.
-    tally (*run)(const stage &place) = nullptr;
+    /// Number of the guarantee that the scenario checks, 1 to 9; printed as `point`.
+    int guarantee = 0;
+    int faultKinds = 1; ///< Number of different faults injected at the same time.
+    outcome_counts (*run)(const scenario_environment &environment) = nullptr;
 };
 
+/// Guarantees 1 and 3: engines receive one order at a time, and stale orders have no effect.
 std::vector<scenario> orderScenarios();
-std::vector<scenario> changeScenarios();
+/// Guarantee 2: changes of engines cut no running stream.
+std::vector<scenario> engineChangeScenarios();
+/// Guarantees 4 and 5: answers are complete, and "not run" is true.
 std::vector<scenario> answerScenarios();
-std::vector<scenario> onceScenarios();
-std::vector<scenario> leavingScenarios();
+/// Guarantee 6: a call with an idempotency key runs at most once.
+std::vector<scenario> atMostOnceScenarios();
+/// Guarantees 7 and 8: drained engines get no new requests, and instances shut down gracefully.
+std::vector<scenario> drainScenarios();
+/// Guarantee 9: instances agree on one sequence of configuration versions.
 std::vector<scenario> configScenarios();
 
 } // namespace poplarspool::faults
--- a/tests/faults/store_gate.cpp
+++ b/tests/faults/store_gate.cpp
@@ -9,58 +9,61 @@
 namespace {
 
 constexpr std::size_t idlePerTarget = 16;
-constexpr milliseconds connectTime{1000};
-/// Above the longest watch.
-constexpr milliseconds passTime{70000};
+constexpr milliseconds connectTimeout{1000};
+/// Longer than the longest watch call.
+constexpr milliseconds forwardTimeout{70000};
 constexpr int statusOk = 200;
 
 } // namespace
 
-store_gate::store_gate(const endpoint &listen, const endpoint &platform)
-    : platform(platform), pool(idlePerTarget, connectTime, metrics),
+store_fault_proxy::store_fault_proxy(const endpoint &listen, const endpoint &platform)
+    : platform(platform), pool(idlePerTarget, connectTimeout, metrics),
       server(
               "gate", listen, defaultHttpLimits(),
-              [this](const http_request &request, http_sink &) { return pass(request); }, metrics)
+              [this](const http_request &request, http_sink &) { return forward(request); },
+              metrics)
 {
-    expect(succeeded(server.start()), "the gate listens");
+    expect(succeeded(server.start()), "the store fault proxy listens");
 }
 
-store_gate::~store_gate()
+store_fault_proxy::~store_fault_proxy()
 {
     pool.stop();
     server.stop();
 }
 
-void store_gate::setHook(write_hook hook)
+void store_fault_proxy::setWriteHook(write_hook hook)
 {
     const std::lock_guard lock(mutex);
-    onWrite = std::move(hook);
+    writeHook = std::move(hook);
 }
 
-void store_gate::setClosed(bool isClosed)
+void store_fault_proxy::setBlocked(bool isBlocked)
 {
-    closed = isClosed;
+    blocked = isBlocked;
 }
 
-// No reply breaks the connection, as a lost answer does.
-std::optional<http_reply> store_gate::pass(const http_request &request)
+// Returning no reply closes the connection, which the instance sees as a lost answer.
+std::optional<http_reply> store_fault_proxy::forward(const http_request &request)
 {
-    if (closed)
+    if (blocked)
         return std::nullopt;
-    const http_request bare{request.method, request.path, {}, request.body, request.contentType};
-    const auto reply = pool.send(platform, bare, passTime);
-    if (!succeeded(reply) || closed)
+    const http_request outgoing{
+            request.method, request.path, {}, request.body, request.contentType};
+    const auto reply = pool.send(platform, outgoing, forwardTimeout);
+    if (!succeeded(reply) || blocked)
         return std::nullopt;
-    http_reply passed{valueOf(reply).status, {}, valueOf(reply).body, valueOf(reply).contentType};
-    if (request.method != "PUT" || passed.status != statusOk)
-        return passed;
+    http_reply forwarded{
+            valueOf(reply).status, {}, valueOf(reply).body, valueOf(reply).contentType};
+    if (request.method != "PUT" || forwarded.status != statusOk)
+        return forwarded;
     const std::lock_guard lock(mutex);
-    if (onWrite && !onWrite(request))
+    if (writeHook && !writeHook(request))
         return std::nullopt;
-    return passed;
+    return forwarded;
 }
 
-std::string orderRecordIn(const http_request &write)
+std::string extractOrderRecord(const http_request &write)
 {
     const auto body = nlohmann::json::parse(write.body, nullptr, false);
     if (!body.is_object() || !body.contains("value"))
--- a/tests/faults/store_gate.h
+++ b/tests/faults/store_gate.h
@@ -8,34 +8,36 @@
 
 namespace poplarspool::faults {
 
-/// Stands between instances and the stand-in platform, so that a fault comes exactly between a
-/// write's effect and its answer, or cuts off one instance alone.
-class store_gate
+/// HTTP proxy between an instance and the stand-in platform. Injects a fault exactly between a
+/// write taking effect and its answer, or disconnects a single instance from the platform.
+class store_fault_proxy
 {
 public:
-    /// Sees a write that took effect before its writer does; returns false to lose the answer.
+    /// Called after a write took effect and before the writer gets the answer. Returns false to
+    /// drop the answer.
     using write_hook = std::function<bool(const http_request &write)>;
 
-    store_gate(const endpoint &listen, const endpoint &platform);
-    ~store_gate();
+    store_fault_proxy(const endpoint &listen, const endpoint &platform);
+    ~store_fault_proxy();
 
-    void setHook(write_hook hook);
-    /// Breaks all calls, those under way too once they have their answer.
-    void setClosed(bool isClosed);
+    void setWriteHook(write_hook hook);
+    /// While blocked, the connection of each call is closed without an answer. Calls in progress
+    /// lose the answer that they get from the platform.
+    void setBlocked(bool isBlocked);
 
 private:
-    std::optional<http_reply> pass(const http_request &request);
+    std::optional<http_reply> forward(const http_request &request);
 
     const endpoint platform;
     metrics_registry metrics;
     http_pool pool;
-    std::atomic<bool> closed{false};
+    std::atomic<bool> blocked{false};
     std::mutex mutex;
-    write_hook onWrite;
+    write_hook writeHook;
     http_server server;
 };
 
-/// @returns The order record that a write puts, as JSON text; empty where it puts something else.
-std::string orderRecordIn(const http_request &write);
+/// @returns The order record that a write stores, as JSON text; empty if it stores something else.
+std::string extractOrderRecord(const http_request &write);
 
 } // namespace poplarspool::faults
--- a/tests/faults/tally.cpp
+++ b/tests/faults/tally.cpp
@@ -8,45 +8,46 @@
 
 namespace {
 
-void countEnd(const call_record &call, disturbance met, tally &into)
+void addOutcome(const call_record &call, disruption allowed, outcome_counts &counts)
 {
-    ++into.requests;
-    into.notRun += call.notRunRequests.size();
-    switch (call.end) {
-    case call_end::Whole:
-        ++into.whole;
+    ++counts.requests;
+    counts.notRun += call.notRunRequestIds.size();
+    switch (call.outcome) {
+    case call_outcome::Whole:
+        ++counts.whole;
         return;
-    case call_end::NotRun:
+    case call_outcome::NotRun:
         return;
-    case call_end::MayHaveRun:
-        ++into.mayHaveRun;
-        into.cut += met == disturbance::Planned ? 1 : 0;
+    case call_outcome::MayHaveRun:
+        ++counts.mayHaveRun;
+        counts.cut += allowed == disruption::Planned ? 1 : 0;
         return;
-    case call_end::Doubled:
-        ++into.doubled;
+    case call_outcome::Doubled:
+        ++counts.doubled;
         return;
-    case call_end::Cut:
-    case call_end::Wrong:
-        ++into.cut;
+    case call_outcome::Cut:
+    case call_outcome::Wrong:
+        ++counts.cut;
     }
 }
 
-void countRuns(const std::map<std::string, std::uint64_t> &runs,
-               const std::vector<call_record> &calls, tally &into)
+void addServiceRuns(const std::map<std::string, std::uint64_t> &runs,
+                    const std::vector<call_record> &calls, outcome_counts &counts)
 {
     for (const auto &[key, count] : runs)
-        into.doubled += count - 1;
-    // A key may have been sent several times: it was not run where nobody heard anything else.
-    std::map<std::string, bool> saidNotRun;
+        counts.doubled += count - 1;
+    // A key may have been sent several times. It must not have run if every answer was "not run".
+    std::map<std::string, bool> answeredOnlyNotRun;
     for (const call_record &call : calls)
         if (!call.key.empty())
-            saidNotRun.try_emplace(call.key, true).first->second &= call.end == call_end::NotRun;
-    for (const auto &[key, isNotRun] : saidNotRun)
-        into.falseNotRun += isNotRun && runs.count(key) != 0 ? 1 : 0;
+            answeredOnlyNotRun.try_emplace(call.key, true).first->second &=
+                    call.outcome == call_outcome::NotRun;
+    for (const auto &[key, isNotRun] : answeredOnlyNotRun)
+        counts.falseNotRun += isNotRun && runs.count(key) != 0 ? 1 : 0;
 }
 
-void countBegun(const std::vector<json> &records, const std::vector<call_record> &calls,
-                tally &into)
+void addFalseNotRun(const std::vector<json> &records, const std::vector<call_record> &calls,
+                    outcome_counts &counts)
 {
     std::set<std::string> begun;
     for (const json &engine : records)
@@ -54,48 +55,50 @@
             if (each.at("began").get<bool>())
                 begun.insert(each.at("request").get<std::string>());
     for (const call_record &call : calls)
-        for (const std::string &request : call.notRunRequests)
-            into.falseNotRun += begun.count(request);
+        for (const std::string &request : call.notRunRequestIds)
+            counts.falseNotRun += begun.count(request);
 }
 
-void countOrders(const json &engine, tally &into)
+void addOrderViolations(const json &engine, outcome_counts &counts)
 {
-    into.staleOrders += engine.at("stale_orders_obeyed").get<std::uint64_t>()
+    counts.staleOrders += engine.at("stale_orders_obeyed").get<std::uint64_t>()
             + engine.at("orders_during_change").get<std::uint64_t>();
-    std::map<std::uint64_t, json> wanted;
+    std::map<std::uint64_t, json> stateByFence;
     for (const json &order : engine.at("orders")) {
-        into.cut += order.at("streams_cut").get<std::uint64_t>();
+        counts.cut += order.at("streams_cut").get<std::uint64_t>();
         if (!order.at("obeyed").get<bool>())
             continue;
         const json state = {order.at("role"), order.at("models")};
-        const auto [known, isFirst] = wanted.emplace(order.at("fence"), state);
-        into.staleOrders += !isFirst && known->second != state ? 1 : 0;
+        const auto [existing, isFirst] = stateByFence.emplace(order.at("fence"), state);
+        counts.staleOrders += !isFirst && existing->second != state ? 1 : 0;
     }
 }
 
 } // namespace
 
-tally countOf(fleet &site, const std::vector<call_record> &calls, disturbance met)
+outcome_counts countOutcomes(test_fleet &fleet, const std::vector<call_record> &calls,
+                             disruption allowed)
 {
-    tally counts;
+    outcome_counts counts;
     for (const call_record &call : calls)
-        countEnd(call, met, counts);
-    const std::vector<json> engines = site.allEngineRecords();
-    countRuns(site.serviceRuns(), calls, counts);
-    countBegun(engines, calls, counts);
+        addOutcome(call, allowed, counts);
+    const std::vector<json> engines = fleet.allEngineRecords();
+    addServiceRuns(fleet.serviceRuns(), calls, counts);
+    addFalseNotRun(engines, calls, counts);
     for (const json &engine : engines)
-        countOrders(engine, counts);
+        addOrderViolations(engine, counts);
     return counts;
 }
 
-std::string lineOf(const std::string &scenario, int point, const tally &counts)
+std::string formatResultLine(const std::string &scenario, int guarantee,
+                             const outcome_counts &counts)
 {
     std::ostringstream line;
     line << "scenario=" << scenario << " requests=" << counts.requests << " whole=" << counts.whole
          << " not_run=" << counts.notRun << " may_have_run=" << counts.mayHaveRun
          << " doubled=" << counts.doubled << " cut=" << counts.cut
          << " false_not_run=" << counts.falseNotRun << " stale_orders=" << counts.staleOrders
-         << " point=" << point;
+         << " point=" << guarantee;
     return line.str();
 }
 
--- a/tests/faults/tally.h
+++ b/tests/faults/tally.h
@@ -7,30 +7,36 @@
 
 namespace poplarspool::faults {
 
-/// What a scenario shows. The last four must be 0.
-struct tally
+/// The counts that a scenario prints. The last four must be 0.
+struct outcome_counts
 {
     std::uint64_t requests = 0;
     std::uint64_t whole = 0;
-    std::uint64_t notRun = 0; ///< Answers "not run", those of tries that were repeated too.
+    std::uint64_t notRun = 0; ///< "Not run" answers, including those to attempts that were retried.
     std::uint64_t mayHaveRun = 0;
-    std::uint64_t doubled = 0; ///< Runs of a key beyond its first; answers with a token twice.
-    std::uint64_t cut = 0; ///< Looked whole and were not; cut by an order; wrong ones too.
+    /// Repeated runs of an idempotency key, and answers in which a token came twice.
+    std::uint64_t doubled = 0;
+    /// Answers marked as complete although tokens are missing, streams cut by an order, and wrong
+    /// answers; with disruption::Planned also answers that broke off.
+    std::uint64_t cut = 0;
+    /// "Not run" answers to requests that an engine or a service had begun.
     std::uint64_t falseNotRun = 0;
-    /// Orders with an old fence that an engine obeyed, two wanted states under one fence, and
-    /// orders obeyed before the one before them was done.
+    /// Orders with an outdated fence that an engine obeyed, different requested states under the
+    /// same fence, and orders obeyed before the previous one was done.
     std::uint64_t staleOrders = 0;
 
-    bool isClean() const { return doubled + cut + falseNotRun + staleOrders == 0; }
+    bool hasNoViolations() const { return doubled + cut + falseNotRun + staleOrders == 0; }
 };
 
-/// Whether only planned changes took place, so that no answer may be broken off either.
-enum class disturbance { Planned, Failures };
+/// Whether a scenario injects failures. With planned changes alone, no answer may break off.
+enum class disruption { Planned, Failures };
 
-/// Counts by the callers' answers and the records of the stand-ins.
-tally countOf(fleet &site, const std::vector<call_record> &calls, disturbance met);
+/// Evaluates the callers' answers and the records of the stand-ins.
+outcome_counts countOutcomes(test_fleet &fleet, const std::vector<call_record> &calls,
+                             disruption allowed);
 
 /// @returns `scenario=NAME requests=N … stale_orders=N point=K`
-std::string lineOf(const std::string &scenario, int point, const tally &counts);
+std::string formatResultLine(const std::string &scenario, int guarantee,
+                             const outcome_counts &counts);
 
 } // namespace poplarspool::faults
--- a/tests/faults/waiting.cpp
+++ b/tests/faults/waiting.cpp
@@ -7,26 +7,26 @@
 
 namespace {
 
-/// No verdict rests on it: it only ends a scenario that would never end.
-constexpr std::chrono::seconds safetyTime{60};
-constexpr std::chrono::milliseconds lookPause{50};
+/// Only ends scenarios that would wait forever; no scenario measures time with it.
+constexpr std::chrono::seconds safetyTimeout{60};
+constexpr std::chrono::milliseconds pollInterval{50};
 
 } // namespace
 
-bool holdsInTime(const std::function<bool()> &condition)
+bool pollUntil(const std::function<bool()> &condition)
 {
-    const auto deadline = std::chrono::steady_clock::now() + safetyTime;
+    const auto deadline = std::chrono::steady_clock::now() + safetyTimeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() > deadline)
             return false;
-        std::this_thread::sleep_for(lookPause);
+        std::this_thread::sleep_for(pollInterval);
     }
     return true;
 }
 
 void waitUntil(const std::string &what, const std::function<bool()> &condition)
 {
-    expect(holdsInTime(condition), "not in time: " + what);
+    expect(pollUntil(condition), "timed out waiting for: " + what);
 }
 
 void expect(bool holds, const std::string &what)
--- a/tests/faults/waiting.h
+++ b/tests/faults/waiting.h
@@ -6,21 +6,23 @@
 
 namespace poplarspool::faults {
 
-/// What a scenario expects did not hold.
+/// An expectation of a scenario was not met.
 struct expectation_failed : std::runtime_error
 {
     using std::runtime_error::runtime_error;
 };
 
-/// Looks until the condition holds.
-/// @returns False where it does not within the safety time.
-bool holdsInTime(const std::function<bool()> &condition);
+/// Polls until the condition holds.
+/// @returns False if it does not hold within the safety timeout.
+bool pollUntil(const std::function<bool()> &condition);
 
-/// As holdsInTime().
-/// @throws expectation_failed Naming what did not come about.
+/// Like pollUntil(), but throws on a timeout.
+/// @param what The expected state, for the message.
+/// @throws expectation_failed If the condition does not hold within the safety timeout.
 void waitUntil(const std::string &what, const std::function<bool()> &condition);
 
-/// @throws expectation_failed
+/// @param what The expected state, for the message.
+/// @throws expectation_failed If it does not hold.
 void expect(bool holds, const std::string &what);
 
 } // namespace poplarspool::faults
