--- a/tests/fuzz/calls.cpp
+++ b/tests/fuzz/calls.cpp
@@ -14,10 +14,11 @@
     const auto decoded = decode<Message>(bytes);
     if (!succeeded(decoded))
         return;
-    const std::string text = encode(valueOf(decoded));
-    const auto again = decode<Message>(text);
-    require(succeeded(again), "what was encoded can't be decoded");
-    require(encode(valueOf(again)) == text, "what was encoded is decoded as another value");
+    const std::string encoded = encode(valueOf(decoded));
+    const auto redecoded = decode<Message>(encoded);
+    require(succeeded(redecoded), "an encoded message can't be decoded");
+    require(encode(valueOf(redecoded)) == encoded,
+            "a message changes when encoded and decoded again");
 }
 
 void checkCall(std::string_view bytes)
@@ -25,25 +26,27 @@
     const auto decoded = decodeCall(bytes);
     if (!succeeded(decoded))
         return;
-    const auto again = decodeCall(encodeCall(valueOf(decoded).kind, valueOf(decoded).payload));
-    require(succeeded(again) && valueOf(again).kind == valueOf(decoded).kind
-                    && valueOf(again).payload == valueOf(decoded).payload,
-            "a call is decoded as another one");
+    const auto redecoded = decodeCall(encodeCall(valueOf(decoded).kind, valueOf(decoded).payload));
+    require(succeeded(redecoded) && valueOf(redecoded).kind == valueOf(decoded).kind
+                    && valueOf(redecoded).payload == valueOf(decoded).payload,
+            "a call changes when encoded and decoded again");
 }
 
-/// Also refusals: what a peer says went wrong must be told as it was.
+/// Also covers failures: an error that a peer reports must be passed on unchanged.
 void checkReply(std::string_view bytes)
 {
     const auto decoded = decodeReply(bytes);
-    const auto again = decodeReply(encodeReply(decoded));
-    require(succeeded(again) == succeeded(decoded), "an outcome is decoded as another one");
+    const auto redecoded = decodeReply(encodeReply(decoded));
+    require(succeeded(redecoded) == succeeded(decoded),
+            "a success becomes a failure, or a failure a success, when encoded and decoded again");
     if (succeeded(decoded))
-        require(valueOf(again) == valueOf(decoded), "an answer is decoded as another one");
+        require(valueOf(redecoded) == valueOf(decoded),
+                "an answer changes when encoded and decoded again");
     else
-        require(errorOf(again).code == errorOf(decoded).code
-                        && errorOf(again).ran == errorOf(decoded).ran
-                        && errorOf(again).retryAfter == errorOf(decoded).retryAfter,
-                "a failure is decoded as another one");
+        require(errorOf(redecoded).code == errorOf(decoded).code
+                        && errorOf(redecoded).ran == errorOf(decoded).ran
+                        && errorOf(redecoded).retryAfter == errorOf(decoded).retryAfter,
+                "a failure changes when encoded and decoded again");
 }
 
 } // namespace
--- a/tests/fuzz/datagrams.cpp
+++ b/tests/fuzz/datagrams.cpp
@@ -14,24 +14,24 @@
 
 namespace {
 
-/// Any, and fixed: the same bytes mean the same on each run.
-const mono_time now{std::chrono::hours(1000)};
+/// An arbitrary fixed time, so that the same input gives the same result in each run.
+const mono_time fixedNow{std::chrono::hours(1000)};
 
-/// @param decoded What some bytes were read as: it can be written, and reads as the same again.
+/// Checks that a value decoded from the bytes can be encoded, and is unchanged when decoded again.
 template <class Encode, class Decode>
 void checkRoundTrip(std::string_view bytes, const Encode &encode, const Decode &decode)
 {
     const auto decoded = decode(bytes);
     if (!succeeded(decoded))
         return;
-    const auto text = encode(valueOf(decoded));
-    require(succeeded(text), "what was decoded can't be encoded");
-    const auto again = decode(valueOf(text));
-    require(succeeded(again), "what was encoded can't be decoded");
-    // Compared as text, since a number may be none (NaN).
-    const auto repeated = encode(valueOf(again));
-    require(succeeded(repeated) && valueOf(repeated) == valueOf(text),
-            "what was encoded is decoded as another value");
+    const auto encoded = encode(valueOf(decoded));
+    require(succeeded(encoded), "a decoded value can't be encoded");
+    const auto redecoded = decode(valueOf(encoded));
+    require(succeeded(redecoded), "an encoded value can't be decoded");
+    // Compares the encodings, because a NaN in a value differs from itself.
+    const auto reencoded = encode(valueOf(redecoded));
+    require(succeeded(reencoded) && valueOf(reencoded) == valueOf(encoded),
+            "a value changes when encoded and decoded again");
 }
 
 void checkFrame(std::string_view bytes)
@@ -50,9 +50,9 @@
     checkRoundTrip(
             bytes,
             [](const peer::gossip_message &message) {
-                return result<std::string>(peer::encodeGossip(message, now));
+                return result<std::string>(peer::encodeGossip(message, fixedNow));
             },
-            [](std::string_view text) { return peer::decodeGossip(text, now); });
+            [](std::string_view encoded) { return peer::decodeGossip(encoded, fixedNow); });
 }
 
 void checkRunnerChange(std::string_view bytes)
@@ -64,21 +64,22 @@
 
 void checkRouteTable(std::string_view bytes)
 {
-    const gateway::route_table none;
+    const gateway::route_table noTable;
     checkRoundTrip(
-            bytes, [&](const gateway::route_table &table) { return gateway::encode(table, none); },
-            [&](std::string_view text) { return gateway::decodeRouteTable(text, none); });
+            bytes,
+            [&](const gateway::route_table &table) { return gateway::encode(table, noTable); },
+            [&](std::string_view encoded) { return gateway::decodeRouteTable(encoded, noTable); });
 }
 
-/// What holders of a duty leave to each other in the store.
-void checkNotes(std::string_view bytes)
+/// Checkpoints that the holders of a duty's lease store for their successors.
+void checkCheckpoints(std::string_view bytes)
 {
-    if (const auto note = duties::decodeUsageNote(bytes))
-        require(duties::decodeUsageNote(duties::encode(*note)) == note,
-                "a note of usage is read as another one");
-    if (const auto note = scaling::decodeFleetNote(bytes))
-        require(scaling::decodeFleetNote(scaling::encode(*note)) == note,
-                "a note of the fleet is read as another one");
+    if (const auto checkpoint = duties::decodeUsageNote(bytes))
+        require(duties::decodeUsageNote(duties::encode(*checkpoint)) == checkpoint,
+                "a usage checkpoint changes when encoded and decoded again");
+    if (const auto checkpoint = scaling::decodeFleetNote(bytes))
+        require(scaling::decodeFleetNote(scaling::encode(*checkpoint)) == checkpoint,
+                "a fleet checkpoint changes when encoded and decoded again");
 }
 
 } // namespace
@@ -95,12 +96,12 @@
         break;
     case 2:
         checkRoundTrip(
-                bytes, [](const peer::load_news &news) { return peer::encode(news); },
+                bytes, [](const peer::load_news &update) { return peer::encode(update); },
                 peer::decodeLoadNews);
         break;
     case 3:
         checkRoundTrip(
-                bytes, [](const peer::store_news &news) { return peer::encode(news); },
+                bytes, [](const peer::store_news &update) { return peer::encode(update); },
                 peer::decodeStoreNews);
         break;
     case 4:
@@ -111,11 +112,11 @@
         break;
     case 6:
         checkRoundTrip(
-                bytes, [](const duties::usage_news &news) { return duties::encode(news); },
+                bytes, [](const duties::usage_news &update) { return duties::encode(update); },
                 duties::decodeUsageNews);
         break;
     default:
-        checkNotes(bytes);
+        checkCheckpoints(bytes);
         break;
     }
     return 0;
--- a/tests/fuzz/files.cpp
+++ b/tests/fuzz/files.cpp
@@ -21,9 +21,9 @@
         parseRules("f", text);
         break;
     default:
-        // Two files, one after the other.
-        const std::size_t cut = std::min(text.find("\n---\n"), text.size());
-        checkTogether("i", text.substr(0, cut), "r", text.substr(cut));
+        // Inventory and rules in one input, separated by a line `---`.
+        const std::size_t separator = std::min(text.find("\n---\n"), text.size());
+        checkTogether("i", text.substr(0, separator), "r", text.substr(separator));
         guessKind(text);
         break;
     }
--- a/tests/fuzz/replies.cpp
+++ b/tests/fuzz/replies.cpp
@@ -9,58 +9,60 @@
 
 namespace {
 
-constexpr std::size_t mostBodyBytes = 1024 * 1024;
+constexpr std::size_t maxBodyBytes = 1024 * 1024;
 
-/// Nothing is lost or made up: the events and what is left over are what arrived.
+/// The events, together with the bytes of an incomplete last event, must equal the received bytes.
 void checkEvents(std::string_view bytes)
 {
     gateway::event_splitter splitter;
     std::string joined;
-    const auto takeAll = [&] {
+    const auto appendEvents = [&] {
         while (const auto event = splitter.next())
             joined += event->text;
     };
     splitter.add(bytes.substr(0, bytes.size() / 2));
-    takeAll();
+    appendEvents();
     splitter.add(bytes.substr(bytes.size() / 2));
-    takeAll();
-    require(bytes.starts_with(joined), "events are not what arrived");
-    require(splitter.isAtBoundary() == (joined.size() == bytes.size()), "bytes of events are lost");
+    appendEvents();
+    require(bytes.starts_with(joined), "the events differ from the received bytes");
+    require(splitter.isAtBoundary() == (joined.size() == bytes.size()),
+            "the splitter loses bytes, or is wrong about an event boundary");
 }
 
-/// Headers of a runner go to the caller: they must not change the message around them.
-void checkPassedOn(const reply_head &head)
+/// A runner's headers are forwarded to the caller. They must not change the framing of the reply.
+void checkForwarded(const reply_head &head)
 {
-    const http_headers passed = gateway::passedReplyHeaders(head.headers);
-    const std::string text = replyHeadText(head.status, passed, "text/plain", {.bodyBytes = 7});
-    const auto again = parseReplyHead(text);
-    require(again.has_value() && again->status == head.status && again->bodyBytes == 7U,
-            "a reply is passed on as another one");
+    const http_headers forwarded = gateway::passedReplyHeaders(head.headers);
+    const std::string text = replyHeadText(head.status, forwarded, "text/plain", {.bodyBytes = 7});
+    const auto reparsed = parseReplyHead(text);
+    require(reparsed.has_value() && reparsed->status == head.status && reparsed->bodyBytes == 7U,
+            "a forwarded reply differs from the runner's reply");
 }
 
-/// A handle goes to another runner: it must not change the request around it.
+/// A KV handle is sent to another runner. It must not change the request that contains it.
 void checkHandle(const std::string &handle)
 {
-    const gateway::dialect names = adapter::platformDialect();
+    const gateway::dialect platformNames = adapter::platformDialect();
     gateway::send_extras extras;
     extras.runner = "i-1";
     extras.kvSource = "10.0.0.1:80/" + handle;
     http_request request;
-    request.path = names.freeHandle(handle).path;
-    const std::string text = gateway::runnerRequestText(request, {"10.0.0.1", 80}, names, extras);
-    const auto sent = parseRequestHead(text);
-    const auto *head = std::get_if<request_head>(&sent);
+    request.path = platformNames.freeHandle(handle).path;
+    const std::string text =
+            gateway::runnerRequestText(request, {"10.0.0.1", 80}, platformNames, extras);
+    const auto parsed = parseRequestHead(text);
+    const auto *head = std::get_if<request_head>(&parsed);
     require(head != nullptr && head->path == request.path
-                    && headerOf(head->headers, names.kvSource) == extras.kvSource,
-            "a request with a handle is another one");
+                    && headerOf(head->headers, platformNames.kvSource) == extras.kvSource,
+            "a handle changes the request that contains it");
 }
 
-void readOne(gateway::runner_call &call, socket_deadline deadline)
+void readReply(gateway::runner_call &call, socket_deadline deadline)
 {
     const auto head = call.readHead(deadline);
-    if (const auto *known = std::get_if<reply_head>(&head)) {
-        checkPassedOn(*known);
-        const gateway::body_piece rest = call.readRest(deadline, mostBodyBytes);
+    if (const auto *replyHead = std::get_if<reply_head>(&head)) {
+        checkForwarded(*replyHead);
+        const gateway::body_piece rest = call.readRest(deadline, maxBodyBytes);
         checkEvents(rest.bytes);
     }
 }
@@ -69,16 +71,16 @@
 
 int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
-    static const gateway::dialect names = adapter::platformDialect();
+    static const gateway::dialect platformNames = adapter::platformDialect();
     const std::string_view bytes(reinterpret_cast<const char *>(data), size);
-    const socket_deadline past = socket_clock::now();
+    const socket_deadline expired = socket_clock::now();
     gateway::runner_call call(fuzz::socketOf(bytes), -1);
-    readOne(call, past);
-    readOne(call, past);
+    readReply(call, expired);
+    readReply(call, expired);
     call.takeConnection();
     checkEvents(bytes);
-    names.readReport(bytes);
-    if (const auto handle = names.readHandle(bytes))
+    platformNames.readReport(bytes);
+    if (const auto handle = platformNames.readHandle(bytes))
         checkHandle(*handle);
     return 0;
 }
--- a/tests/fuzz/store.cpp
+++ b/tests/fuzz/store.cpp
@@ -16,74 +16,79 @@
 
 namespace {
 
-const mono_time now{std::chrono::hours(1000)};
+const mono_time fixedNow{std::chrono::hours(1000)};
 
-/// What instances tell each other is what the store said, or is refused where it is told.
-void checkTold(const gateway::route_table &table)
+/// An update that one instance sends to others must be decoded to what the store returned, unless
+/// its encoding is refused by the sender.
+void checkUpdateEncoding(const gateway::route_table &table)
 {
-    const gateway::route_table none;
-    const auto told = gateway::encode(table, none);
-    if (!succeeded(told) || table.version == 0)
+    const gateway::route_table noTable;
+    const auto encoded = gateway::encode(table, noTable);
+    if (!succeeded(encoded) || table.version == 0)
         return;
-    const auto heard = gateway::decodeRouteTable(valueOf(told), none);
-    require(succeeded(heard), "told routes can't be read");
-    require(valueOf(heard) == table, "told routes are read as others");
+    const auto decoded = gateway::decodeRouteTable(valueOf(encoded), noTable);
+    require(succeeded(decoded), "an encoded route table can't be decoded");
+    require(valueOf(decoded) == table, "a route table changes when encoded and decoded again");
 }
 
-void checkTold(const gateway::runner_change &change)
+void checkUpdateEncoding(const gateway::runner_change &change)
 {
-    const auto told = gateway::encode(change);
-    if (!succeeded(told))
+    const auto encoded = gateway::encode(change);
+    if (!succeeded(encoded))
         return;
-    const auto heard = gateway::decodeRunnerChange(valueOf(told));
-    require(succeeded(heard), "a told entry can't be read");
-    require(valueOf(heard) == change, "a told entry is read as another one");
+    const auto decoded = gateway::decodeRunnerChange(valueOf(encoded));
+    require(succeeded(decoded), "an encoded runner change can't be decoded");
+    require(valueOf(decoded) == change, "a runner change changes when encoded and decoded again");
 }
 
-/// What is done with routes, short of sending a request.
+/// Applies a route table and evaluates all its routes, without sending requests.
 void useRoutes(const gateway::route_table &table)
 {
     journal events({"fuzz"}, systemClock(), 16);
-    gateway::catalogue_hub hub{gateway::catalogue{}};
-    gateway::catalogue_keeper keeper(hub, milliseconds(3000), systemClock(), events);
-    keeper.setTable(table);
-    keeper.setTable(table);
-    require(keeper.table() != nullptr && *keeper.table() == table, "routes are not taken");
+    gateway::catalogue_hub publisher{gateway::catalogue{}};
+    gateway::catalogue_keeper updater(publisher, milliseconds(3000), systemClock(), events);
+    updater.setTable(table);
+    updater.setTable(table);
+    require(updater.table() != nullptr && *updater.table() == table,
+            "a route table is not applied");
     const gateway::route_index index = gateway::indexOf(table);
-    for (const gateway::route &one : table.routes) {
+    for (const gateway::route &route : table.routes) {
         const gateway::route *found =
-                gateway::findRoute(table, index, one.host + ":80", one.pathPrefix + "?x");
-        require(found == nullptr || found->pathPrefix.size() <= one.pathPrefix.size(),
-                "a route is found for a path that it does not begin");
+                gateway::findRoute(table, index, route.host + ":80", route.pathPrefix + "?x");
+        require(found == nullptr || found->pathPrefix.size() <= route.pathPrefix.size(),
+                "a route is found for a path that does not begin with its prefix");
         for (const std::uint64_t draw : {std::uint64_t{0}, std::uint64_t{7}, UINT64_MAX}) {
-            const gateway::service_id drawn = gateway::drawService(one, draw);
+            const gateway::service_id picked = gateway::drawService(route, draw);
             const bool isOffered = std::ranges::any_of(
-                    one.services, [&](const auto &part) { return part.service == drawn; });
-            require(isOffered || !drawn.isValid(), "a service is drawn that is not offered");
-            gateway::findService(table, drawn);
+                    route.services, [&](const auto &part) { return part.service == picked; });
+            require(isOffered || !picked.isValid(),
+                    "a service is picked that the route does not list");
+            gateway::findService(table, picked);
         }
-        require(now + one.timeLimit >= now && now + one.objective >= now, "a time that is none");
+        require(fixedNow + route.timeLimit >= fixedNow && fixedNow + route.objective >= fixedNow,
+                "a time limit of a route overflows");
     }
     const http_limits limits = gateway::callerLimitsOf(table.bounds);
-    require(now + limits.readTime > now && now + limits.keepAliveTime > now,
-            "a caller's time that is none");
-    checkTold(table);
+    require(fixedNow + limits.readTime > fixedNow && fixedNow + limits.keepAliveTime > fixedNow,
+            "a time limit for callers is not positive, or overflows");
+    checkUpdateEncoding(table);
 }
 
-/// What a runner is called must not change the requests that name it.
-void checkSent(const gateway::runner &target)
+/// A runner's id and address must not change the requests that contain them.
+void checkRunnerRequest(const gateway::runner &target)
 {
-    static const gateway::dialect names = platformDialect();
+    static const gateway::dialect platformNames = platformDialect();
     const std::string text = gateway::runnerRequestText(
-            {}, target.address, names,
+            {}, target.address, platformNames,
             {target.id.text, milliseconds(5), {}, {}, {}, {}, false, {}, false});
-    const auto sent = parseRequestHead("GET / HTTP/1.1" + text.substr(text.find("\r\n")));
-    const auto *head = std::get_if<request_head>(&sent);
+    const auto parsed = parseRequestHead("GET / HTTP/1.1" + text.substr(text.find("\r\n")));
+    const auto *head = std::get_if<request_head>(&parsed);
     require(head != nullptr
-                    && headerOf(head->headers, names.expectedRunner) == trimmed(target.id.text)
+                    && headerOf(head->headers, platformNames.expectedRunner)
+                            == trimmed(target.id.text)
                     && headerOf(head->headers, "host") == textOf(target.address)
                     && head->headers.size() == 3,
-            "a request to a runner is another one");
+            "a runner's id or address changes the request that contains it");
 }
 
 void useRunner(const std::string &name, const nlohmann::json &spec)
@@ -92,14 +97,14 @@
     if (!succeeded(decoded))
         return;
     journal events({"fuzz"}, systemClock(), 16);
-    gateway::catalogue_hub hub{gateway::catalogue{}};
-    gateway::catalogue_keeper keeper(hub, milliseconds(3000), systemClock(), events);
+    gateway::catalogue_hub publisher{gateway::catalogue{}};
+    gateway::catalogue_keeper updater(publisher, milliseconds(3000), systemClock(), events);
     const gateway::runner_change change{{name}, valueOf(decoded)};
-    keeper.setRunners({valueOf(decoded)});
-    keeper.takeChanges({change, {{name}, std::nullopt}});
-    keeper.settle();
-    checkTold(change);
-    checkSent(valueOf(decoded));
+    updater.setRunners({valueOf(decoded)});
+    updater.takeChanges({change, {{name}, std::nullopt}});
+    updater.settle();
+    checkUpdateEncoding(change);
+    checkRunnerRequest(valueOf(decoded));
 }
 
 void useInstance(const std::string &name, const nlohmann::json &spec)
@@ -107,9 +112,9 @@
     const auto decoded = decodeInstance(name, spec);
     if (!succeeded(decoded))
         return;
-    const auto again = decodeInstance(name, encodeInstance(valueOf(decoded)));
-    require(succeeded(again) && valueOf(again) == valueOf(decoded),
-            "an instance is decoded as another one");
+    const auto redecoded = decodeInstance(name, encodeInstance(valueOf(decoded)));
+    require(succeeded(redecoded) && valueOf(redecoded) == valueOf(decoded),
+            "an instance changes when encoded and decoded again");
 }
 
 void useLease(const nlohmann::json &spec)
@@ -117,10 +122,10 @@
     const auto decoded = decodeLease(spec, {});
     if (!succeeded(decoded))
         return;
-    const auto again = decodeLease(encodeLease(valueOf(decoded)), {});
-    require(succeeded(again) && valueOf(again).holder == valueOf(decoded).holder
-                    && valueOf(again).fence == valueOf(decoded).fence,
-            "a lease is decoded as another one");
+    const auto redecoded = decodeLease(encodeLease(valueOf(decoded)), {});
+    require(succeeded(redecoded) && valueOf(redecoded).holder == valueOf(decoded).holder
+                    && valueOf(redecoded).fence == valueOf(decoded).fence,
+            "a lease changes when encoded and decoded again");
 }
 
 void useObject(const store_object &object)
@@ -146,8 +151,8 @@
         if (const auto page = pageOf(nlohmann::json(body), 0))
             std::ranges::for_each(page->objects, useObject);
     } else if (kind % 3 == 1) {
-        if (const auto seen = changesOf(nlohmann::json(body), 0))
-            std::ranges::for_each(seen->changes,
+        if (const auto changes = changesOf(nlohmann::json(body), 0))
+            std::ranges::for_each(changes->changes,
                                   [](const auto &change) { useObject(change.object); });
     } else {
         useObject({"main", body, {}});
--- a/tests/fuzz/targets.cmake
+++ b/tests/fuzz/targets.cmake
@@ -1,7 +1,7 @@
-# The fuzzing targets, by the compiler's own library. Only the sources that read what comes from
-# outside are built for them, with checks of addresses and of undefined behaviour.
+# Fuzz targets, built with libFuzzer. They use only the sources that parse external input, compiled
+# with AddressSanitizer and UndefinedBehaviorSanitizer.
 if(NOT CMAKE_CXX_COMPILER_ID STREQUAL "Clang")
-  message(FATAL_ERROR "the fuzzing targets need clang")
+  message(FATAL_ERROR "the fuzz targets require clang")
 endif()
 
 set(fuzzed
@@ -26,7 +26,7 @@
 add_library(poplarspool_fuzzed STATIC EXCLUDE_FROM_ALL ${fuzzed})
 target_include_directories(poplarspool_fuzzed PUBLIC ${PROJECT_SOURCE_DIR}/include
                            ${PROJECT_SOURCE_DIR}/src ${PROJECT_SOURCE_DIR})
-# After the build type's options, so that these levels hold.
+# Added after the build type's options, so that -O1 and -g1 take precedence.
 target_compile_options(poplarspool_fuzzed PUBLIC -O1 -g1 -Wno-error
                        -fsanitize=fuzzer-no-link,address,undefined -fno-sanitize-recover=all)
 target_link_options(poplarspool_fuzzed PUBLIC -fsanitize=address,undefined)
