--- a/model/claims.pml
+++ b/model/claims.pml
@@ -1,282 +1,292 @@
-/* Claims of one idempotency key: three attempts at three owners, two batchers of its bucket, and a
- * store that loses answers and delays writes.
+/* Claims of one idempotency key: three attempts on three owner instances, two batchers of the key's
+ * bucket, and a store that may lose replies and delay writes.
  *
- * Between any two steps any time may pass, so each attempt and batcher may be paused anywhere.
- * Properties: P_AT_MOST_ONCE, P_NOT_RUN_IS_TRUE. See docs/MODEL.md.
+ * Any amount of time may pass between two steps, so each attempt and batcher may pause anywhere.
+ * Properties:
+ *   P_AT_MOST_ONCE     the request is executed at most once
+ *   P_NOT_RUN_IS_TRUE  an attempt that is reported as not run was not executed and never will be
+ * See docs/MODEL.md.
  */
 #define ATTEMPTS 3
 #define BATCHERS 2
 #define FAILED 9
 
-/* What an owner's answer book says of a nonce. */
+/* State of a nonce in its owner's answer table. */
 #define UNKNOWN 0
 #define RUNNING 1
 #define NOT_DISPATCHED 2
-#define MAY_HAVE_RUN 3 /* done, or lost */
+#define MAY_HAVE_RUN 3 /* done, or the outcome is lost */
 
 #ifdef NO_CONDITIONAL_WRITE
-#define MATCHES(sees) (true)
+#define VERSION_MATCHES(condition) (true)
 #else
-#define MATCHES(sees) (sees)
+#define VERSION_MATCHES(condition) (condition)
 #endif
 
 #ifdef NO_EXACT_NONCE
-#define isReplaceable(dead) (dead != 0)
+#define isReplaceable(supersededNonce) (supersededNonce != 0)
 #else
-#define isReplaceable(dead) (dead != 0 && seen == dead)
+#define isReplaceable(supersededNonce) (supersededNonce != 0 && cachedNonce == supersededNonce)
 #endif
 
 #ifdef NO_NOT_DISPATCHED_CHECK
-#define maySupersede(state) (state == NOT_DISPATCHED || state == RUNNING)
+#define maySupersede(answerState) (answerState == NOT_DISPATCHED || answerState == RUNNING)
 #else
 #ifdef NO_DEATH_MAY_HAVE_RUN
-#define maySupersede(state) (state == NOT_DISPATCHED || state == UNKNOWN)
+#define maySupersede(answerState) (answerState == NOT_DISPATCHED || answerState == UNKNOWN)
 #else
-#define maySupersede(state) (state == NOT_DISPATCHED)
+#define maySupersede(answerState) (answerState == NOT_DISPATCHED)
 #endif
 #endif
 
-/* Nonces: i + 1 is the first of attempt i, i + 4 the one with which it supersedes. 0 is none. */
-byte standing = 0;          /* claim in the store */
-bool isPresent[BATCHERS];   /* the version that the batcher has seen is the store's */
-byte book[2 * ATTEMPTS + 1];
+/* Nonces: attempt i starts with i + 1 and uses i + 4 to supersede another attempt's claim. 0 means
+ * no nonce. */
+byte storedNonce = 0;     /* nonce of the claim in the store */
+bool isCurrent[BATCHERS]; /* the batcher's cached version is the store's */
+byte answerTable[2 * ATTEMPTS + 1];
 
-/* Asks lie at [batcher * ATTEMPTS + attempt] until the batcher takes them, however late. */
-byte askNonce[BATCHERS * ATTEMPTS];
-byte askDead[BATCHERS * ATTEMPTS];
-byte awaited[ATTEMPTS];     /* batcher whose answer is awaited, + 1 */
+/* Claim requests, at index batcher * ATTEMPTS + attempt. A request stays until the batcher handles
+ * it, which may be arbitrarily late. */
+byte requestNonce[BATCHERS * ATTEMPTS];
+byte requestSuperseded[BATCHERS * ATTEMPTS];
+byte awaitedBatcher[ATTEMPTS]; /* batcher whose reply is awaited, + 1; 0: none */
 byte reply[ATTEMPTS];
 
-bool lateIs[BATCHERS];
-bool lateIsPresent[BATCHERS];
-byte lateNonce[BATCHERS];
+bool isWriteDelayed[BATCHERS];
+bool isDelayedVersionCurrent[BATCHERS];
+byte delayedNonce[BATCHERS];
 
-/* Attempts are alike and so are batchers: the first to start is called 0, and asks batcher 0. */
-byte started = 0;
+/* Attempts are symmetric, and so are batchers. To reduce the state space, the first attempt to
+ * start is number 0, and it sends its request to batcher 0. */
+byte startedAttempts = 0;
 
 #ifdef P_AT_MOST_ONCE
 bool hasRun = false;
 #endif
 #ifdef P_NOT_RUN_IS_TRUE
 bool ran[ATTEMPTS];
-bool toldNotRun[ATTEMPTS];
+bool reportedNotRun[ATTEMPTS];
 #endif
 
-inline forgetLate(b)
+inline clearDelayedWrite(b)
 {
-    lateIs[b] = false;
-    lateIsPresent[b] = false;
-    lateNonce[b] = 0
+    isWriteDelayed[b] = false;
+    isDelayedVersionCurrent[b] = false;
+    delayedNonce[b] = 0
 }
 
-/* A conditional write on its way never takes effect once another has. */
-inline overtakeLate(b)
+/* A conditional write in flight fails once another write has taken effect. */
+inline invalidateDelayedWrite(b)
 {
-    lateIsPresent[b] = false;
+    isDelayedVersionCurrent[b] = false;
 #ifndef NO_CONDITIONAL_WRITE
-    forgetLate(b)
+    clearDelayedWrite(b)
 #endif
 }
 
-inline applyWrite(n)
+inline applyWrite(newNonce)
 {
-    standing = n;
-    isPresent[0] = false;
-    isPresent[1] = false;
-    overtakeLate(0);
-    overtakeLate(1)
+    storedNonce = newNonce;
+    isCurrent[0] = false;
+    isCurrent[1] = false;
+    invalidateDelayedWrite(0);
+    invalidateDelayedWrite(1)
 }
 
-inline forgetBucket()
+inline dropCache()
 {
-    known = false;
-    seen = 0
+    isCached = false;
+    cachedNonce = 0
 }
 
-inline answer(a, what)
+inline sendReply(a, value)
 {
     if
-    :: awaited[a] == me + 1 && (asked == a + 1 || asked == a + 4) -> reply[a] = what
+    :: awaitedBatcher[a] == me + 1 && (requestedNonce == a + 1 || requestedNonce == a + 4) ->
+        reply[a] = value
     :: else -> skip
     fi;
-    askNonce[me * ATTEMPTS + a] = 0;
-    askDead[me * ATTEMPTS + a] = 0
+    requestNonce[me * ATTEMPTS + a] = 0;
+    requestSuperseded[me * ATTEMPTS + a] = 0
 }
 
-inline answerUndecided(a)
+inline sendUndecidedReply(a)
 {
 #ifdef NO_DECISION_BEFORE_DISPATCH
-    answer(a, asked)
+    sendReply(a, requestedNonce)
 #else
-    answer(a, FAILED)
+    sendReply(a, FAILED)
 #endif
 }
 
-/* claim_writer::write of one wish: in turn a claim that stands, success, an effect whose answer is
- * lost, a conflict after which the bucket is read again, a write that was truly not run, and one
- * that may take effect later. */
-inline decide(a)
+/* claim_writer::write for one claim request. The cases, in order: a claim exists already; the write
+ * succeeds; it takes effect but its reply is lost; it conflicts, and the bucket is read again; it
+ * was not executed; it may take effect later. */
+inline writeClaim(a)
 {
-    asked = askNonce[me * ATTEMPTS + a];
-    dead = askDead[me * ATTEMPTS + a];
+    requestedNonce = requestNonce[me * ATTEMPTS + a];
+    supersededNonce = requestSuperseded[me * ATTEMPTS + a];
     if
-    :: seen != 0 && !isReplaceable(dead) ->
-        answer(a, seen)
-    :: seen == 0 || isReplaceable(dead) ->
+    :: cachedNonce != 0 && !isReplaceable(supersededNonce) ->
+        sendReply(a, cachedNonce)
+    :: cachedNonce == 0 || isReplaceable(supersededNonce) ->
         if
-        :: MATCHES(isPresent[me]) ->
-            applyWrite(asked);
-            isPresent[me] = true;
-            seen = asked;
-            answer(a, asked)
-        :: MATCHES(isPresent[me]) ->
-            applyWrite(asked);
-            forgetBucket();
-            answerUndecided(a)
-        :: !MATCHES(isPresent[me]) ->
-            forgetBucket()
+        :: VERSION_MATCHES(isCurrent[me]) ->
+            applyWrite(requestedNonce);
+            isCurrent[me] = true;
+            cachedNonce = requestedNonce;
+            sendReply(a, requestedNonce)
+        :: VERSION_MATCHES(isCurrent[me]) ->
+            applyWrite(requestedNonce);
+            dropCache();
+            sendUndecidedReply(a)
+        :: !VERSION_MATCHES(isCurrent[me]) ->
+            dropCache()
         :: true ->
-            answer(a, FAILED)
-        :: !lateIs[me] ->
-            lateIs[me] = true;
-            lateIsPresent[me] = isPresent[me];
-            lateNonce[me] = asked;
-            forgetBucket();
-            answerUndecided(a)
+            sendReply(a, FAILED)
+        :: !isWriteDelayed[me] ->
+            isWriteDelayed[me] = true;
+            isDelayedVersionCurrent[me] = isCurrent[me];
+            delayedNonce[me] = requestedNonce;
+            dropCache();
+            sendUndecidedReply(a)
         fi
     fi;
-    asked = 0;
-    dead = 0
+    requestedNonce = 0;
+    supersededNonce = 0
 }
 
 proctype batcher(byte me)
 {
-    bool known = false;
-    byte seen = 0, asked = 0, dead = 0;
+    bool isCached = false;
+    byte cachedNonce = 0, requestedNonce = 0, supersededNonce = 0;
 end:
     do
-    :: d_step { !known ->
-        known = true;
-        seen = standing;
-        isPresent[me] = true }
-    :: atomic { known && askNonce[me * ATTEMPTS] != 0 -> decide(0) }
-    :: atomic { known && askNonce[me * ATTEMPTS + 1] != 0 -> decide(1) }
-    :: atomic { known && askNonce[me * ATTEMPTS + 2] != 0 -> decide(2) }
-    :: d_step { known -> forgetBucket() } /* replaced, or the bucket went elsewhere */
+    :: d_step { !isCached ->
+        isCached = true;
+        cachedNonce = storedNonce;
+        isCurrent[me] = true }
+    :: atomic { isCached && requestNonce[me * ATTEMPTS] != 0 -> writeClaim(0) }
+    :: atomic { isCached && requestNonce[me * ATTEMPTS + 1] != 0 -> writeClaim(1) }
+    :: atomic { isCached && requestNonce[me * ATTEMPTS + 2] != 0 -> writeClaim(2) }
+    :: d_step { isCached -> dropCache() } /* batcher replaced, or bucket moved */
     od
 }
 
-inline landLate(b)
+inline applyDelayedWrite(b)
 {
     if
-    :: MATCHES(lateIsPresent[b]) ->
-        landed = lateNonce[b];
-        applyWrite(landed)
+    :: VERSION_MATCHES(isDelayedVersionCurrent[b]) ->
+        appliedNonce = delayedNonce[b];
+        applyWrite(appliedNonce)
     :: else ->
         skip
     fi;
-    forgetLate(b);
-    landed = 0
+    clearDelayedWrite(b);
+    appliedNonce = 0
 }
 
-active proctype lateWrites()
+active proctype delayedWrites()
 {
-    byte landed = 0;
+    byte appliedNonce = 0;
 end:
     do
-    :: d_step { lateIs[0] -> landLate(0) }
-    :: d_step { lateIs[1] -> landLate(1) }
+    :: d_step { isWriteDelayed[0] -> applyDelayedWrite(0) }
+    :: d_step { isWriteDelayed[1] -> applyDelayedWrite(1) }
     od
 }
 
 inline endCall()
 {
-    awaited[me] = 0;
+    awaitedBatcher[me] = 0;
     reply[me] = 0
 }
 
-inline refuse()
+inline reportNotRun()
 {
-    book[nonce] = NOT_DISPATCHED;
+    answerTable[nonce] = NOT_DISPATCHED;
 #ifdef P_NOT_RUN_IS_TRUE
-    toldNotRun[me] = true;
+    reportedNotRun[me] = true;
     assert(!ran[me]);
 #endif
     endCall()
 }
 
-/* The owner's process ends: nobody knows any more what became of its nonces. */
-inline die()
+/* The owner's process ends, and the outcome of its nonces is lost. */
+inline crash()
 {
-    book[me + 1] = UNKNOWN;
-    book[me + 4] = UNKNOWN;
+    answerTable[me + 1] = UNKNOWN;
+    answerTable[me + 4] = UNKNOWN;
     endCall()
 }
 
-inline ask(b)
+inline requestClaim(b)
 {
-    askNonce[b * ATTEMPTS + me] = nonce;
-    askDead[b * ATTEMPTS + me] = dead;
+    requestNonce[b * ATTEMPTS + me] = nonce;
+    requestSuperseded[b * ATTEMPTS + me] = supersededNonce;
     reply[me] = 0;
-    awaited[me] = b + 1
+    awaitedBatcher[me] = b + 1
 }
 
 proctype attempt(byte me)
 {
-    byte nonce = me + 1, dead = 0, other = 0, state = 0;
+    byte nonce = me + 1, supersededNonce = 0, otherNonce = 0, answerState = 0;
 
-    atomic { started == me -> started++; book[nonce] = RUNNING };
+    atomic { startedAttempts == me -> startedAttempts++; answerTable[nonce] = RUNNING };
 claim:
     if
-    :: atomic { askNonce[me] == 0 -> ask(0) }
-    :: atomic { (me > 0 || dead != 0) && askNonce[ATTEMPTS + me] == 0 -> ask(1) }
-    :: atomic { true -> die() }; goto done
+    :: atomic { requestNonce[me] == 0 -> requestClaim(0) }
+    :: atomic { (me > 0 || supersededNonce != 0) && requestNonce[ATTEMPTS + me] == 0 ->
+        requestClaim(1) }
+    :: atomic { true -> crash() }; goto done
     fi;
 wait:
     if
     :: atomic { reply[me] == nonce -> endCall() }; goto dispatch
     :: atomic { reply[me] != 0 && reply[me] != FAILED && reply[me] != nonce ->
-        other = reply[me];
-        book[nonce] = NOT_DISPATCHED;
-        endCall() }; goto standsOther
-    /* No answer, or a failure: the other batcher is asked with the same nonce, */
-    :: atomic { awaited[me] == 1 && askNonce[ATTEMPTS + me] == 0 && dead == 0 -> ask(1) }; goto wait
-    /* or the attempt ends, while its claim may stand or come to stand. */
-    :: atomic { true -> refuse() };
+        otherNonce = reply[me];
+        answerTable[nonce] = NOT_DISPATCHED;
+        endCall() }; goto foundOtherClaim
+    /* No reply, or a failure: the other batcher gets a request with the same nonce. */
+    :: atomic { awaitedBatcher[me] == 1 && requestNonce[ATTEMPTS + me] == 0 &&
+                supersededNonce == 0 ->
+        requestClaim(1) }; goto wait
+    /* The attempt gives up, although its claim may be in the store now or later. */
+    :: atomic { true -> reportNotRun() };
 #ifdef NO_FINAL_GIVE_UP
-        goto standsLate
+        goto checkOwnClaim
 #else
         goto done
 #endif
-    :: atomic { true -> die() }; goto done
+    :: atomic { true -> crash() }; goto done
     fi;
 
-standsOther:
+foundOtherClaim:
     if
-    :: atomic { state = book[other] }
-    :: true -> state = UNKNOWN /* the owner does not answer */
-    :: atomic { true -> die() }; goto done
+    :: atomic { answerState = answerTable[otherNonce] }
+    :: true -> answerState = UNKNOWN /* the owner does not reply */
+    :: atomic { true -> crash() }; goto done
     fi;
     if
-    :: atomic { maySupersede(state) && nonce == me + 1 ->
+    :: atomic { maySupersede(answerState) && nonce == me + 1 ->
         nonce = me + 4;
-        dead = other;
-        other = 0;
-        state = 0;
-        book[nonce] = RUNNING }; goto claim
-    :: atomic { maySupersede(state) && nonce == me + 4 -> refuse() }; goto done
-    :: !maySupersede(state) -> goto done /* told: may have run */
+        supersededNonce = otherNonce;
+        otherNonce = 0;
+        answerState = 0;
+        answerTable[nonce] = RUNNING }; goto claim
+    :: atomic { maySupersede(answerState) && nonce == me + 4 -> reportNotRun() }; goto done
+    :: !maySupersede(answerState) -> goto done /* the caller is told that it may have run */
     fi;
 
 #ifdef NO_FINAL_GIVE_UP
-standsLate:
+checkOwnClaim:
     if
-    :: standing == nonce -> goto dispatch
+    :: storedNonce == nonce -> goto dispatch
     :: true -> goto done
     fi;
 #endif
 
-dispatch: /* The owner may be paused here for any time. */
+dispatch: /* The owner may pause here for any time. */
     if
     :: atomic { true ->
 #ifdef P_AT_MOST_ONCE
@@ -284,21 +294,21 @@
         hasRun = true;
 #endif
 #ifdef P_NOT_RUN_IS_TRUE
-        assert(!toldNotRun[me]);
+        assert(!reportedNotRun[me]);
         ran[me] = true;
 #endif
         skip };
         if
-        :: atomic { true -> book[nonce] = MAY_HAVE_RUN }
-        :: atomic { true -> die() }
+        :: atomic { true -> answerTable[nonce] = MAY_HAVE_RUN }
+        :: atomic { true -> crash() }
         fi
-    :: atomic { true -> refuse() } /* the runner truly refused, or none was left to try */
-    :: atomic { true -> die() }
+    :: atomic { true -> reportNotRun() } /* the runner rejected it, or none is left to try */
+    :: atomic { true -> crash() }
     fi;
 
 done:
     atomic {
-        nonce = 0; dead = 0; other = 0; state = 0 }
+        nonce = 0; supersededNonce = 0; otherNonce = 0; answerState = 0 }
 }
 
 init {
--- a/model/copies.pml
+++ b/model/copies.pml
@@ -1,161 +1,171 @@
-/* The store comes back from an older copy of itself, up to twice. It holds one runner's entry, which
- * the runner turns to "leaving" once, and takes other changes beside it. One instance follows the
- * store and tells another one; what it told may arrive at any later time, or never.
+/* Store rollback: the store is restored from an older snapshot, up to twice. It holds the entry of
+ * one runner, which sets it to "leaving" once, and takes unrelated changes. Instance 0 is the
+ * relay: it reads the store and sends updates to instance 1. An update may arrive at any later
+ * time, or never.
  *
- * Property P_CURRENT: an instance that has just heard what the store holds, and takes itself to be up
- * to date, knows of the leaving if the store does.
- * Property P_NEVER_BACK: an instance that has known of the leaving goes on knowing it.
- * Property P_STARTED: the second instance starts anew once, whenever, without its memory. The first
- * one, if it knows of the leaving in a later epoch, writes so into the store, and a copy may lose that
- * as well. Who has listed the runners and read that mark, in either order, knows of the leaving, and
- * goes on knowing it.
+ * Properties:
+ *   P_CURRENT     an instance that has just received the store's state, and considers itself up to
+ *                 date, knows that the runner is leaving if the store does
+ *   P_NEVER_BACK  an instance that has known that the runner is leaving keeps this knowledge
+ *   P_STARTED     Instance 1 restarts once, at any time, and loses its memory. If instance 0 knows
+ *                 that the runner is leaving in a later epoch, it writes a mark into the store; a
+ *                 rollback may lose the mark too. An instance that has listed the runners and read
+ *                 the mark, in either order, knows that the runner is leaving, and keeps this
+ *                 knowledge.
  * See docs/MODEL.md.
  */
 #ifdef P_STARTED
-#define MOST 4 /* changes within one epoch */
+#define MAX_REVISION 4 /* within one epoch */
 #else
-#define MOST 5
+#define MAX_REVISION 5
 #endif
 
 byte epoch = 0;
 byte revision = 1;
-byte leftAt = 0;       /* revision of the runner's word; 0: it doesn't stand there */
-bool hasLeft = false;  /* the runner has said it, in whatever epoch */
+byte leavingRevision = 0;         /* revision of the "leaving" entry; 0: not in the store */
+bool hasAnnouncedLeaving = false; /* the runner has written it, in any epoch */
 
-bool isCopied = false;
-byte copyRevision = 0;
-byte copyLeftAt = 0;
+bool hasSnapshot = false;
+byte snapshotRevision = 0;
+byte snapshotLeavingRevision = 0;
 
 #ifdef P_STARTED
-bool isMarked = false;     /* the mark stands in the store */
-bool isMarkCopied = false;
-bool isStarted = false;    /* instance 1 has started anew */
-bool hasReadMark = false;  /* and has read the mark since */
+bool isMarkStored = false; /* the mark is in the store */
+bool isMarkInSnapshot = false;
+bool hasRestarted = false; /* instance 1 has restarted */
+bool hasReadMark = false;  /* and it has read the mark since then */
 #endif
 
-/* The two instances: 0 follows the store and tells, 1 is told and asks where it has to. */
+/* State of the instances: 0 is the relay, 1 receives updates and reads the store if necessary. */
 byte knownEpoch[2];
 byte knownRevision[2];
-bool knowsLeft[2];
-bool isListed[2];
+bool knowsLeaving[2];
+bool hasListed[2];
 
-/* What was told last and is still on its way. */
-bool isTold = false;
-byte toldEpoch = 0;
-byte toldSince = 0;
-byte toldRevision = 0;
-bool toldLeft = false;
+/* The last update sent, while it is in flight. */
+bool isUpdateInFlight = false;
+byte updateEpoch = 0;
+byte updateSince = 0;
+byte updateRevision = 0;
+bool updateHasLeaving = false;
 
-byte heardSince = 0; /* what came after it in the epoch, instance 0 tells again, */
-bool heardLeft = false; /* the runner's word among it */
+/* Instance 0 sends all changes of the epoch after this revision in each update. */
+byte relayedSince = 0;
+bool relayedLeaving = false; /* the "leaving" entry is among these changes */
 
 inline changeStore()
 {
     if
-    :: revision < MOST -> revision++ /* something else */
-    :: revision < MOST && leftAt == 0 -> /* the runner's word, or its word written again */
+    :: revision < MAX_REVISION -> revision++ /* an unrelated change */
+    /* The runner writes "leaving", for the first time or again after a rollback. */
+    :: revision < MAX_REVISION && leavingRevision == 0 ->
         revision++;
-        leftAt = revision;
-        hasLeft = true
-    :: isCopied = true;
-        copyRevision = revision;
-        copyLeftAt = leftAt;
+        leavingRevision = revision;
+        hasAnnouncedLeaving = true
+    :: hasSnapshot = true;
+        snapshotRevision = revision;
+        snapshotLeavingRevision = leavingRevision;
 #ifdef P_STARTED
-        isMarkCopied = isMarked
+        isMarkInSnapshot = isMarkStored
 #endif
-    :: isCopied && epoch < 2 ->
+    :: hasSnapshot && epoch < 2 ->
         epoch++;
-        revision = copyRevision;
-        leftAt = copyLeftAt;
+        revision = snapshotRevision;
+        leavingRevision = snapshotLeavingRevision;
 #ifdef P_STARTED
-        isMarked = isMarkCopied
+        isMarkStored = isMarkInSnapshot
 #endif
     fi
 }
 
-inline check(i)
+inline checkCurrent(i)
 {
 #ifdef P_CURRENT
-    assert(knownRevision[i] != revision || leftAt == 0 || knowsLeft[i])
+    assert(knownRevision[i] != revision || leavingRevision == 0 || knowsLeaving[i])
 #endif
     skip
 }
 
-inline list(i)
+inline listEntries(i)
 {
 #ifdef NO_MEMORY
-    knowsLeft[i] = (leftAt > 0);
+    knowsLeaving[i] = (leavingRevision > 0);
 #else
-    /* Within an epoch the store is believed; its copy is not, against what was known. */
-    knowsLeft[i] = (leftAt > 0) || (isListed[i] && knowsLeft[i]);
+    /* Within an epoch the store's list is authoritative. After a rollback it does not override
+     * what was known before. */
+    knowsLeaving[i] = (leavingRevision > 0) || (hasListed[i] && knowsLeaving[i]);
 #endif
 #if defined(P_STARTED) && !defined(NO_EARLY_MARKS)
-    knowsLeft[i] = knowsLeft[i] || (i == 1 && !isListed[1] && hasReadMark);
+    knowsLeaving[i] = knowsLeaving[i] || (i == 1 && !hasListed[1] && hasReadMark);
 #endif
     knownEpoch[i] = epoch;
     knownRevision[i] = revision;
-    isListed[i] = true;
+    hasListed[i] = true;
     if
     :: i == 0 ->
-        heardSince = revision;
-        heardLeft = false
+        relayedSince = revision;
+        relayedLeaving = false
     :: else
     fi
 }
 
-inline ask(i)
+inline readStore(i)
 {
     if
-    :: !isListed[i] || knownRevision[i] > revision -> list(i)
+    :: !hasListed[i] || knownRevision[i] > revision -> listEntries(i)
 #ifndef NO_EPOCH
-    :: isListed[i] && knownRevision[i] <= revision && knownEpoch[i] != epoch -> list(i)
+    :: hasListed[i] && knownRevision[i] <= revision && knownEpoch[i] != epoch -> listEntries(i)
 #endif
     :: else ->
-        heardLeft = (i == 0 -> heardLeft || leftAt > knownRevision[i] : heardLeft);
-        knowsLeft[i] = knowsLeft[i] || leftAt > knownRevision[i];
+        relayedLeaving = (i == 0 -> relayedLeaving || leavingRevision > knownRevision[i]
+                                 : relayedLeaving);
+        knowsLeaving[i] = knowsLeaving[i] || leavingRevision > knownRevision[i];
         knownRevision[i] = revision
     fi;
-    check(i)
+    checkCurrent(i)
 }
 
-inline tell()
+inline sendUpdate()
 {
-    isTold = true;
-    toldEpoch = knownEpoch[0];
-    toldSince = heardSince;
-    toldRevision = knownRevision[0];
-    toldLeft = heardLeft
+    isUpdateInFlight = true;
+    updateEpoch = knownEpoch[0];
+    updateSince = relayedSince;
+    updateRevision = knownRevision[0];
+    updateHasLeaving = relayedLeaving
 }
 
-/* Where news don't join what is known, the store is asked: a step of its own. */
-inline hear()
+/* An update that does not continue the known revision is dropped. Reading the store instead is a
+ * separate step. */
+inline receiveUpdate()
 {
-    isTold = false;
+    isUpdateInFlight = false;
     if
 #ifdef NO_EPOCH
-    :: (toldSince <= knownRevision[1] && toldRevision >= knownRevision[1]) ->
+    :: (updateSince <= knownRevision[1] && updateRevision >= knownRevision[1]) ->
 #else
-    :: (toldEpoch == knownEpoch[1] && toldSince <= knownRevision[1] && toldRevision >= knownRevision[1]) ->
+    :: (updateEpoch == knownEpoch[1] && updateSince <= knownRevision[1] &&
+        updateRevision >= knownRevision[1]) ->
 #endif
-        knowsLeft[1] = knowsLeft[1] || toldLeft;
-        knownRevision[1] = toldRevision;
+        knowsLeaving[1] = knowsLeaving[1] || updateHasLeaving;
+        knownRevision[1] = updateRevision;
 #ifdef P_CURRENT
-        assert(knownRevision[1] != revision || knownEpoch[1] != epoch || leftAt == 0 || knowsLeft[1])
+        assert(knownRevision[1] != revision || knownEpoch[1] != epoch || leavingRevision == 0 ||
+               knowsLeaving[1])
 #endif
     :: else
     fi
 }
 
 #ifdef P_NEVER_BACK
-bool knew[2];
+bool knewLeaving[2];
 #endif
 
 #ifdef P_STARTED
-inline startAnew()
+inline restart()
 {
-    isStarted = true;
-    isListed[1] = false;
-    knowsLeft[1] = false;
+    hasRestarted = true;
+    hasListed[1] = false;
+    knowsLeaving[1] = false;
     knownEpoch[1] = 0;
     knownRevision[1] = 0;
     hasReadMark = false
@@ -165,35 +175,35 @@
 {
     hasReadMark = true;
 #ifndef NO_MARKS
-    knowsLeft[1] = knowsLeft[1] || isListed[1]
+    knowsLeaving[1] = knowsLeaving[1] || hasListed[1]
 #endif
 }
 #endif
 
-active proctype world()
+active proctype system()
 {
     do
     :: atomic {
         if
         :: true -> changeStore()
-        :: true -> ask(0)
-        :: true -> ask(1)
-        :: isListed[0] -> tell()
-        :: isTold && isListed[1] -> hear()
+        :: true -> readStore(0)
+        :: true -> readStore(1)
+        :: hasListed[0] -> sendUpdate()
+        :: isUpdateInFlight && hasListed[1] -> receiveUpdate()
 #ifdef P_STARTED
-        :: !isStarted -> startAnew()
-        :: isListed[0] && knowsLeft[0] && knownEpoch[0] > 0 -> isMarked = true
-        :: isStarted && isMarked -> readMark()
+        :: !hasRestarted -> restart()
+        :: hasListed[0] && knowsLeaving[0] && knownEpoch[0] > 0 -> isMarkStored = true
+        :: hasRestarted && isMarkStored -> readMark()
 #endif
         fi;
 #ifdef P_STARTED
-        assert(!hasReadMark || !isListed[1] || knowsLeft[1]);
+        assert(!hasReadMark || !hasListed[1] || knowsLeaving[1]);
 #endif
 #ifdef P_NEVER_BACK
-        assert(!knew[0] || knowsLeft[0]);
-        assert(!knew[1] || knowsLeft[1]);
-        knew[0] = knowsLeft[0];
-        knew[1] = knowsLeft[1]
+        assert(!knewLeaving[0] || knowsLeaving[0]);
+        assert(!knewLeaving[1] || knowsLeaving[1]);
+        knewLeaving[0] = knowsLeaving[0];
+        knewLeaving[1] = knowsLeaving[1]
 #endif
     }
     od
--- a/model/news.pml
+++ b/model/news.pml
@@ -1,53 +1,56 @@
-/* News of the store: one instance follows it and tells another one, in ticks of time. The store takes
- * up to two changes; to the instance that tells it may be silent at any time and for as long as it
- * likes, that instance may freeze at any time, and any datagram may be lost.
+/* Updates from the store: a relay watches the store and sends updates to another instance, the
+ * receiver. Time passes in ticks. The store takes up to two changes. It may stop answering the
+ * relay at any time and for any duration, the relay may freeze at any time, and any datagram may be
+ * lost.
  *
- * Property P_IN_TIME: the other one, which reaches the store all the while, knows each change at the
- * latest BOUND ticks after the store took it. See docs/MODEL.md.
+ * Property P_IN_TIME: the receiver, which can always reach the store, knows each change at most
+ * BOUND ticks after the store took it. See docs/MODEL.md.
  */
 #define BOUND 6
-#define TRUST 4 /* ticks for which a confirmation counts: BOUND less one call, and one tick to notice */
-#define CAP 8   /* ages are not told apart beyond it */
+/* How long a confirmation is valid: BOUND, minus one tick for a call and one to notice that it has
+ * expired. */
+#define TRUST_TICKS 4
+#define MAX_AGE 8 /* older ages count as this one */
 
-#define older(age) age = (age < CAP -> age + 1 : CAP)
+#define increaseAge(age) age = (age < MAX_AGE -> age + 1 : MAX_AGE)
 
 byte revision = 0;
-byte firstAge = 0;  /* since the store took the first change */
-byte secondAge = 0;
+byte firstAge = 0;  /* ticks since the store took the first change */
+byte secondAge = 0; /* ticks since it took the second change */
 
-/* The instance that tells. */
-bool isSilent = false; /* the store takes its watch and does not answer */
-bool isFrozen = false;
-byte tellerKnows = 0;
-byte tellerSince = 0; /* it repeats what came after this revision */
-byte tellerAge = 0;   /* of its last confirmation */
+/* The relay. */
+bool isStoreSilent = false; /* the store accepts the relay's watch but does not answer */
+bool isRelayFrozen = false;
+byte relayRevision = 0;
+byte relaySince = 0; /* its updates contain all changes after this revision */
+byte relayAge = 0;   /* of the store's last confirmation to it */
 
-/* The other one. */
-byte knows = 0;
-byte age = 0;
-bool hasFirst = false;
-bool hasSecond = false;
-bool mustAsk = false;
-bool isAsking = false;
+/* The receiver. */
+byte knownRevision = 0;
+byte age = 0; /* of the last confirmation that it knows of */
+bool knowsFirst = false;
+bool knowsSecond = false;
+bool needsRead = false;
+bool isReading = false;
 
-inline passTime()
+inline advanceTime()
 {
     if
-    :: revision >= 1 -> older(firstAge)
+    :: revision >= 1 -> increaseAge(firstAge)
     :: else
     fi;
     if
-    :: revision >= 2 -> older(secondAge)
+    :: revision >= 2 -> increaseAge(secondAge)
     :: else
     fi;
-    older(age);
+    increaseAge(age);
 #ifdef NO_CLOCK_THAT_COUNTS_ON
     if
-    :: !isFrozen -> older(tellerAge)
+    :: !isRelayFrozen -> increaseAge(relayAge)
     :: else
     fi
 #else
-    older(tellerAge)
+    increaseAge(relayAge)
 #endif
 }
 
@@ -58,78 +61,78 @@
     :: true
     fi;
     if
-    :: isSilent = true
-    :: isSilent = false
+    :: isStoreSilent = true
+    :: isStoreSilent = false
     fi;
     if
-    :: isFrozen = true
-    :: isFrozen = false
+    :: isRelayFrozen = true
+    :: isRelayFrozen = false
     fi
 }
 
-/* A change is heard at once; that there is none, only at the end of a watch. What it tells again may
- * go back to the change before, or not. */
-inline follow()
+/* A watch returns a change immediately; it confirms that there is none only when it ends. The
+ * relay's updates may or may not include the change before the last one. */
+inline watchStore()
 {
     if
-    :: !isFrozen && !isSilent && tellerKnows < revision ->
+    :: !isRelayFrozen && !isStoreSilent && relayRevision < revision ->
         if
-        :: tellerSince = tellerKnows
-        :: tellerSince = revision
+        :: relaySince = relayRevision
+        :: relaySince = revision
         :: true
         fi;
-        tellerKnows = revision;
-        tellerAge = 0
-    :: !isFrozen && !isSilent && tellerKnows == revision -> tellerAge = 0
+        relayRevision = revision;
+        relayAge = 0
+    :: !isRelayFrozen && !isStoreSilent && relayRevision == revision -> relayAge = 0
     :: true
     fi
 }
 
-inline take(since, upTo)
+inline applyChanges(since, upTo)
 {
-    hasFirst = hasFirst || (since < 1 && upTo >= 1);
-    hasSecond = hasSecond || (since < 2 && upTo >= 2);
-    knows = upTo
+    knowsFirst = knowsFirst || (since < 1 && upTo >= 1);
+    knowsSecond = knowsSecond || (since < 2 && upTo >= 2);
+    knownRevision = upTo
 }
 
-inline hear()
+inline receiveUpdate()
 {
     if
 #ifdef NO_HOLE_CHECK
-    :: tellerKnows >= knows ->
+    :: relayRevision >= knownRevision ->
 #else
-    :: tellerKnows >= knows && tellerSince > knows -> mustAsk = true
-    :: tellerKnows >= knows && tellerSince <= knows ->
+    :: relayRevision >= knownRevision && relaySince > knownRevision -> needsRead = true
+    :: relayRevision >= knownRevision && relaySince <= knownRevision ->
 #endif
-        take(tellerSince, tellerKnows);
+        applyChanges(relaySince, relayRevision);
 #ifdef NO_AGE
         age = 0
 #else
-        age = (tellerAge < age -> tellerAge : age)
+        age = (relayAge < age -> relayAge : age)
 #endif
-    :: tellerKnows < knows
+    :: relayRevision < knownRevision
     fi
 }
 
-inline tell()
+inline sendUpdate()
 {
     if
-    :: !isFrozen -> hear()
-    :: true /* lost, or frozen */
+    :: !isRelayFrozen -> receiveUpdate()
+    :: true /* the datagram is lost, or the relay is frozen */
     fi
 }
 
-/* An own call is answered within a tick. */
-inline ask()
+/* The receiver's own call to the store is answered within a tick. */
+inline readStore()
 {
     if
-    :: isAsking ->
-        take(0, revision);
+    :: isReading ->
+        applyChanges(0, revision);
         age = 0;
-        isAsking = false
-    :: !isAsking && (mustAsk || age >= TRUST) ->
-        isAsking = true;
-        mustAsk = false
+        isReading = false
+    :: !isReading && (needsRead || age >= TRUST_TICKS) ->
+        isReading = true;
+        needsRead = false
     :: else
     fi
 }
@@ -138,14 +141,14 @@
 {
     do
     :: atomic {
-        passTime();
+        advanceTime();
         changeStore();
-        follow();
-        tell();
-        ask();
+        watchStore();
+        sendUpdate();
+        readStore();
 #ifdef P_IN_TIME
-        assert(firstAge <= BOUND || hasFirst);
-        assert(secondAge <= BOUND || hasSecond)
+        assert(firstAge <= BOUND || knowsFirst);
+        assert(secondAge <= BOUND || knowsSecond)
 #endif
     }
     od
--- a/model/orders.pml
+++ b/model/orders.pml
@@ -1,16 +1,25 @@
-/* The order record of one engine: two writers, a store that loses and delays, one engine.
+/* The order record of one engine: two writers, one engine, and a store that may lose replies and
+ * delay writes.
  *
- * Time is a count of ticks that passes at any point between two steps, so each writer may be
- * paused anywhere. A window lasts WINDOW ticks; what was sent in it arrives by its end + MARGIN.
- * Variants: IGNORES_FENCE (the engine obeys whatever arrives), else it refuses old numbers and
- * orders may arrive arbitrarily late where LATE_FOREVER is set.
- * Properties: P_ONE_STATE, P_NO_OLD, P_AUTHORITY, P_ONE_OPEN. See docs/MODEL.md.
+ * Time passes in ticks at any point between two steps, so each writer may pause anywhere. A writer
+ * sends orders only within its window of WINDOW ticks; an order arrives at most MARGIN ticks after
+ * the end of the window in which it was sent.
+ * Variants:
+ *   IGNORES_FENCE  the engine obeys every order that arrives; otherwise it rejects orders whose
+ *                  fencing number is lower than the highest one it has obeyed
+ *   LATE_FOREVER   orders may arrive arbitrarily late; only for an engine that checks the number
+ * Properties:
+ *   P_ONE_STATE  all orders under one fencing number request the same state
+ *   P_NO_OLD     the engine never obeys a lower fencing number after a higher one
+ *   P_AUTHORITY  an order changes the engine only while it is the open one in the record
+ *   P_ONE_OPEN   a record that is not settled is not overwritten with another fencing number
+ * See docs/MODEL.md.
  */
 #ifndef WINDOW
 #define WINDOW 2
 #endif
 #define MARGIN 1
-#define WAIT (WINDOW + MARGIN)
+#define SUCCESSOR_WAIT (WINDOW + MARGIN)
 #ifndef MAXFENCE
 #define MAXFENCE 2
 #endif
@@ -20,9 +29,9 @@
 #define OPEN 2
 
 #ifdef NO_CONDITIONAL_WRITE
-#define MATCHES(sees) (true)
+#define VERSION_MATCHES(condition) (true)
 #else
-#define MATCHES(sees) (sees)
+#define VERSION_MATCHES(condition) (condition)
 #endif
 
 #ifdef NO_SUCCESSOR_WAIT
@@ -34,7 +43,8 @@
 #else
 #define isSafe(w) (true)
 #endif
-/* An order may still arrive until then, whatever the engine's kind. */
+/* While unsafeTicks is not 0, an order may still arrive, whether or not the engine checks fencing
+ * numbers. */
 #ifdef NO_SETTLE_WAIT
 #define maySettle(w) isSafe(w)
 #else
@@ -49,138 +59,139 @@
 #endif
 
 #ifdef NO_SETTLE_BEFORE_WRITE
-#define mayBegin(phase) (true)
+#define mayStartOrder(phase) (true)
 #else
-#define mayBegin(phase) (phase == SETTLED)
+#define mayStartOrder(phase) (phase == SETTLED)
 #endif
 
 #ifdef IGNORES_FENCE
-#define refuses(f) (false)
-#define reached(f, s) (engineFence > 0 && engineState == s)
+#define rejects(f) (false)
+#define hasReached(f, s) (engineFence > 0 && engineState == s)
 #else
 #ifdef NO_FENCE_CHECK
-#define refuses(f) (false)
+#define rejects(f) (false)
 #else
-#define refuses(f) (f < highest)
+#define rejects(f) (f < highestFence)
 #endif
-#define reached(f, s) (highest >= f && engineFence > 0 && engineState == s)
+#define hasReached(f, s) (highestFence >= f && engineFence > 0 && engineState == s)
 #endif
 
-/* The record in the store. Versions are kept as what is asked of them: is the one that a writer, or
- * a write on its way, has seen the present one? So their number is not bounded. Of the nonces only
- * the one that gave a writer its present window is ever looked for: w + 1 stands for it. */
-byte recPhase = SETTLED;
-byte recFence = 0;
-byte recState = 0;
-byte recNonce = 0;
-bool isPresent[2];   /* the version that the writer has seen is the record's */
+/* The record in the store. A version is only ever compared with the current one, so the model keeps
+ * just the result, for each writer and each write in flight, and the number of versions is not
+ * bounded. Of the nonces, a writer only looks for the one of its current window: w + 1. */
+byte recordPhase = SETTLED;
+byte recordFence = 0;
+byte recordState = 0;
+byte recordNonce = 0;
+bool isCurrent[2]; /* the writer's cached version is the record's */
 
 byte windowTicks[2];
 byte unsafeTicks[2];
 
-/* A write of each writer that is still on its way. */
-bool lateIs[2];
-bool lateIsPresent[2];
-byte latePhase[2];
-byte lateFence[2];
-byte lateState[2];
-byte lateNonce[2];
+/* A delayed write of each writer. */
+bool isWriteDelayed[2];
+bool isDelayedVersionCurrent[2];
+byte delayedPhase[2];
+byte delayedFence[2];
+byte delayedState[2];
+byte delayedNonce[2];
 
-/* An order of each writer that is on its way, and whether its answer has come. */
-bool orderIs[2];
+/* An order of each writer in flight, and the state of its reply. */
+bool isOrderInFlight[2];
 byte orderFence[2];
 byte orderState[2];
 byte orderTicks[2];
-bool awaits[2];
-bool answered[2];
-bool stale[2];
+bool isReplyAwaited[2];
+bool isAnswered[2];
+bool isStale[2];
 
-byte highest = 0;     /* highest number the engine has obeyed; outlasts its crash */
-byte engineFence = 0; /* order that is in effect; 0 after a crash */
+byte highestFence = 0; /* highest fencing number the engine has obeyed; survives a crash */
+byte engineFence = 0;  /* of the order in effect; 0 after a crash */
 byte engineState = 0;
 #ifdef P_ONE_STATE
-byte stateOf[MAXFENCE + 2]; /* wanted state + 1 received under each number */
+byte stateUnderFence[MAXFENCE + 2]; /* requested state + 1, per fencing number */
 #endif
 
-inline forgetLate(i)
+inline clearDelayedWrite(i)
 {
-    lateIs[i] = false;
-    lateIsPresent[i] = false;
-    latePhase[i] = 0;
-    lateFence[i] = 0;
-    lateState[i] = 0;
-    lateNonce[i] = 0;
+    isWriteDelayed[i] = false;
+    isDelayedVersionCurrent[i] = false;
+    delayedPhase[i] = 0;
+    delayedFence[i] = 0;
+    delayedState[i] = 0;
+    delayedNonce[i] = 0;
 }
 
-/* A conditional write on its way never takes effect once another has. */
-inline overtakeLate(i)
+/* A conditional write in flight fails once another write has taken effect. */
+inline invalidateDelayedWrite(i)
 {
-    lateIsPresent[i] = false;
+    isDelayedVersionCurrent[i] = false;
 #ifndef NO_CONDITIONAL_WRITE
-    forgetLate(i)
+    clearDelayedWrite(i)
 #endif
 }
 
 inline applyWrite(p, f, s, n)
 {
 #ifdef P_ONE_OPEN
-    assert(recPhase == SETTLED || recFence == f);
+    assert(recordPhase == SETTLED || recordFence == f);
 #endif
-    isPresent[0] = false;
-    isPresent[1] = false;
-    overtakeLate(0);
-    overtakeLate(1);
-    recPhase = p;
-    recFence = f;
-    recState = s;
-    recNonce = n;
+    isCurrent[0] = false;
+    isCurrent[1] = false;
+    invalidateDelayedWrite(0);
+    invalidateDelayedWrite(1);
+    recordPhase = p;
+    recordFence = f;
+    recordState = s;
+    recordNonce = n;
 }
 
-/* The record has to be read again; what that brings back is not kept here. */
-inline forgetRecord()
+/* Drops the writer's cached record, so that it is read again. */
+inline dropRecord()
 {
-    known = false;
+    isCached = false;
     phase = SETTLED;
     fence = 0;
     state = 0;
     nonce = 0
 }
 
-/* order_writer::writeRecord on top of object_store::put: in turn success, an effect whose answer is
- * lost, a conflict, a write that was truly not run, and one that may take effect later. */
+/* order_writer::writeRecord on top of object_store::put. The cases, in order: the write succeeds;
+ * it takes effect but its reply is lost; it conflicts; it was not executed; it may take effect
+ * later. */
 inline put(p, f, s, n)
 {
     if
-    :: MATCHES(isPresent[w]) ->
+    :: VERSION_MATCHES(isCurrent[w]) ->
         applyWrite(p, f, s, n);
-        isPresent[w] = true;
+        isCurrent[w] = true;
         phase = p;
         fence = f;
         state = s;
         nonce = n
-    :: MATCHES(isPresent[w]) ->
+    :: VERSION_MATCHES(isCurrent[w]) ->
         applyWrite(p, f, s, n);
-        forgetRecord()
-    :: !MATCHES(isPresent[w]) ->
-        forgetRecord()
+        dropRecord()
+    :: !VERSION_MATCHES(isCurrent[w]) ->
+        dropRecord()
     :: true ->
         skip
-    :: !lateIs[w] ->
-        lateIs[w] = true;
-        lateIsPresent[w] = isPresent[w];
-        latePhase[w] = p;
-        lateFence[w] = f;
-        lateState[w] = s;
-        lateNonce[w] = n;
-        forgetRecord()
+    :: !isWriteDelayed[w] ->
+        isWriteDelayed[w] = true;
+        isDelayedVersionCurrent[w] = isCurrent[w];
+        delayedPhase[w] = p;
+        delayedFence[w] = f;
+        delayedState[w] = s;
+        delayedNonce[w] = n;
+        dropRecord()
     fi
 }
 
-/* A new window: the nonce of the one before is nobody's any more. */
-inline newWindow()
+/* Ends the writer's window: its nonce no longer belongs to any writer. */
+inline endWindow()
 {
     if
-    :: recNonce == w + 1 -> recNonce = 0
+    :: recordNonce == w + 1 -> recordNonce = 0
     :: else -> skip
     fi;
     if
@@ -188,7 +199,7 @@
     :: else -> skip
     fi;
     if
-    :: lateNonce[w] == w + 1 -> lateNonce[w] = 0
+    :: delayedNonce[w] == w + 1 -> delayedNonce[w] = 0
     :: else -> skip
     fi;
     windowTicks[w] = 0
@@ -197,37 +208,37 @@
 /* order_writer::adopt */
 inline adopt()
 {
-    known = true;
-    phase = recPhase;
-    fence = recFence;
-    state = recState;
-    nonce = recNonce;
+    isCached = true;
+    phase = recordPhase;
+    fence = recordFence;
+    state = recordState;
+    nonce = recordNonce;
     if
-    :: isPresent[w] || nonce == w + 1 ->
+    :: isCurrent[w] || nonce == w + 1 ->
         skip
     :: else ->
-        newWindow();
+        endWindow();
         if
-        :: phase == OPEN -> unsafeTicks[w] = WAIT
+        :: phase == OPEN -> unsafeTicks[w] = SUCCESSOR_WAIT
         :: else -> skip
         fi
     fi;
-    isPresent[w] = true
+    isCurrent[w] = true
 }
 
 inline crash()
 {
-    forgetRecord();
-    isPresent[w] = false;
-    newWindow();
+    dropRecord();
+    isCurrent[w] = false;
+    endWindow();
     unsafeTicks[w] = 0
 }
 
 inline endCall()
 {
-    awaits[w] = false;
-    answered[w] = false;
-    stale[w] = false
+    isReplyAwaited[w] = false;
+    isAnswered[w] = false;
+    isStale[w] = false
 }
 
 #define hasWindow (nonce == w + 1 && inWindow(w))
@@ -235,29 +246,30 @@
 active [2] proctype writer()
 {
     byte w = _pid;
-    bool known = false;
-    byte phase = SETTLED, fence = 0, state = 0, nonce = 0, next = 0;
+    bool isCached = false;
+    byte phase = SETTLED, fence = 0, state = 0, nonce = 0, nextFence = 0;
 end:
     do
-    :: d_step { !known || !isPresent[w] -> adopt() }
-    :: atomic { known && mayBegin(phase) && fence < MAXFENCE && highest < MAXFENCE ->
-        newWindow();
-        next = (fence > highest -> fence : highest) + 1;
-        put(DRAINING, next, w, 0);
-        next = 0 }
-    :: atomic { known && phase == DRAINING -> /* withdrawn, or a late success of it */
+    :: d_step { !isCached || !isCurrent[w] -> adopt() }
+    :: atomic { isCached && mayStartOrder(phase) && fence < MAXFENCE && highestFence < MAXFENCE ->
+        endWindow();
+        nextFence = (fence > highestFence -> fence : highestFence) + 1;
+        put(DRAINING, nextFence, w, 0);
+        nextFence = 0 }
+    /* The order is withdrawn, possibly after a delayed write of it has taken effect. */
+    :: atomic { isCached && phase == DRAINING ->
         put(SETTLED, fence, state, 0) }
-    :: atomic { known && (phase == DRAINING || (phase == OPEN && !hasWindow && isSafe(w))) ->
-        newWindow();
+    :: atomic { isCached && (phase == DRAINING || (phase == OPEN && !hasWindow && isSafe(w))) ->
+        endWindow();
         windowTicks[w] = WINDOW };
         atomic { put(OPEN, fence, state, w + 1) }
-    :: atomic { known && phase == OPEN && maySettle(w) && reached(fence, state) ->
+    :: atomic { isCached && phase == OPEN && maySettle(w) && hasReached(fence, state) ->
 #ifndef NO_WINDOW_END_AT_SETTLE
-        newWindow();
+        endWindow();
 #endif
         put(SETTLED, fence, state, 0) }
-    :: d_step { known && phase == OPEN && hasWindow && !orderIs[w] -> skip };
-        /* The window was checked; the writer may be paused here for any time. */
+    :: d_step { isCached && phase == OPEN && hasWindow && !isOrderInFlight[w] -> skip };
+        /* The window was checked; the writer may pause here for any time. */
         if
         :: d_step {
 #ifdef NO_GUARD
@@ -265,18 +277,18 @@
 #else
             inWindow(w) ->
 #endif
-            orderIs[w] = true;
+            isOrderInFlight[w] = true;
             orderFence[w] = fence;
             orderState[w] = state;
 #ifndef LATE_FOREVER
             orderTicks[w] = windowTicks[w] + MARGIN;
 #endif
-            awaits[w] = true };
+            isReplyAwaited[w] = true };
             if
-            :: d_step { answered[w] -> endCall() }
-            :: atomic { stale[w] -> endCall();
+            :: d_step { isAnswered[w] -> endCall() }
+            :: atomic { isStale[w] -> endCall();
 #ifndef NO_WINDOW_END_AT_SETTLE
-                newWindow();
+                endWindow();
 #endif
                 put(SETTLED, fence, state, 0) }
             :: d_step { true ->
@@ -285,88 +297,91 @@
                 endCall() }
             :: d_step { true -> crash(); endCall() }
             fi
-        :: !inWindow(w) -> skip /* the guard has aborted the connection */
+        :: !inWindow(w) -> skip /* the order guard has aborted the connection */
         :: d_step { true -> crash() }
         fi
-    :: d_step { known -> crash() }
+    :: d_step { isCached -> crash() }
     od
 }
 
-inline deliver(i)
+inline deliverOrder(i)
 {
 #ifdef P_ONE_STATE
-    assert(stateOf[orderFence[i]] == 0 || stateOf[orderFence[i]] == orderState[i] + 1);
-    stateOf[orderFence[i]] = orderState[i] + 1;
+    assert(stateUnderFence[orderFence[i]] == 0 ||
+           stateUnderFence[orderFence[i]] == orderState[i] + 1);
+    stateUnderFence[orderFence[i]] = orderState[i] + 1;
 #endif
     if
-    :: refuses(orderFence[i]) -> stale[i] = awaits[i]
+    :: rejects(orderFence[i]) -> isStale[i] = isReplyAwaited[i]
     :: else ->
 #ifdef P_NO_OLD
-        assert(orderFence[i] >= highest);
+        assert(orderFence[i] >= highestFence);
 #endif
 #ifdef P_AUTHORITY
-        /* What changes the engine is the order that is open in the record now. */
+        /* An order that changes the engine must be the open one in the record. */
         assert((engineFence == orderFence[i] && engineState == orderState[i]) ||
-               (recPhase == OPEN && recFence == orderFence[i] && recState == orderState[i]));
+               (recordPhase == OPEN && recordFence == orderFence[i] &&
+                recordState == orderState[i]));
 #endif
-        highest = (orderFence[i] > highest -> orderFence[i] : highest);
+        highestFence = (orderFence[i] > highestFence -> orderFence[i] : highestFence);
         engineFence = orderFence[i];
         engineState = orderState[i];
-        answered[i] = awaits[i];
+        isAnswered[i] = isReplyAwaited[i];
     fi;
-    orderIs[i] = false; orderFence[i] = 0; orderState[i] = 0; orderTicks[i] = 0;
+    isOrderInFlight[i] = false; orderFence[i] = 0; orderState[i] = 0; orderTicks[i] = 0;
 }
 
 inline loseOrder(i)
 {
-    orderIs[i] = false; orderFence[i] = 0; orderState[i] = 0; orderTicks[i] = 0;
+    isOrderInFlight[i] = false; orderFence[i] = 0; orderState[i] = 0; orderTicks[i] = 0;
 }
 
 active proctype engine()
 {
 end:
     do
-    :: d_step { orderIs[0] -> deliver(0) }
-    :: d_step { orderIs[1] -> deliver(1) }
-    :: d_step { orderIs[0] -> loseOrder(0) }
-    :: d_step { orderIs[1] -> loseOrder(1) }
-    /* Its connections die with it, so nothing of before reaches the next life. */
+    :: d_step { isOrderInFlight[0] -> deliverOrder(0) }
+    :: d_step { isOrderInFlight[1] -> deliverOrder(1) }
+    :: d_step { isOrderInFlight[0] -> loseOrder(0) }
+    :: d_step { isOrderInFlight[1] -> loseOrder(1) }
+    /* The engine crashes. Its connections end with it, so no earlier order reaches the next
+     * incarnation. */
     :: d_step { engineFence != 0 -> engineFence = 0; engineState = 0;
         loseOrder(0);
         loseOrder(1) }
     od
 }
 
-inline landLate(i)
+inline applyDelayedWrite(i)
 {
     if
-    :: MATCHES(lateIsPresent[i]) ->
-        landedPhase = latePhase[i];
-        landedFence = lateFence[i];
-        landedState = lateState[i];
-        landedNonce = lateNonce[i];
-        applyWrite(landedPhase, landedFence, landedState, landedNonce)
+    :: VERSION_MATCHES(isDelayedVersionCurrent[i]) ->
+        appliedPhase = delayedPhase[i];
+        appliedFence = delayedFence[i];
+        appliedState = delayedState[i];
+        appliedNonce = delayedNonce[i];
+        applyWrite(appliedPhase, appliedFence, appliedState, appliedNonce)
     :: else ->
         skip
     fi;
-    forgetLate(i);
-    landedPhase = 0;
-    landedFence = 0;
-    landedState = 0;
-    landedNonce = 0
+    clearDelayedWrite(i);
+    appliedPhase = 0;
+    appliedFence = 0;
+    appliedState = 0;
+    appliedNonce = 0
 }
 
-active proctype lateWrites()
+active proctype delayedWrites()
 {
-    byte landedPhase = 0, landedFence = 0, landedState = 0, landedNonce = 0;
+    byte appliedPhase = 0, appliedFence = 0, appliedState = 0, appliedNonce = 0;
 end:
     do
-    :: d_step { lateIs[0] -> landLate(0) }
-    :: d_step { lateIs[1] -> landLate(1) }
+    :: d_step { isWriteDelayed[0] -> applyDelayedWrite(0) }
+    :: d_step { isWriteDelayed[1] -> applyDelayedWrite(1) }
     od
 }
 
-inline tickOf(i)
+inline tick(i)
 {
     if
     :: windowTicks[i] > 0 -> windowTicks[i]--
@@ -389,7 +404,7 @@
     do
     :: d_step { windowTicks[0] + windowTicks[1] + unsafeTicks[0] + unsafeTicks[1] +
                 orderTicks[0] + orderTicks[1] > 0 ->
-        tickOf(0);
-        tickOf(1) }
+        tick(0);
+        tick(1) }
     od
 }
--- a/model/usage.pml
+++ b/model/usage.pml
@@ -1,86 +1,89 @@
-/* The report of one window: instances that count differently, a store that loses answers and
- * carries writes out late, a platform that gets reports late and more than once.
+/* The usage report of one window: instances whose counts differ, a store that may lose replies and
+ * delay writes, and a platform that may receive reports late and more than once.
  *
- * Each instance may at any time read the note, write one under the condition that nobody has
- * written since, and send what it has noted; it may stop between two steps and begin anew, which
- * stands for its end, a freeze, and the loss of the duty alike. That two holders are apart in time
- * is not needed for this property, and not modelled: the lease's own tests show it.
- * Property: P_ONE_REPORT, the platform never takes two reports of the window that differ.
+ * At any time an instance may read the checkpoint, write one on the condition that it has not been
+ * written since, and send the report that is in the checkpoint. It may stop between two steps and
+ * start again, which covers its end, a freeze and the loss of the duty. The property does not need
+ * the terms of two lease holders to be disjoint, so this is not modelled; the tests of the lease
+ * check it.
+ * Property P_ONE_REPORT: the platform never accepts two different reports of the window.
  */
 #define INSTANCES 2
 #define MAXWRITES 3
 
-byte note = 0;     /* counts that stand in the store, as the number of who counted; 0: none */
-byte version = 0;  /* of the note */
-byte taken = 0;    /* the first report that the platform took */
-bool differs = false;
+byte checkpoint = 0;     /* in the store: the counts, as 1 + the instance that counted; 0: none */
+byte version = 0;        /* of the checkpoint */
+byte acceptedReport = 0; /* the first report that the platform accepted; 0: none */
+bool hasConflict = false;
 
-/* A write of each instance that is on its way, and what it was made of. */
-bool lateIs[INSTANCES];
-byte lateNote[INSTANCES];
-byte lateVersion[INSTANCES];
+/* A delayed write of each instance: its checkpoint and the version that it expects. */
+bool isWriteDelayed[INSTANCES];
+byte delayedCheckpoint[INSTANCES];
+byte delayedVersion[INSTANCES];
 
-/* A report of each instance that is on its way. */
-byte sentNote[INSTANCES];
+/* A report of each instance in flight; 0: none. */
+byte sentReport[INSTANCES];
 
-inline writeNow(value, seen, done)
+inline tryWrite(value, expectedVersion, isWritten)
 {
 #ifdef NO_CONDITIONAL_WRITE
-    done = version < MAXWRITES;
+    isWritten = version < MAXWRITES;
 #else
-    done = seen == version && version < MAXWRITES;
+    isWritten = expectedVersion == version && version < MAXWRITES;
 #endif
     if
-    :: done -> note = value; version++
+    :: isWritten -> checkpoint = value; version++
     :: else -> skip
     fi
 }
 
-inline arrive(value)
+inline receiveReport(value)
 {
     if
-    :: taken == 0 -> taken = value
-    :: taken != 0 && taken != value -> differs = true
+    :: acceptedReport == 0 -> acceptedReport = value
+    :: acceptedReport != 0 && acceptedReport != value -> hasConflict = true
     :: else -> skip
     fi
 }
 
 proctype instance(byte me)
 {
-    byte seenNote;
-    byte seenVersion;
-    byte mine;
-    bool done;
+    byte readCheckpoint;
+    byte readVersion;
+    byte ownCheckpoint;
+    bool isWritten;
 
-begin:
-    atomic { seenNote = note; seenVersion = version; done = false; mine = 0 };
+restart:
+    atomic { readCheckpoint = checkpoint; readVersion = version; isWritten = false;
+             ownCheckpoint = 0 };
     if
-    :: seenNote != 0 -> mine = seenNote
-    :: else -> mine = me + 1
+    :: readCheckpoint != 0 -> ownCheckpoint = readCheckpoint
+    :: else -> ownCheckpoint = me + 1
     fi;
 #ifdef NO_NOTE_FIRST
-    sentNote[me] = mine;
+    sentReport[me] = ownCheckpoint;
 #endif
     if
-    :: atomic { !lateIs[me] -> lateIs[me] = true; lateNote[me] = mine;
-                lateVersion[me] = seenVersion };
-       goto begin                     /* no answer: it is carried out later, or never */
-    :: atomic { writeNow(mine, seenVersion, done) }
-    :: goto begin
+    :: atomic { !isWriteDelayed[me] -> isWriteDelayed[me] = true;
+                delayedCheckpoint[me] = ownCheckpoint;
+                delayedVersion[me] = readVersion };
+       goto restart                     /* no reply: it takes effect later, or never */
+    :: atomic { tryWrite(ownCheckpoint, readVersion, isWritten) }
+    :: goto restart
     fi;
     if
-    :: !done -> goto begin
-    :: done -> goto begin             /* its answer is lost, or the instance ends */
-    :: done -> sentNote[me] = mine
+    :: !isWritten -> goto restart
+    :: isWritten -> goto restart             /* the reply is lost, or the instance ends */
+    :: isWritten -> sentReport[me] = ownCheckpoint
     fi;
-    goto begin
+    goto restart
 }
 
-/* What is on its way arrives at any time; reports more than once. */
+/* Delayed writes and reports arrive at any time, reports possibly more than once. */
 proctype network()
 {
     byte i;
-    bool done;
+    bool isWritten;
     do
     :: i = 0;
        do
@@ -88,15 +91,17 @@
        :: break
        od;
        if
-       :: atomic { lateIs[i] -> writeNow(lateNote[i], lateVersion[i], done); lateIs[i] = false;
-                   lateNote[i] = 0; lateVersion[i] = 0; done = false }
-       :: atomic { sentNote[i] != 0 -> arrive(sentNote[i]) }
-       :: atomic { sentNote[i] != 0 -> sentNote[i] = 0 }
+       :: atomic { isWriteDelayed[i] ->
+                   tryWrite(delayedCheckpoint[i], delayedVersion[i], isWritten);
+                   isWriteDelayed[i] = false;
+                   delayedCheckpoint[i] = 0; delayedVersion[i] = 0; isWritten = false }
+       :: atomic { sentReport[i] != 0 -> receiveReport(sentReport[i]) }
+       :: atomic { sentReport[i] != 0 -> sentReport[i] = 0 }
        :: else -> skip
        fi;
        i = 0;
 #ifdef P_ONE_REPORT
-       assert(!differs)
+       assert(!hasConflict)
 #endif
     od
 }
--- a/model/views.pml
+++ b/model/views.pml
@@ -1,51 +1,57 @@
-/* Views of three instances: the store's objects spread by watch and by peers, answers come late and
- * crossed, an instance restarts, an instance is cut off, the store goes down.
+/* Views of three instances: the store's objects are distributed by watches and by peers, replies
+ * are delayed and reordered, an instance restarts, an instance is partitioned, the store is
+ * unavailable.
  *
- * The objects are the configuration's head and the reservation of one engine. Whoever waits (the
- * planner before it sends an order, the operator who asks whether a change is in force) judges by
- * the heartbeats that have reached it and by the list of instances.
- * Properties: P_NEVER_BACK, P_IN_FORCE, P_NO_WORK_AFTER_ORDER. See docs/MODEL.md.
+ * The objects are the head of the configuration and the reservation of one engine. The waiter (the
+ * planner before it sends an order, or the operator's query whether a change is in force) decides
+ * from the heartbeats that it has received and from the list of instances.
+ * Properties:
+ *   P_NEVER_BACK           a view never goes back to an older version of an object
+ *   P_IN_FORCE             once a change is reported as in force, no fresh view lacks it
+ *   P_NO_WORK_AFTER_ORDER  once the order is sent to a reserved engine, no request is sent to it
+ * See docs/MODEL.md.
  */
-#define N 3
-#define MAX_UNDER_WAY 2
-#define FRESH 2 /* ticks after which an unconfirmed view is no longer fresh */
-#define DEAD 1  /* ticks after which one that is cut off is taken for dead, and takes others so */
+#define INSTANCES 3
+#define MAX_IN_FLIGHT 2
+#define FRESH_TICKS 2 /* after these ticks an unconfirmed view is no longer fresh */
+/* After these ticks a partitioned instance is considered dead, and it considers the others dead. */
+#define DEAD_TICKS 1
 
 #ifdef NO_WAIT_FOR_FRESHNESS
-#define GONE DEAD
+#define GONE_TICKS DEAD_TICKS
 #else
-#define GONE FRESH
+#define GONE_TICKS FRESH_TICKS
 #endif
 
 #define versionOf(i) (head[i] > reserved[i] -> head[i] : reserved[i])
 
-/* The store. While it is down nobody asks it: asking is a choice, so that is among the runs. */
+/* The store. Querying it is always optional, so the runs include those in which it is down. */
 byte lastVersion = 1;
 byte storeHead = 1;
 byte storeReserved = 0;
 
 /* The instances. */
-byte head[N];
-byte reserved[N];
-byte age[N];     /* ticks since the view was confirmed */
-bool isCut[N];
-byte cutTicks[N];
-bool isListed[N];
-byte toCut = 1, toRestart = 1;
+byte head[INSTANCES];
+byte reserved[INSTANCES];
+byte age[INSTANCES]; /* ticks since the last confirmation of the view */
+bool isPartitioned[INSTANCES];
+byte partitionedTicks[INSTANCES];
+bool isListed[INSTANCES];
+byte partitionsLeft = 1, restartsLeft = 1;
 
-/* An answer of the store, and one of a peer, on its way to each instance. */
-bool storeIs[N];
-byte storeAnswerHead[N], storeAnswerReserved[N], storeAnswerAge[N];
-bool peerIs[N];
-byte peerAnswerHead[N], peerAnswerReserved[N], peerAnswerAge[N];
+/* A reply of the store and one of a peer, in flight to each instance. */
+bool hasStoreReply[INSTANCES];
+byte storeReplyHead[INSTANCES], storeReplyReserved[INSTANCES], storeReplyAge[INSTANCES];
+bool hasPeerReply[INSTANCES];
+byte peerReplyHead[INSTANCES], peerReplyReserved[INSTANCES], peerReplyAge[INSTANCES];
 
-byte underWay = 0; /* answers */
+byte inFlight = 0; /* number of replies */
 
-/* What the heartbeats that have arrived say. */
-byte acked[N];
+/* The versions in the heartbeats that the waiter has received. */
+byte acknowledged[INSTANCES];
 
 #ifdef P_NO_WORK_AFTER_ORDER
-byte sender = 0; /* instance with a request on its way to the engine, + 1; one request at a time */
+byte sender = 0; /* instance with a request in flight to the engine, + 1; one request at a time */
 #define dropRequestOf(i) sender = (sender == i + 1 -> 0 : sender)
 #else
 #define dropRequestOf(i) skip
@@ -58,52 +64,55 @@
 #endif
 
 byte awaitedVersion = 0;
-bool isDone = false; /* the order was sent, or the change was said to be in force */
+bool isDone = false; /* the order was sent, or the change was reported as in force */
 
-#define isReachedBy(i, j) (!isCut[i] && !isCut[j])
-#define knowsNewer(i, j) (isReachedBy(i, j) && versionOf(j) > versionOf(i))
-#define reachedCount(i) (1 + isReachedBy(i, (i + 1) % N) + isReachedBy(i, (i + 2) % N))
-/* What one that is cut off believes, until it takes the others for dead. */
-#define believesAll(i) (isCut[i] && cutTicks[i] < DEAD)
-#define knowsAnyNewer(i) (knowsNewer(i, (i + 1) % N) || knowsNewer(i, (i + 2) % N))
-#define hasMajority(i) (believesAll(i) || (reachedCount(i) > N / 2 && !knowsAnyNewer(i)))
+#define canReach(i, j) (!isPartitioned[i] && !isPartitioned[j])
+#define knowsNewer(i, j) (canReach(i, j) && versionOf(j) > versionOf(i))
+#define reachedCount(i) (1 + canReach(i, (i + 1) % INSTANCES) + canReach(i, (i + 2) % INSTANCES))
+/* A partitioned instance assumes that it has a majority until it considers the others dead. */
+#define assumesAllAlive(i) (isPartitioned[i] && partitionedTicks[i] < DEAD_TICKS)
+#define knowsAnyNewer(i) (knowsNewer(i, (i + 1) % INSTANCES) || knowsNewer(i, (i + 2) % INSTANCES))
+#define hasMajority(i) \
+    (assumesAllAlive(i) || (reachedCount(i) > INSTANCES / 2 && !knowsAnyNewer(i)))
 
 #ifdef NO_FRESHNESS
 #define isFresh(i) (head[i] > 0)
 #else
-#define isFresh(i) (head[i] > 0 && (age[i] < FRESH || hasMajority(i)))
+#define isFresh(i) (head[i] > 0 && (age[i] < FRESH_TICKS || hasMajority(i)))
 #endif
 
-/* freshness.cpp, isAppliedEverywhere: the listed, and whoever is not known to be gone. */
-#define isGone(i) (!isListed[i] && isCut[i] && cutTicks[i] >= GONE)
-#define hasApplied(i) (acked[i] >= awaitedVersion)
+/* isAppliedEverywhere of freshness.cpp: waits for all listed instances and for all others that are
+ * not known to be gone. */
+#define isGone(i) (!isListed[i] && isPartitioned[i] && partitionedTicks[i] >= GONE_TICKS)
+#define hasApplied(i) (acknowledged[i] >= awaitedVersion)
 #ifdef NO_ACKNOWLEDGEMENT_OF_ALL
-#define isAppliedEverywhere (hasApplied(0) + hasApplied(1) + hasApplied(2) > N / 2)
+#define isAppliedEverywhere (hasApplied(0) + hasApplied(1) + hasApplied(2) > INSTANCES / 2)
 #else
-#define holdsNobodyBack(i) (hasApplied(i) || isGone(i))
-#define isAppliedEverywhere (holdsNobodyBack(0) && holdsNobodyBack(1) && holdsNobodyBack(2))
+#define hasAppliedOrIsGone(i) (hasApplied(i) || isGone(i))
+#define isAppliedEverywhere \
+    (hasAppliedOrIsGone(0) && hasAppliedOrIsGone(1) && hasAppliedOrIsGone(2))
 #endif
 
-inline clearStoreAnswer()
+inline clearStoreReply()
 {
-    underWay = underWay - storeIs[me];
-    storeIs[me] = false;
-    storeAnswerHead[me] = 0;
-    storeAnswerReserved[me] = 0;
-    storeAnswerAge[me] = 0
+    inFlight = inFlight - hasStoreReply[me];
+    hasStoreReply[me] = false;
+    storeReplyHead[me] = 0;
+    storeReplyReserved[me] = 0;
+    storeReplyAge[me] = 0
 }
 
-inline clearPeerAnswer()
+inline clearPeerReply()
 {
-    underWay = underWay - peerIs[me];
-    peerIs[me] = false;
-    peerAnswerHead[me] = 0;
-    peerAnswerReserved[me] = 0;
-    peerAnswerAge[me] = 0
+    inFlight = inFlight - hasPeerReply[me];
+    hasPeerReply[me] = false;
+    peerReplyHead[me] = 0;
+    peerReplyReserved[me] = 0;
+    peerReplyAge[me] = 0
 }
 
 /* watched_sync::take */
-inline take(newHead, newReserved, newAge)
+inline applyView(newHead, newReserved, newAge)
 {
     oldHead = head[me];
     oldReserved = reserved[me];
@@ -131,19 +140,21 @@
     fi
 }
 
-#define mayAsk(i, j) (isReachedBy(i, j) && !peerIs[i] && underWay < MAX_UNDER_WAY && head[j] > 0)
+#define mayQueryPeer(i, j) \
+    (canReach(i, j) && !hasPeerReply[i] && inFlight < MAX_IN_FLIGHT && head[j] > 0)
 
-inline askPeer(j)
+inline queryPeer(j)
 {
-    underWay++;
-    peerIs[me] = true;
-    peerAnswerHead[me] = head[j];
-    peerAnswerReserved[me] = reserved[j];
-    peerAnswerAge[me] = age[j];
+    inFlight++;
+    hasPeerReply[me] = true;
+    peerReplyHead[me] = head[j];
+    peerReplyReserved[me] = reserved[j];
+    peerReplyAge[me] = age[j];
 #ifndef NO_EARLY_NEWS_OF_LIFE
-    /* Assumed: the waiting one hears of a new life before that life gets a view from a peer. */
+    /* Assumption: the waiter learns of a new incarnation before that incarnation gets a view from
+     * a peer. */
     if
-    :: head[me] == 0 -> acked[me] = 0
+    :: head[me] == 0 -> acknowledged[me] = 0
     :: else -> skip
     fi
 #endif
@@ -154,38 +165,42 @@
     byte oldHead = 0, oldReserved = 0;
 end:
     do
-    :: d_step { !isCut[me] && !storeIs[me] && underWay < MAX_UNDER_WAY ->
-        underWay++;
-        storeIs[me] = true;
-        storeAnswerHead[me] = storeHead;
-        storeAnswerReserved[me] = storeReserved }
-    :: d_step { storeIs[me] ->
-        take(storeAnswerHead[me], storeAnswerReserved[me], storeAnswerAge[me]);
-        clearStoreAnswer() }
-    :: d_step { mayAsk(me, (me + 1) % N) ->
-        askPeer((me + 1) % N) }
-    :: d_step { mayAsk(me, (me + 2) % N) ->
-        askPeer((me + 2) % N) }
-    :: d_step { peerIs[me] ->
-        take(peerAnswerHead[me], peerAnswerReserved[me], peerAnswerAge[me]);
-        clearPeerAnswer() }
+    :: d_step { !isPartitioned[me] && !hasStoreReply[me] && inFlight < MAX_IN_FLIGHT ->
+        inFlight++;
+        hasStoreReply[me] = true;
+        storeReplyHead[me] = storeHead;
+        storeReplyReserved[me] = storeReserved }
+    :: d_step { hasStoreReply[me] ->
+        applyView(storeReplyHead[me], storeReplyReserved[me], storeReplyAge[me]);
+        clearStoreReply() }
+    :: d_step { mayQueryPeer(me, (me + 1) % INSTANCES) ->
+        queryPeer((me + 1) % INSTANCES) }
+    :: d_step { mayQueryPeer(me, (me + 2) % INSTANCES) ->
+        queryPeer((me + 2) % INSTANCES) }
+    :: d_step { hasPeerReply[me] ->
+        applyView(peerReplyHead[me], peerReplyReserved[me], peerReplyAge[me]);
+        clearPeerReply() }
     /* A heartbeat arrives. */
-    :: d_step { !isCut[me] && acked[me] != versionOf(me) && mayAcknowledge(me) ->
-        acked[me] = versionOf(me) }
-    :: d_step { me < 2 && toRestart > 0 ->
-        toRestart--;
+    :: d_step { !isPartitioned[me] && acknowledged[me] != versionOf(me) && mayAcknowledge(me) ->
+        acknowledged[me] = versionOf(me) }
+    :: d_step { me < 2 && restartsLeft > 0 ->
+        restartsLeft--;
         head[me] = 0;
         reserved[me] = 0;
-        age[me] = FRESH;
+        age[me] = FRESH_TICKS;
         dropRequestOf(me);
-        clearStoreAnswer();
-        clearPeerAnswer() }
-    /* Instances are alike: the one that is cut off is called 0, another that restarts 1. */
-    :: d_step { me == 0 && toCut > 0 -> toCut--; isCut[me] = true }
-    :: d_step { isCut[me] -> isCut[me] = false; cutTicks[me] = 0; isListed[me] = true }
-    :: d_step { isCut[me] && isListed[me] -> isListed[me] = false }
+        clearStoreReply();
+        clearPeerReply() }
+    /* Instances are symmetric. To reduce the state space, the one that is partitioned is number
+     * 0, and only 0 and 1 may restart. */
+    :: d_step { me == 0 && partitionsLeft > 0 -> partitionsLeft--; isPartitioned[me] = true }
+    :: d_step { isPartitioned[me] ->
+        isPartitioned[me] = false;
+        partitionedTicks[me] = 0;
+        isListed[me] = true }
+    :: d_step { isPartitioned[me] && isListed[me] -> isListed[me] = false }
 #ifdef P_NO_WORK_AFTER_ORDER
-    /* A request is routed on the view, and sent at any time after that. */
+    /* A request is routed by the view and sent at any later time. */
     :: d_step { sender == 0 && isFresh(me) && reserved[me] == 0 -> sender = me + 1 }
     :: d_step { sender == me + 1 ->
         assert(!isDone);
@@ -222,33 +237,33 @@
     od
 }
 
-active proctype waiting()
+active proctype waiter()
 {
 end:
     d_step { awaitedVersion > 0 && isAppliedEverywhere -> isDone = true }
 }
 
-inline tickOf(i)
+inline tick(i)
 {
     if
-    :: age[i] < FRESH -> age[i]++
+    :: age[i] < FRESH_TICKS -> age[i]++
     :: else -> skip
     fi;
     if
-    :: isCut[i] && cutTicks[i] < FRESH -> cutTicks[i]++
+    :: isPartitioned[i] && partitionedTicks[i] < FRESH_TICKS -> partitionedTicks[i]++
     :: else -> skip
     fi;
-    /* Assumed: no request waits unsent for longer than a view stays fresh. */
+    /* Assumption: a routed request is sent within the time for which a view stays fresh. */
     if
-    :: cutTicks[i] == FRESH -> dropRequestOf(i)
+    :: partitionedTicks[i] == FRESH_TICKS -> dropRequestOf(i)
     :: else -> skip
     fi;
     if
-    :: storeIs[i] && storeAnswerAge[i] < FRESH -> storeAnswerAge[i]++
+    :: hasStoreReply[i] && storeReplyAge[i] < FRESH_TICKS -> storeReplyAge[i]++
     :: else -> skip
     fi;
     if
-    :: peerIs[i] && peerAnswerAge[i] < FRESH -> peerAnswerAge[i]++
+    :: hasPeerReply[i] && peerReplyAge[i] < FRESH_TICKS -> peerReplyAge[i]++
     :: else -> skip
     fi
 }
@@ -259,9 +274,9 @@
 end:
     do
     :: d_step { true ->
-        tickOf(0);
-        tickOf(1);
-        tickOf(2) }
+        tick(0);
+        tick(1);
+        tick(2) }
     od
 }
 #endif
@@ -269,7 +284,7 @@
 init {
     atomic {
         head[0] = 1; head[1] = 1; head[2] = 1;
-        acked[0] = 1; acked[1] = 1; acked[2] = 1;
+        acknowledged[0] = 1; acknowledged[1] = 1; acknowledged[2] = 1;
         isListed[0] = true; isListed[1] = true; isListed[2] = true;
         run instance(0);
         run instance(1);
