--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Thin front for the build: each target is one step that a newcomer needs.
+# Shortcuts for the build, the tests and the checks.
 SAN ?=
 BUILD ?= build$(if $(SAN),-$(SAN),)
 JOBS ?= $(shell nproc)
@@ -15,8 +15,8 @@
 test: build
 	ctest --test-dir $(BUILD) --output-on-failure -j 4
 
-# Decoders and encoders on inputs that nobody thought of; the same ones on each run. With
-# SECONDS=60, others for so long a target.
+# Fuzzes the decoders and encoders, with the same inputs on each run. SECONDS=60 instead runs each
+# target for 60 s, on more inputs.
 SECONDS ?=
 fuzz: deps
 	cmake -S . -B build-fuzz -DCMAKE_CXX_COMPILER=clang++-14 -DPOPLARSPOOL_TESTS=OFF \
@@ -24,11 +24,12 @@
 	cmake --build build-fuzz -j $(JOBS) --target fuzzers
 	scripts/fuzz.sh build-fuzz $(SECONDS)
 
-# Real processes, killed, frozen and cut off; a line a scenario.
+# Failure scenarios on real processes, which are killed, frozen and partitioned; prints one line per
+# scenario.
 faults: build
 	$(BUILD)/poplarspool-faults $(BUILD)
 
-# Model checking of the protocols; a line a search. See docs/MODEL.md.
+# Model checking of the protocols; prints one line per search. See docs/MODEL.md.
 model:
 	scripts/model.sh
 
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,10 +1,11 @@
 #!/bin/sh
-# Shows one fleet through a role change, an inventory drain and a SIGTERM of an entry instance, all
-# under load, with the files of examples/demo. The last lines give what callers met meanwhile.
+# Runs a fleet under load, with the files of examples/demo, through a role change, the draining of
+# an engine by a new inventory and a SIGTERM to an entry instance. The last lines summarize the
+# replies that callers received.
 #
 #   scripts/demo.sh BUILD
 #
-# Exits 0 only if each of the three took place and no answer was doubled, cut or wrong.
+# Exits with 0 only if all three took place and no reply was duplicated, truncated or wrong.
 set -eu
 cd "$(dirname "$0")/.."
 if [ $# -ne 1 ]; then
@@ -20,7 +21,7 @@
 operators=$host:8101,$host:8102,$host:8103
 engines=$host:9101,$host:9102,$host:9103,$host:9104
 services=$host:9201,$host:9202
-changeBound=90
+roleChangeTimeout=90
 drainSeconds=3
 
 say() { echo "demo: $*"; }
@@ -30,15 +31,15 @@
     exit 1
 }
 
-# countOf ENGINE NAME: a count of the engine's own records.
-countOf() {
+# readCount ENGINE NAME: reads a counter from the engine's records.
+readCount() {
     "$bench" call --to "$1" --path /standin/records | sed "s/.*\"$2\":\([0-9]*\).*/\1/"
 }
 
 roleChanges() {
     sum=0
     for engine in $(echo "$engines" | tr , ' '); do
-        sum=$((sum + $(countOf "$engine" changes)))
+        sum=$((sum + $(readCount "$engine" changes)))
     done
     echo $sum
 }
@@ -53,7 +54,8 @@
     trap stopFleet EXIT
     trap 'exit 130' INT TERM
     for file in examples/demo/*.toml; do
-        # Goodput alone counts here, so that a role change is worth its price within seconds.
+        # Only goodput counts here, so that the gain of a role change exceeds its cost within
+        # seconds.
         sed -e "s/127\.0\.0\./127.0.$FLEET_NET./g" -e 's/^goodput_weight = .*/goodput_weight = 1.0/' \
             "$file" >"$FLEET_DIR/${file##*/}"
     done
@@ -76,7 +78,7 @@
     "$bench" wait --to "$instances" --path /v1/models --text demo-7b
 }
 
-# Sends until the file that it names is gone.
+# Sends requests until the file $FLEET_DIR/sending is removed.
 startLoad() {
     touch "$FLEET_DIR/sending"
     spawn load "$bench" load --ask "$instances" --while "$FLEET_DIR/sending" --rate 24 \
@@ -87,7 +89,9 @@
 showRoleChange() {
     waited=0
     while [ "$(roleChanges)" -eq 0 ]; do
-        if [ $waited -ge $changeBound ]; then fail "no role change within $changeBound s"; fi
+        if [ $waited -ge $roleChangeTimeout ]; then
+            fail "no role change within $roleChangeTimeout s"
+        fi
         sleep 1
         waited=$((waited + 1))
     done
@@ -98,9 +102,9 @@
     say "applying an inventory in which engine-4 drains"
     applyFiles inventory-drain.toml
     sleep $drainSeconds
-    before=$(countOf "$host:9104" started)
+    before=$(readCount "$host:9104" started)
     sleep $drainSeconds
-    if [ "$(countOf "$host:9104" started)" -ne "$before" ]; then
+    if [ "$(readCount "$host:9104" started)" -ne "$before" ]; then
         fail "engine-4 still got new work $drainSeconds s after it was drained"
     fi
     say "engine-4 gets no new work"
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,19 +1,28 @@
 #!/bin/sh
-# Starts a small fleet on loopback: platform, engines, services and instances, each a process.
+# Starts a small fleet on loopback addresses: platform, engines, services and instances, one process
+# each.
 #
 #   scripts/fleet.sh BUILD INSTANCES ENGINES SERVICES [COMMAND...]
 #
-# Runs COMMAND in the fleet's temporary folder, with the variables below, or waits for Ctrl-C, and
-# then stops every process by its id. scripts/demo.sh and scripts/measure.sh source this file.
+# Runs COMMAND with the variables below, or waits for Ctrl-C without one, and then stops each
+# process by its pid. scripts/demo.sh sources this file; scripts/measure.sh runs it. Lists are
+# separated by commas.
 #
-#   FLEET_DIR        settings, inventory, rules, logs, and a pid file per process
-#   FLEET_ASK        caller addresses of all instances, with commas; FLEET_OPERATORS likewise
-#   FLEET_PIDS       pids of the instances, with commas
-#   FLEET_ENGINES    addresses of the engines; FLEET_SERVICES of the services
-#   FLEET_NET        third byte of all loopback addresses, to keep two fleets apart (default 0)
-#   ENGINE_OPTIONS   more words for every stand-in engine
-#   ENGINE_TRAITS    more lines of the engines' runner_defaults in the inventory
-#   LOG_LEVEL        of the instances (default info)
+# Set for COMMAND:
+#   FLEET_DIR        temporary folder: settings, inventory, rules, logs, and a pid file per process
+#   FLEET_ASK        caller addresses of the instances
+#   FLEET_OPERATORS  operator addresses of the instances
+#   FLEET_PIDS       pids of the instances
+#   FLEET_ENGINES    addresses of the engines
+#   FLEET_SERVICES   addresses of the services
+#
+# Read:
+#   FLEET_NET        third byte of all loopback addresses, to run several fleets at once (default 0)
+#   FLEET_KEEP       if not empty, FLEET_DIR is not removed at the end
+#   ENGINE_OPTIONS   additional arguments of each stand-in engine
+#   ENGINE_TRAITS    additional lines of the engines' runner_defaults in the inventory (default
+#                    kv_pieces = 1000)
+#   LOG_LEVEL        log level of the instances (default info)
 set -eu
 
 FLEET_NET=${FLEET_NET:-0}
@@ -24,14 +33,14 @@
 serviceAddress() { echo "127.0.$FLEET_NET.$((200 + $1)):9100"; }
 zoneOf() { echo "zone-$(($1 % 2))"; }
 
-# addressList FUNCTION COUNT SUFFIX
+# addressList FUNCTION COUNT SUFFIX: prints FUNCTION(1)SUFFIX,...,FUNCTION(COUNT)SUFFIX.
 addressList() {
     list=
     for index in $(seq 1 "$2"); do list=$list,$($1 "$index")$3; done
     echo "${list#,}"
 }
 
-# spawn NAME COMMAND...: starts a process and remembers its pid.
+# spawn NAME COMMAND...: starts a process and writes its pid to FLEET_DIR/NAME.pid.
 spawn() {
     name=$1
     shift
@@ -47,7 +56,7 @@
     echo "${list#,}"
 }
 
-# Instances go first, while there still is a platform to sign off from.
+# Stops the load and the instances before the platform, which instances deregister from.
 stopFleet() {
     for kind in load instance engine service platform; do
         for file in "$FLEET_DIR/$kind"*.pid; do
@@ -57,7 +66,8 @@
     if [ -z "${FLEET_KEEP:-}" ]; then rm -rf "$FLEET_DIR"; fi
 }
 
-# A graceful end of an instance takes its grace time; at the end of a run nobody waits for that.
+# Kills instances: at the end of a run a graceful shutdown, which takes leave.grace_seconds, has no
+# use.
 stopProcess() {
     if [ "$2" = instance ]; then signal=KILL; else signal=TERM; fi
     kill -$signal "$1" 2>/dev/null || true
@@ -160,7 +170,7 @@
 
     spawn platform "$build/poplarspool-standin" platform --listen "$platformAddress"
     for index in $(seq 1 "$3"); do
-        # shellcheck disable=SC2086 # the options are words
+        # shellcheck disable=SC2086 # the options are several arguments
         spawn "engine-$index" "$build/poplarspool-standin" engine \
             --listen "$(engineAddress "$index")" --models demo-llm@1 ${ENGINE_OPTIONS:-}
     done
--- a/scripts/format.sh
+++ b/scripts/format.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Formats the sources in place (--write) or fails where one is not formatted (--check).
+# Formats the sources in place (--write), or fails if one is not formatted (--check, the default).
 set -eu
 cd "$(dirname "$0")/.."
 files=$(git ls-files --cached --others --exclude-standard '*.h' '*.cpp')
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,19 +1,20 @@
 #!/bin/sh
-# Runs all fuzzing targets of a build folder: on their corpus (tests/fuzz/corpus) and on inputs made
-# from it. Seed and number of inputs are fixed, so that the verdict is the same on each run.
+# Runs all fuzz targets of a build folder on their corpus (tests/fuzz/corpus) and on inputs
+# generated from it. The seed and the number of inputs are fixed, so that the result is the same on
+# each run.
 #
-#   scripts/fuzz.sh BUILD            as many inputs as below
-#   scripts/fuzz.sh BUILD SECONDS    for so long a target, to look for more
+#   scripts/fuzz.sh BUILD            the number of inputs below
+#   scripts/fuzz.sh BUILD SECONDS    this time per target, for a longer search
 #
-# Fails where a target does. What it found lies in the build folder: found-TARGET-HASH; hand it to
-# BUILD/fuzz_TARGET to see it again.
+# Fails if a target fails. The failing input is written to BUILD/found-TARGET-HASH; run
+# BUILD/fuzz_TARGET on this file to reproduce the failure.
 set -eu
 cd "$(dirname "$0")/.."
 build=$1
 seconds=${2:-}
 
-# As many inputs as each does within some ten seconds.
-runsOf() {
+# Number of inputs that each target handles in about ten seconds.
+runCountOf() {
     case $1 in
     files) echo 40000 ;;
     store) echo 80000 ;;
@@ -24,20 +25,25 @@
 }
 
 fuzzOne() {
-    if [ -n "$seconds" ]; then bound=-max_total_time=$seconds; else bound=-runs=$(runsOf "$1"); fi
-    words=tests/fuzz/words/$1
-    if [ -f "$words" ]; then words=-dict=$words; else words=; fi
-    made=$(mktemp -d)
+    if [ -n "$seconds" ]; then
+        limit=-max_total_time=$seconds
+    else
+        limit=-runs=$(runCountOf "$1")
+    fi
+    dictionary=tests/fuzz/words/$1
+    if [ -f "$dictionary" ]; then dictionary=-dict=$dictionary; else dictionary=; fi
+    generated=$(mktemp -d)
     status=0
-    # shellcheck disable=SC2086 # none, or one word
-    "$build/fuzz_$1" -seed=1 "$bound" -max_len=4096 $words -artifact_prefix="$build/found-$1-" \
-        "$made" "tests/fuzz/corpus/$1" 2>"$build/fuzz_$1.log" || status=$?
-    rm -r "$made"
+    # shellcheck disable=SC2086 # $dictionary is no argument or one
+    "$build/fuzz_$1" -seed=1 "$limit" -max_len=4096 $dictionary \
+        -artifact_prefix="$build/found-$1-" \
+        "$generated" "tests/fuzz/corpus/$1" 2>"$build/fuzz_$1.log" || status=$?
+    rm -r "$generated"
     echo "fuzz: $1: $(grep -E '^(Done|SUMMARY|fuzz:)' "$build/fuzz_$1.log" | tr '\n' ' ')"
     return $status
 }
 
-# Two at a time.
+# Runs two targets at a time.
 failed=0
 for pair in "calls datagrams" "files replies" "requests store"; do
     for target in $pair; do
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Runs clang-tidy over the sources, given the build folder that has compile_commands.json.
+# Runs clang-tidy on the sources. The argument is the build folder that contains
+# compile_commands.json (default build).
 set -eu
 cd "$(dirname "$0")/.."
 build=${1:-build}
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,11 +1,12 @@
 #!/bin/sh
-# The measurements of docs/BENCHMARKS.md and docs/CAPACITY.md.
+# Runs the measurements of docs/BENCHMARKS.md and docs/CAPACITY.md.
 #
-#   scripts/measure.sh path BUILD     what an instance adds on the way to an engine; 1,000 streams
-#   scripts/measure.sh tokens BUILD   processor time of one instance with 60 streams at their pace
+#   scripts/measure.sh path BUILD     overhead of an instance between caller and engine; 1,000
+#                                     streams
+#   scripts/measure.sh tokens BUILD   CPU time of one instance with 60 streams at 23 ms per token
 #   scripts/measure.sh slopes BUILD   control cost at 3, 6, 12 and 24 instances and as many engines
 #   scripts/measure.sh site BUILD     control cost at 9 instances, 18 engines and 4 services
-#   scripts/measure.sh force BUILD    time from an apply until all instances have it in force
+#   scripts/measure.sh force BUILD    time from an apply until it is in force on all instances
 set -eu
 cd "$(dirname "$0")/.."
 usage() {
@@ -18,8 +19,8 @@
 LOG_LEVEL=${LOG_LEVEL:-warn}
 export LOG_LEVEL
 
-# An engine that adds little time of its own and takes 1,000 streams at once.
-quickEngine() {
+# Sets up engines that add little latency and can serve 1,000 streams concurrently.
+setFastEngine() {
     ENGINE_OPTIONS='--batch 2000 --kv-pieces 200000 --prefill-rate 10000000 --decode-rate 20000
         --chunk 8192 --iteration-us 100'
     ENGINE_TRAITS='kv_pieces = 200000
@@ -30,15 +31,16 @@
 }
 
 measurePath() {
-    quickEngine
+    setFastEngine
     # shellcheck disable=SC2016 # expanded in the fleet's environment
     scripts/fleet.sh "$build" 1 1 1 sh -c '"$0" path --instance "$FLEET_ASK" \
         --instance-pid "$FLEET_PIDS" --engine "$FLEET_ENGINES" --model demo-llm' "$bench"
 }
 
-# The share of a core while 60 streams get a token each 23 ms and more, and the load's own account.
+# Measures the share of a core that an instance uses while each of 60 streams gets at most one token
+# per 23 ms, and prints the summary of the load.
 measureTokens() {
-    quickEngine
+    setFastEngine
     ENGINE_OPTIONS="$ENGINE_OPTIONS --iteration-us 23000"
     # shellcheck disable=SC2016 # expanded in the fleet's environment
     scripts/fleet.sh "$build" 1 1 1 sh -c '
@@ -50,8 +52,8 @@
         cat "$FLEET_DIR/load.out"' "$bench"
 }
 
-# idleAt INSTANCES ENGINES SERVICES: one line with the mean over all instances.
-idleAt() {
+# measureIdle INSTANCES ENGINES SERVICES: prints one line with the mean over all instances.
+measureIdle() {
     # shellcheck disable=SC2016 # expanded in the fleet's environment
     scripts/fleet.sh "$build" "$1" "$2" "$3" sh -c 'sleep 10; "$0" idle --pids "$FLEET_PIDS" \
         --operators "$FLEET_OPERATORS" --seconds 30 --runners "$1"' "$bench" "$(($2 + $3))" \
@@ -60,33 +62,34 @@
 
 measureSlopes() {
     rows=$(mktemp)
-    for count in 3 6 12 24; do idleAt $count $count 1 | tee -a "$rows"; done
+    for count in 3 6 12 24; do measureIdle $count $count 1 | tee -a "$rows"; done
     "$bench" slope --by instances --at 330 <"$rows"
     rm "$rows"
 }
 
-# forceAt COUNT: ten applies of rules that differ, one line each, with the time of the whole command.
-forceAt() {
+# measureApply COUNT: applies changed rules ten times on COUNT instances and engines, and prints the
+# duration of each command.
+measureApply() {
     # shellcheck disable=SC2016 # expanded in the fleet's environment
     scripts/fleet.sh "$build" "$1" "$1" 1 sh -c 'sleep 10; for turn in $(seq 1 10); do
         sed "s/^address_keep_seconds = .*/address_keep_seconds = $((2 + turn % 2))/" \
             "$FLEET_DIR/rules.toml" >"$FLEET_DIR/rules-next.toml"
-        begun=$(date +%s%N)
+        startedAt=$(date +%s%N)
         "$0" apply --to "${FLEET_OPERATORS%%,*}" --inventory "$FLEET_DIR/inventory.toml" \
             --rules "$FLEET_DIR/rules-next.toml" --wait 30 >"$FLEET_DIR/apply.out"
-        echo "instances=$1 turn=$turn in_force_ms=$((($(date +%s%N) - begun) / 1000000))"
+        echo "instances=$1 turn=$turn in_force_ms=$((($(date +%s%N) - startedAt) / 1000000))"
     done' "$build/poplarspool" "$1" | grep '^instances='
 }
 
 measureForce() {
-    for count in 3 6 12 24; do forceAt $count; done
+    for count in 3 6 12 24; do measureApply $count; done
 }
 
 case $1 in
 path) measurePath ;;
 tokens) measureTokens ;;
 slopes) measureSlopes ;;
-site) idleAt 9 18 4 ;;
+site) measureIdle 9 18 4 ;;
 force) measureForce ;;
 *) usage ;;
 esac
--- a/scripts/model.sh
+++ b/scripts/model.sh
@@ -1,16 +1,16 @@
 #!/bin/sh
-# Checks the specifications in model/ with spin: each property must hold in a search that is
-# complete, and without each safeguard, or assumption, spin must find the violation.
-# One line a search; ends non-zero where one went otherwise. See docs/MODEL.md.
+# Checks the specifications in model/ with spin: each property must hold in a complete search, and
+# spin must find a violation when one of the safeguards or assumptions is removed.
+# Prints one line per search; the exit status is not 0 if a result differs. See docs/MODEL.md.
 # Usage: scripts/model.sh [PARALLEL_SEARCHES]
 set -eu
 
 root=$(cd "$(dirname "$0")/.." && pwd)
-depth=2000000   # steps; a search that meets this bound is not complete
-memory=2000     # megabytes a search
-time_limit=240  # seconds a search
+depth=2000000   # steps; a search that reaches this limit is not complete
+memory=2000     # MB per search
+time_limit=240  # seconds per search
 
-# model, variant, property, safeguard that is removed (- for none), macros
+# Model, variant (- for none), property, removed safeguard (- for none), macros.
 searches() {
     cat <<'LIST'
 views - NO_WORK_AFTER_ORDER -
@@ -77,7 +77,7 @@
     label="model=$model"
     [ "$variant" = - ] || label="$label variant=$variant"
     label="$label property=$(echo "$property" | tr '[:upper:]' '[:lower:]')"
-    # shellcheck disable=SC2086 # macros are several words
+    # shellcheck disable=SC2086 # macros are several arguments
     if ! spin -a $macros "$root/model/$model.pml" >log 2>&1 ||
         ! gcc -O2 -w -DSAFETY -DMEMLIM=$memory -o pan pan.c >>log 2>&1; then
         cat log >&2
@@ -91,14 +91,15 @@
         echo "$label states=${states:-?} result=$result"
         [ "$result" = holds ] || echo "$label" >>"$work/failed"
     else
-        without=$(echo "$removed" | tr '[:upper:]' '[:lower:]')
-        echo "$label without=$without states=${states:-?} result=$result"
-        [ "$result" = "violation found" ] || echo "$label without=$without" >>"$work/failed"
+        removedName=$(echo "$removed" | tr '[:upper:]' '[:lower:]')
+        echo "$label without=$removedName states=${states:-?} result=$result"
+        [ "$result" = "violation found" ] || echo "$label without=$removedName" >>"$work/failed"
     fi
     rm -rf "$folder"
 }
 
-# What pan's output says. Only a whole search shows that a property holds.
+# Prints the result of the search from the output of pan. Only a complete search shows that a
+# property holds.
 verdict() {
     if grep -q 'assertion violated' log; then
         echo "violation found"
@@ -122,7 +123,7 @@
 export work
 searches | xargs -P "${1:-6}" -L 1 "$0" --search
 if [ -s "$work/failed" ]; then
-    echo "model: otherwise than expected:" >&2
+    echo "model: searches with an unexpected result:" >&2
     cat "$work/failed" >&2
     exit 1
 fi
--- a/scripts/wire_words.sh
+++ b/scripts/wire_words.sh
@@ -1,14 +1,16 @@
 #!/bin/sh
-# Fails where a word of the users' platform stands outside platform/ and deploy/. The words are the
-# quoted names of platform/names.h that can't be ordinary words: with a capital, a dash or a slash.
+# Names of the users' platform belong in platform/ and deploy/ only: fails if one is used in src/ or
+# include/. It checks the quoted names of platform/names.h that cannot be ordinary words: those with
+# a capital letter, a dash or a slash.
 set -eu
 cd "$(dirname "$0")/.."
-words=$(sed -n 's/.*= "\([^"]*\)";.*/\1/p' platform/names.h | grep -E '[A-Z/-]' | grep -v '^poplarspool')
-found=0
-for word in $words; do
-    if grep -rnF "\"$word\"" src include; then
-        echo "wire_words: $word belongs to platform/names.h" >&2
-        found=1
+platformNames=$(sed -n 's/.*= "\([^"]*\)";.*/\1/p' platform/names.h | grep -E '[A-Z/-]' \
+    | grep -v '^poplarspool')
+failed=0
+for name in $platformNames; do
+    if grep -rnF "\"$name\"" src include; then
+        echo "wire_words: $name is a name of the platform and belongs to platform/names.h" >&2
+        failed=1
     fi
 done
-exit $found
+exit $failed
