--- a/include/poplarspool/base/bounded_json.h
+++ b/include/poplarspool/base/bounded_json.h
@@ -19,6 +19,6 @@
 
 /// Like parseJson(), but replaces arrays and objects that are nested too deeply by null, so that
 /// one author's part of a text doesn't make the parts of others unreadable.
-nlohmann::json parseJsonCut(std::string_view text);
+nlohmann::json parseJsonPruned(std::string_view text);
 
 } // namespace poplarspool
--- a/include/poplarspool/base/hash.h
+++ b/include/poplarspool/base/hash.h
@@ -11,7 +11,7 @@
 std::uint64_t hashOf(std::string_view bytes, std::uint64_t seed = 0);
 
 /// @returns The hash mapped to a number in [0, 1), with uniform distribution.
-double unitOf(std::uint64_t hash);
+double toUnitInterval(std::uint64_t hash);
 
 /// SHA-256 in lower-case hex. Identifies content and compares keys.
 std::string sha256Hex(std::string_view bytes);
--- a/include/poplarspool/base/http.h
+++ b/include/poplarspool/base/http.h
@@ -48,9 +48,9 @@
     std::size_t headerBytes;
     std::size_t bodyBytes;
     std::uint32_t connections;
-    milliseconds readTime; ///< For receiving a whole request.
-    milliseconds writeTime; ///< For one blocked write.
-    milliseconds keepAliveTime;
+    milliseconds readTimeout; ///< For receiving a whole request.
+    milliseconds writeTimeout; ///< For one blocked write.
+    milliseconds keepAliveTimeout;
     std::size_t keepAliveRequests;
 };
 
@@ -98,7 +98,7 @@
     void setLimits(const http_limits &limits);
     /// Closes each connection after its next reply, with `Connection: close`, so that callers
     /// switch to another instance before stop() without losing a request.
-    void announceEnd();
+    void announceShutdown();
     /// Stops accepting connections and waits for running requests.
     void stop();
     std::uint32_t openConnections() const;
--- a/include/poplarspool/base/ids.h
+++ b/include/poplarspool/base/ids.h
@@ -37,7 +37,7 @@
 };
 
 /// Incarnation number of a process: increases with each start. 0 means none.
-using incarnation = std::uint64_t;
+using incarnation_number = std::uint64_t;
 
 } // namespace poplarspool
 
--- a/include/poplarspool/base/metrics.h
+++ b/include/poplarspool/base/metrics.h
@@ -29,11 +29,11 @@
 };
 
 /// Histogram of durations with logarithmic bins from 10 microseconds to 1000 seconds.
-class latency
+class latency_histogram
 {
 public:
-    latency();
-    ~latency();
+    latency_histogram();
+    ~latency_histogram();
     void record(std::chrono::nanoseconds elapsed);
     std::uint64_t count() const;
     /// @param share Quantile, such as 0.95.
@@ -59,7 +59,7 @@
     ///             `name{code="ok"}`.
     counter &counterOf(std::string_view name);
     gauge &gaugeOf(std::string_view name);
-    latency &latencyOf(std::string_view name);
+    latency_histogram &latencyOf(std::string_view name);
 
     /// @returns All metrics in the Prometheus text format.
     std::string text() const;
--- a/include/poplarspool/base/look_thread.h
+++ b/include/poplarspool/base/periodic_thread.h
@@ -13,16 +13,16 @@
 
 /// A thread that runs a function periodically. An exception ends one iteration and is logged; the
 /// next iteration runs as usual.
-class look_thread
+class periodic_thread
 {
 public:
     /// @param name Name of the thread.
     /// @param interval Pause between two iterations, and before the first.
-    look_thread(std::string name, milliseconds interval, step_faults faults,
-                std::function<void()> iteration);
-    ~look_thread();
-    look_thread(const look_thread &) = delete;
-    look_thread &operator=(const look_thread &) = delete;
+    periodic_thread(std::string name, milliseconds interval, step_failure_reporter faults,
+                    std::function<void()> iteration);
+    ~periodic_thread();
+    periodic_thread(const periodic_thread &) = delete;
+    periodic_thread &operator=(const periodic_thread &) = delete;
 
     void start();
     /// Prevents further iterations. Doesn't wait for the current one, which may take long.
@@ -36,7 +36,7 @@
 
     const std::string name;
     const milliseconds interval;
-    const step_faults faults;
+    const step_failure_reporter faults;
     const std::function<void()> iteration;
     std::mutex guard;
     std::condition_variable stopped;
--- a/include/poplarspool/base/end_signal.h
+++ b/include/poplarspool/base/process_signal.h
@@ -4,19 +4,19 @@
 /// are blocked in all threads and received synchronously by one.
 namespace poplarspool {
 
-enum class process_signal { End, Reload };
+enum class process_signal { Terminate, Reload };
 
 /// Blocks SIGTERM and SIGINT in the calling thread and in threads it starts later.
 /// @attention Call it before any other thread starts. A thread that doesn't block the signals may
 ///            receive them, which terminates the process.
-void blockEndSignals();
+void blockTerminationSignals();
 
 /// Like blockTerminationSignals(), and also blocks SIGHUP, whose default action terminates the
 /// process without a log line.
 void blockSignals();
 
 /// Waits for SIGTERM or SIGINT.
-void waitForEndSignal();
+void waitForTerminationSignal();
 
 /// Waits for any of the signals that blockSignals() blocks.
 process_signal waitForSignal();
--- a/include/poplarspool/base/settings.h
+++ b/include/poplarspool/base/settings.h
@@ -33,17 +33,17 @@
     endpoint weightStoreAddress; ///< `platform.weights`
     double storeCallsPerSecond = config::storeCallsPerSecond; ///< `platform.calls_per_second`
     double storeCallBurst = config::storeCallBurst; ///< `platform.call_burst`
-    milliseconds storeCallTime = config::storeCallTime; ///< `platform.call_time_ms`
+    milliseconds storeCallTimeout = config::storeCallTimeout; ///< `platform.call_time_ms`
 
     http_limits callerLimits = defaultHttpLimits(); ///< `caller.limits.*`
     std::uint32_t maxStreams = config::maxCallerConnections; ///< `caller.limits.streams`
     /// `leave.grace_seconds`; not less than the time for which callers cache addresses.
-    milliseconds leaveGrace = config::addressKeepTime;
-    milliseconds leaveBound = config::maxTimeLimit; ///< `leave.bound_seconds`
+    milliseconds leaveGraceTime = config::addressKeepTime;
+    milliseconds maxLeaveTime = config::maxTimeLimit; ///< `leave.bound_seconds`
 
-    milliseconds gossipTime = config::gossipTime; ///< `peer.gossip_ms`
-    milliseconds loadPollTime = config::loadPollTime; ///< `runner.poll_ms`
-    milliseconds planTime = config::planTime; ///< `plan.look_ms`
+    milliseconds gossipInterval = config::gossipInterval; ///< `peer.gossip_ms`
+    milliseconds loadPollInterval = config::loadPollInterval; ///< `runner.poll_ms`
+    milliseconds planInterval = config::planInterval; ///< `plan.look_ms`
     std::size_t eventRingSize = config::eventRingSize; ///< `log.ring`
     std::string logLevel = "info"; ///< `log.level`
 };
--- a/include/poplarspool/caller/caller_server.h
+++ b/include/poplarspool/caller/caller_server.h
@@ -38,7 +38,7 @@
     bool operator==(const request_head &) const = default;
 };
 
-struct completion_ask
+struct completion_request
 {
     request_head head;
     std::string model;
@@ -46,19 +46,19 @@
     std::uint32_t maxTokens = 0;
     bool isStreamed = false;
 
-    bool operator==(const completion_ask &) const = default;
+    bool operator==(const completion_request &) const = default;
 };
 
-struct service_ask
+struct service_request
 {
     request_head head;
     std::string service;
     http_request request; ///< Path as the service sees it, and end-to-end headers.
 
-    bool operator==(const service_ask &) const;
+    bool operator==(const service_request &) const;
 };
 
-struct completion_end
+struct completion_summary
 {
     std::string finishReason; ///< "stop" or "length".
     std::uint32_t promptTokens = 0;
@@ -72,7 +72,7 @@
     virtual ~completion_sink() = default;
     /// @returns False if no more tokens are accepted, e.g. because the caller has disconnected.
     virtual bool token(std::string_view text) = 0;
-    virtual void finish(const completion_end &end) = 0;
+    virtual void finish(const completion_summary &end) = 0;
     /// After the first token of a stream this sends an error event, never `[DONE]`.
     virtual void fail(const error &failure) = 0;
     virtual bool isGone() const = 0;
@@ -89,9 +89,9 @@
 {
     std::function<result<address_answer>(const request_head &, const zone_id &)> addresses;
     std::function<result<std::vector<std::string>>(const request_head &)> models;
-    std::function<void(const completion_ask &, completion_sink &)> complete;
+    std::function<void(const completion_request &, completion_sink &)> complete;
     /// Either returns an error and writes nothing to the sink, or writes and ends the reply there.
-    std::function<std::optional<error>(const service_ask &, http_sink &)> callService;
+    std::function<std::optional<error>(const service_request &, http_sink &)> callService;
 };
 
 /// HTTP server of the caller API (docs/API.md).
--- a/include/poplarspool/duties/fleet_clock.h
+++ b/include/poplarspool/duties/fleet_clock.h
@@ -29,13 +29,13 @@
     explicit fleet_clock(clock_source clock);
 
     /// Records the wall clock time that another instance has sent.
-    void noteClock(std::uint64_t sender, wall_time received);
+    void recordClock(std::uint64_t sender, wall_time received);
     /// Records the estimate that another instance has made from the clocks it receives.
-    void noteEstimate(std::uint64_t sender, const fleet_time &received);
+    void recordEstimate(std::uint64_t sender, const fleet_time &received);
     fleet_time now() const;
     /// @returns The estimate to send to others, made only from the clocks received here. An
     ///          estimate that instances passed on to each other would never expire.
-    fleet_time heard() const;
+    fleet_time directEstimate() const;
 
 private:
     using offset = std::chrono::milliseconds; ///< Of a wall clock from the local monotonic clock.
@@ -53,7 +53,7 @@
     };
 
     /// Recent samples from one sender.
-    struct told_clock
+    struct received_clock
     {
         std::deque<sample> samples;
         std::uint32_t clocks = 1;
@@ -62,15 +62,15 @@
         offset ahead() const;
     };
 
-    void settle(mono_time at);
+    void updateOffsets(mono_time at);
     fleet_time timeOf(const fleet_offset &found) const;
 
     const clock_source clock;
     mutable std::mutex guard;
-    std::map<std::uint64_t, told_clock> clocks;
-    std::map<std::uint64_t, told_clock> estimates;
-    fleet_offset ofHeard;
-    fleet_offset ofAll;
+    std::map<std::uint64_t, received_clock> clocks;
+    std::map<std::uint64_t, received_clock> estimates;
+    fleet_offset directOffset;
+    fleet_offset bestOffset;
 };
 
 } // namespace poplarspool::duties
--- a/include/poplarspool/duties/lease.h
+++ b/include/poplarspool/duties/lease.h
@@ -19,7 +19,7 @@
     instance_id holder;
     std::uint64_t fence = 0; ///< Fencing token; increases with each term, sent with each call.
     store_version version; ///< Of the object in the store; revision 0: not created yet.
-    std::string note = {}; ///< State for later holders: the work of that term.
+    std::string checkpoint = {}; ///< State for later holders: the work of that term.
 
     bool operator==(const lease_record &) const = default;
 };
@@ -66,15 +66,15 @@
 
     /// @returns The current record if this instance may replace it; none if another instance may
     ///          have a term, or the store can't be read.
-    std::optional<lease_record> findFree();
+    std::optional<lease_record> readIfAvailable();
     /// Acquires a term by replacing a record that readIfAvailable() has returned.
     /// @param checkpoint For this holder and later ones.
-    std::optional<lease_term> take(const lease_record &present, std::string checkpoint);
+    std::optional<lease_term> acquire(const lease_record &present, std::string checkpoint);
     /// Does both in one call, for a duty without checkpoints.
-    std::optional<lease_term> tryTake();
+    std::optional<lease_term> tryAcquire();
 
 private:
-    bool isFreeFrom(const lease_record &found);
+    bool isAvailable(const lease_record &found);
 
     const lease_store store;
     const instance_id self;
@@ -82,7 +82,7 @@
     const clock_source clock;
     journal &events;
     std::optional<std::uint64_t> epoch; ///< Epoch of the store at the last read.
-    mono_time wentBackAt{}; ///< When a change of the epoch was last detected; 0: never.
+    mono_time rollbackSeenAt{}; ///< When a change of the epoch was last detected; 0: never.
     store_version seenVersion; ///< Version of another holder's record.
     mono_time seenAt{}; ///< When that version was first read here.
 };
--- a/include/poplarspool/duties/limits.h
+++ b/include/poplarspool/duties/limits.h
@@ -13,42 +13,42 @@
 /// weeks.
 inline constexpr std::uint64_t fencesPerEpoch = 1'000'000;
 /// Last epoch of the store for which fences can be allocated.
-inline constexpr std::uint64_t storeEpochMost = 10'000'000'000'000;
-static_assert(storeEpochMost < UINT64_MAX / fencesPerEpoch);
+inline constexpr std::uint64_t maxStoreEpoch = 10'000'000'000'000;
+static_assert(maxStoreEpoch < UINT64_MAX / fencesPerEpoch);
 
 /// Interval at which the owner of a duty checks for due work, and at which it tries to become the
 /// holder.
-inline constexpr std::chrono::milliseconds dutyLookTime = 500ms;
-inline constexpr std::chrono::milliseconds dutyTryPause = 1s;
+inline constexpr std::chrono::milliseconds dutyInterval = 500ms;
+inline constexpr std::chrono::milliseconds dutyRetryInterval = 1s;
 /// Timeout of one call to the platform: a slow call takes 60 times the usual 4 ms.
-inline constexpr std::chrono::milliseconds dutyCallTime = 700ms;
+inline constexpr std::chrono::milliseconds dutyCallTimeout = 700ms;
 
 /// Interval at which an instance sends its counts. If it crashes, counts since the last update are
 /// lost.
-inline constexpr std::chrono::milliseconds usageTellTime = 400ms;
+inline constexpr std::chrono::milliseconds usageUpdateInterval = 400ms;
 /// Replicas: instances that hold the counts of all others. Counts are lost only if all of them
 /// crash at once.
-inline constexpr std::size_t usageKeepers = 4;
+inline constexpr std::size_t usageReplicas = 4;
 /// Number of updates in which a changed count is sent, since datagrams may be lost.
-inline constexpr std::uint32_t usageRepeats = 3;
+inline constexpr std::uint32_t usageUpdateRepeats = 3;
 /// Interval at which a replica sends its time estimate to all instances.
-inline constexpr std::chrono::milliseconds clockTellTime = 2s;
+inline constexpr std::chrono::milliseconds clockUpdateInterval = 2s;
 /// Time after which a received clock sample or estimate expires.
-inline constexpr std::chrono::milliseconds clockMemory = 10s;
+inline constexpr std::chrono::milliseconds clockRetention = 10s;
 /// Samples kept per clock; the one with the lowest latency is used.
-inline constexpr std::size_t clockSamples = 8;
+inline constexpr std::size_t maxClockSamples = 8;
 /// Bytes of counts in one datagram; the remainder is for its frame and the other message fields.
 inline constexpr std::size_t usageBytesPerDatagram = 1100;
 /// Counts in one datagram, and instance incarnations kept per window.
-inline constexpr std::size_t maxToldCounts = 512;
-inline constexpr std::size_t maxUsageLives = 4096;
+inline constexpr std::size_t maxCountsPerUpdate = 512;
+inline constexpr std::size_t maxUsageIncarnations = 4096;
 /// Windows that are kept, and the most recent windows that may be added to one term's reports.
 inline constexpr std::uint64_t usageWindowsKept = 8;
-inline constexpr std::uint64_t usageWindowsAtOnce = 3;
+inline constexpr std::uint64_t maxUsageWindowsPerTerm = 3;
 /// Time from the end of a window until its counts have arrived, if all instances are reachable.
 inline constexpr std::chrono::milliseconds usageSettleTime = 1200ms;
 /// Share of the time until a report is late that is spent waiting for silent instances; the rest is
 /// left for another holder to take over.
-inline constexpr double usagePatienceShare = 0.5;
+inline constexpr double usageWaitShare = 0.5;
 
 } // namespace poplarspool::config
--- a/include/poplarspool/duties/usage_exchange.h
+++ b/include/poplarspool/duties/usage_exchange.h
@@ -15,11 +15,11 @@
 namespace poplarspool::duties {
 
 /// State from which one instance counts usage.
-struct usage_parts
+struct usage_context
 {
-    usage_ledger &ledger;
-    fleet_clock &time;
-    milliseconds window; ///< Length.
+    usage_table &table;
+    fleet_clock &fleetClock;
+    milliseconds windowLength; ///< Length.
 };
 
 /// Sends the local usage counts to a few replicas, which hold the counts of all instances, and
@@ -31,9 +31,9 @@
     /// @param incarnation The one that the table counts as local.
     /// @param members Returns all members, including this instance; called on the exchange's
     ///                thread.
-    usage_exchange(peer::datagram_settings settings, std::uint64_t incarnation, usage_parts context,
-                   std::function<std::vector<policy::member>()> members, clock_source clock,
-                   metrics_registry &metrics, journal &events);
+    usage_exchange(peer::datagram_settings settings, std::uint64_t incarnation,
+                   usage_context context, std::function<std::vector<policy::member>()> members,
+                   clock_source clock, metrics_registry &metrics, journal &events);
     ~usage_exchange();
 
     result<unit> start();
--- a/include/poplarspool/duties/usage_keeper.h
+++ b/include/poplarspool/duties/usage_reporter.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "poplarspool/base/look_thread.h"
 #include "poplarspool/base/metrics.h"
+#include "poplarspool/base/periodic_thread.h"
 #include "poplarspool/duties/lease.h"
 #include "poplarspool/duties/usage_exchange.h"
 
@@ -15,10 +15,11 @@
 };
 
 /// Dependencies of the reporter.
-struct usage_tools
+struct usage_reporter_dependencies
 {
-    const usage_parts parts;
-    const milliseconds late; ///< Time after a window's end by which its report must have arrived.
+    const usage_context usage;
+    const milliseconds
+            reportDeadline; ///< Time after a window's end by which its report must have arrived.
     const usage_sink sink;
     const clock_source clock;
     journal &events;
@@ -31,33 +32,36 @@
 /// Reports the usage of each window once its counts are complete, on a separate thread. A report is
 /// stored in the checkpoint of the lease record before it is sent, so the next holder of the duty
 /// sends the same report or none.
-class usage_keeper
+class usage_reporter
 {
 public:
-    usage_keeper(usage_tools tools, lease_store store, instance_id self, milliseconds leaseBound);
+    usage_reporter(usage_reporter_dependencies tools, lease_store store, instance_id self,
+                   milliseconds leaseBound);
 
     void start() { thread.start(); }
     void requestStop() { thread.requestStop(); }
     void stop() { thread.stop(); }
 
     /// Runs one iteration. Called by the reporter's thread and by tests.
-    void look();
+    void runOnce();
 
 private:
     window_number dueWindow(wall_time now) const;
-    bool sendAll(const usage_note &checkpoint, const lease_term &term);
+    bool sendAll(const usage_checkpoint &checkpoint, const lease_term &term);
     bool send(const usage_report &report, const lease_term &term);
-    void noteSkipped(const std::optional<usage_note> &before, const usage_note &next) const;
+    void recordSkipped(const std::optional<usage_checkpoint> &before,
+                       const usage_checkpoint &next) const;
 
-    const usage_tools tools;
+    const usage_reporter_dependencies dependencies;
     duty_lease lease;
     counter &sent;
     counter &failed;
     counter &skipped;
-    std::optional<window_number> done; ///< All windows up to it have been reported; none: unknown.
-    std::optional<window_number> delivered; ///< This instance has sent all reports up to it.
-    mono_time nextTryAt{};
-    look_thread thread; ///< Last member: stops before the state it uses is destroyed.
+    std::optional<window_number>
+            reportedUpTo; ///< All windows up to it have been reported; none: unknown.
+    std::optional<window_number> deliveredUpTo; ///< This instance has sent all reports up to it.
+    mono_time retryAt{};
+    periodic_thread thread; ///< Last member: stops before the state it uses is destroyed.
 };
 
 } // namespace poplarspool::duties
--- a/include/poplarspool/gateway/catalogue.h
+++ b/include/poplarspool/gateway/catalogue.h
@@ -23,7 +23,7 @@
 using service_id = name_of<struct service_tag>; ///< A group of interchangeable runners.
 
 /// Whether a request that has been sent once may be sent again.
-enum class repeat_rule {
+enum class retry_policy {
     Idempotent, ///< May be executed more than once.
     AtMostOnce, ///< Retried only if the previous try is known not to have been executed.
 };
@@ -44,18 +44,18 @@
     bool isStream = false; ///< The response is a stream of events.
     /// A broken stream can be resumed on another runner after its last event.
     bool isResumable = false;
-    repeat_rule repeats = repeat_rule::AtMostOnce;
+    retry_policy retryPolicy = retry_policy::AtMostOnce;
     milliseconds timeLimit{0}; ///< Maximum time that a caller waits for a response.
     /// Latency objective: time to the first event of a stream, or to the complete response.
-    milliseconds objective{0};
+    milliseconds latencyObjective{0};
     std::uint32_t rank = 0; ///< Priority; 0 is the highest.
     std::uint32_t maxRunners = 1; ///< Maximum number of runners a request may be sent to.
     /// Traffic is split over these by weight. If empty, requests are refused.
     std::vector<weighted_service> services;
     /// The configured host or path prefix can't be parsed. A request that matches no other route
     /// may belong to this one.
-    bool isUnplaced = false;
-    bool isAnonymous = false; ///< Callers need no API key.
+    bool hasInvalidMatch = false;
+    bool allowsAnonymous = false; ///< Callers need no API key.
 
     bool operator==(const route &) const = default;
 };
@@ -82,14 +82,14 @@
 };
 
 /// Size limits and timeouts for what callers send.
-struct caller_bounds
+struct caller_request_limits
 {
     std::size_t headerBytes = 0;
     std::size_t bodyBytes = 0;
-    milliseconds headerTime{0}; ///< Maximum time to receive the request header.
-    milliseconds idleTime{0}; ///< Connections idle for less than this are kept open.
+    milliseconds headerTimeout{0}; ///< Maximum time to receive the request header.
+    milliseconds idleTimeout{0}; ///< Connections idle for less than this are kept open.
 
-    bool operator==(const caller_bounds &) const = default;
+    bool operator==(const caller_request_limits &) const = default;
 };
 
 /// One version of the operators' routing configuration. Immutable; a new version replaces it.
@@ -98,11 +98,11 @@
     std::uint64_t version = 0;
     std::vector<route> routes;
     std::vector<service> services;
-    caller_bounds bounds;
+    caller_request_limits callerLimits;
     bool needsKeys = false; ///< Callers must present the API key of a workspace.
     std::vector<poplarspool::workspaces::workspace> workspaces;
     /// A workspace or one of its keys can't be parsed, so an unknown key may still be valid.
-    bool hasUnreadKeys = false;
+    bool hasUnreadableKeys = false;
 
     bool operator==(const route_table &) const = default;
 };
@@ -121,7 +121,7 @@
     runner_id id;
     /// Start time in Unix milliseconds; identifies the incarnation. A runner that restarts under
     /// the same id has none of the state of its previous incarnation. 0 if not reported.
-    std::uint64_t bornMs = 0;
+    std::uint64_t startedAtMs = 0;
     /// Sequence number of the write that produced this entry, counted from the runner's start. 0 if
     /// not reported.
     std::uint64_t writes = 0;
@@ -135,14 +135,14 @@
     bool isSpot = false;
     /// End of the grace period of a runner that is no longer listed but may come back. It gets no
     /// requests from then on.
-    mono_time keptUntil = mono_time::max();
+    mono_time retainedUntil = mono_time::max();
 
     bool operator==(const runner &) const = default;
 };
 
 /// @returns Whether two entries of a runner are equal apart from the sequence number of their
 /// write.
-bool saysTheSame(const runner &one, runner other);
+bool equalExceptWrites(const runner &one, runner other);
 
 using runner_map = std::map<runner_id, std::shared_ptr<const runner>>;
 
@@ -162,12 +162,12 @@
     bool operator==(const catalogue &) const = default;
 };
 
-using catalogue_hub = published<catalogue>;
+using catalogue_publisher = published<catalogue>;
 
 /// Picks a service of the route for a random number, in proportion to the weights.
 /// @param draw Uniformly distributed over all values.
 /// @returns An invalid id if all weights are 0.
-service_id drawService(const route &chosen, std::uint64_t draw);
+service_id pickServiceByWeight(const route &chosen, std::uint64_t draw);
 
 /// @returns Null if the table has no such service.
 const service *findService(const route_table &table, const service_id &id);
--- a/include/poplarspool/gateway/catalogue_keeper.h
+++ b/include/poplarspool/gateway/catalogue_updater.h
@@ -3,7 +3,7 @@
 #include "poplarspool/base/journal.h"
 #include "poplarspool/base/result.h"
 #include "poplarspool/gateway/catalogue.h"
-#include "poplarspool/gateway/copied_entries.h"
+#include "poplarspool/gateway/rollback_filter.h"
 
 #include <optional>
 #include <set>
@@ -34,13 +34,13 @@
 
 /// Applies updates from the store to the catalogue. Routes and runners may be updated from two
 /// different threads; the updates of each must arrive in the store's order.
-class catalogue_keeper
+class catalogue_updater
 {
 public:
     /// @param settleTime Maximum delay of updates after the store, or the network path to it, has
     /// recovered.
-    catalogue_keeper(catalogue_hub &publisher, milliseconds settleTime, clock_source clock,
-                     journal &events);
+    catalogue_updater(catalogue_publisher &publisher, milliseconds settleTime, clock_source clock,
+                      journal &events);
 
     // To be called from the thread that watches the routes.
 
@@ -58,28 +58,31 @@
     void setRunners(const std::vector<runner> &listed);
     /// Applies changes, oldest first, atomically: requests see all of them or none. Applying them
     /// again together with later changes gives the same list.
-    void takeChanges(const std::vector<runner_change> &changes);
+    void applyChanges(const std::vector<runner_change> &changes);
     /// Records that the store confirmed the list of runners.
     /// @param at When the query was sent, or later.
     /// @param version Store version up to which all changes have been applied.
     void confirmRunners(mono_time at, store_version version);
     /// Records that a call to the store failed.
     /// @param askedAt When the call was sent; the store may have recovered any time after that.
-    void noteStoreLost(mono_time askedAt);
+    void recordStoreFailure(mono_time askedAt);
     /// Records that the store answered a call.
-    void noteStoreAnswer();
+    void recordStoreAnswer();
     /// Records that the store was restored from an older snapshot. The next list of runners is
     /// taken to be from that snapshot.
     /// @param lastSeenAt When the store was last known not to have been rolled back.
-    void noteOlderCopy(mono_time lastSeenAt);
+    void recordStoreRollback(mono_time lastSeenAt);
     /// @returns Markers of the last store rollback, for instances that start now.
-    const std::vector<entry_mark> &copyMarks() const { return rollbackFilter.marks(); }
+    const std::vector<outdated_entry_marker> &outdatedMarkers() const
+    {
+        return rollbackFilter.markers();
+    }
     /// Stops using runners whose entries other instances have marked as outdated. Has no effect if
     /// this instance has observed a store rollback itself.
-    void doubt(const std::vector<entry_mark> &received);
+    void applyOutdatedMarkers(const std::vector<outdated_entry_marker> &received);
     /// Removes runners whose grace period is over, and accepts entries of an older snapshot that
     /// are still listed after a timeout. To be called after each answer of the store.
-    void settle();
+    void applyTimeouts();
 
 private:
     bool isInGracePeriod() const;
@@ -88,7 +91,7 @@
     void handleRemoval(catalogue &next, const runner_id &id);
     void removeRunner(catalogue &next, const runner_id &id);
 
-    catalogue_hub &publisher;
+    catalogue_publisher &publisher;
     const milliseconds settleTime;
     const clock_source clock;
     journal &events;
@@ -97,7 +100,7 @@
     mono_time recoveredAt{}; ///< When the store last recovered.
     mono_time graceEndsAt{}; ///< End of the grace period that began at `recoveredAt`.
     std::set<runner_id> missing; ///< No longer listed, but in their grace period.
-    copied_entries rollbackFilter;
+    rollback_filter rollbackFilter;
     bool isSnapshotNext = false; ///< The next list is from an older snapshot.
     bool hasSeenRollback = false; ///< This instance has observed a rollback itself.
 };
--- a/include/poplarspool/gateway/suspects.h
+++ b/include/poplarspool/gateway/crash_records.h
@@ -14,50 +14,50 @@
 namespace poplarspool::gateway {
 
 /// An incarnation of a runner that has ended.
-struct ended_life
+struct ended_incarnation
 {
-    std::uint64_t life = 0; ///< incarnationKeyOf() the runner.
-    std::int64_t endedMs = 0; ///< Unix time in ms, by the clock of the observing instance.
+    std::uint64_t incarnationKey = 0; ///< incarnationKeyOf() the runner.
+    std::int64_t endedAtMs = 0; ///< Unix time in ms, by the clock of the observing instance.
 
-    bool operator==(const ended_life &) const = default;
+    bool operator==(const ended_incarnation &) const = default;
 };
 
 /// @returns A key of one incarnation of a runner; the same on all instances.
-std::uint64_t lifeKeyOf(const runner &target);
+std::uint64_t incarnationKeyOf(const runner &target);
 
 /// The incarnations of runners that ended while they executed a request. A set: an end that is
 /// received twice, or observed by two instances, counts once.
-struct suspect
+struct crash_record
 {
     std::uint64_t digest = 0; ///< Digest of the request.
-    /// Sorted by key, without duplicates; at most config::maxSuspectLives.
-    std::vector<ended_life> lives;
+    /// Sorted by key, without duplicates; at most config::maxCrashIncarnations.
+    std::vector<ended_incarnation> incarnations;
     /// When the request last completed, in Unix ms; ends up to then don't count.
-    std::int64_t servedMs = 0;
+    std::int64_t servedAtMs = 0;
 
-    bool operator==(const suspect &) const = default;
+    bool operator==(const crash_record &) const = default;
 };
 
 /// @returns The union of both records; commutative and idempotent.
 /// @attention Both must have the same digest.
-suspect joined(const suspect &a, const suspect &b);
+crash_record merged(const crash_record &a, const crash_record &b);
 
 /// The records as persisted in the store, so that they survive a restart of all instances.
-struct suspect_list
+struct crash_record_list
 {
-    std::vector<suspect> suspects;
+    std::vector<crash_record> records;
     store_version version; ///< Version of the stored object; revision 0 if it doesn't exist yet.
 
-    bool operator==(const suspect_list &) const = default;
+    bool operator==(const crash_record_list &) const = default;
 };
 
 /// Access to the crash records in the store.
-struct suspect_store
+struct crash_record_store
 {
-    std::function<result<suspect_list>()> read;
+    std::function<result<crash_record_list>()> read;
     /// Replaces the list if the store has version `next.version`; creates it if that revision is 0.
     /// @returns Conflict if the store has another version.
-    std::function<result<unit>(const suspect_list &next)> write;
+    std::function<result<unit>(const crash_record_list &next)> write;
 };
 
 } // namespace poplarspool::gateway
--- a/include/poplarspool/gateway/dialect.h
+++ b/include/poplarspool/gateway/dialect.h
@@ -23,7 +23,7 @@
 /// An order to an engine to change its stage.
 struct engine_order
 {
-    engine_stage wanted = engine_stage::None;
+    engine_stage requestedStage = engine_stage::None;
     instance_id holder; ///< Instance that sends the order: the lease holder.
     std::uint64_t fence = 0; ///< Fencing token of the holder's lease.
     std::uint64_t ordersTaken = 0; ///< Valid only while the engine has accepted exactly this many.
@@ -40,7 +40,7 @@
     std::string timeLimitMs; ///< Rewritten with the time left.
     std::string tokenCount; ///< "PROMPT,OUTPUT"; OUTPUT is a maximum.
     std::string promptParts; ///< "ID:TOKENS,…", in the order of the prompt.
-    std::string lastEvent; ///< Last event received; the stream resumes after it.
+    std::string lastEventId; ///< Last event received; the stream resumes after it.
 
     // The header in which callers send a workspace's key, and the scheme before the key. Neither
     // is passed on to runners.
@@ -57,20 +57,20 @@
     std::string prefillStage; ///< The value of `stage` that requests prefill only.
     /// Headers that are dropped from callers' requests: a caller that sets one would act in the
     /// gateway's name.
-    std::vector<std::string> reserved;
+    std::vector<std::string> reservedHeaders;
 
     // Headers of runners' replies.
     std::string seal; ///< Set on each reply that the runner generated itself.
     std::string notRun; ///< The runner refused the request and has not run it.
 
     /// @returns The handle to the KV cache that an engine keeps, from its reply to a prefill.
-    std::function<std::optional<std::string>(std::string_view body)> readHandle;
+    std::function<std::optional<std::string>(std::string_view body)> parseHandle;
     /// @returns The request that frees a handle that no engine will take over.
-    std::function<http_request(const std::string &handle)> freeHandle;
+    std::function<http_request(const std::string &handle)> freeHandleRequest;
     /// @returns The request for an engine's report.
-    std::function<http_request()> askReport;
-    std::function<std::optional<engine_report>(std::string_view body)> readReport;
-    std::function<http_request(const engine_order &order)> orderStage;
+    std::function<http_request()> reportRequest;
+    std::function<std::optional<engine_report>(std::string_view body)> parseReport;
+    std::function<http_request(const engine_order &order)> stageOrderRequest;
 };
 
 } // namespace poplarspool::gateway
--- a/include/poplarspool/gateway/gateway.h
+++ b/include/poplarspool/gateway/gateway.h
@@ -3,13 +3,13 @@
 #include "poplarspool/base/journal.h"
 #include "poplarspool/base/metrics.h"
 #include "poplarspool/duties/lease.h"
-#include "poplarspool/duties/usage_keeper.h"
+#include "poplarspool/duties/usage_reporter.h"
 #include "poplarspool/gateway/catalogue.h"
-#include "poplarspool/gateway/catalogue_keeper.h"
+#include "poplarspool/gateway/catalogue_updater.h"
+#include "poplarspool/gateway/crash_records.h"
 #include "poplarspool/gateway/dialect.h"
 #include "poplarspool/gateway/fleet_sink.h"
 #include "poplarspool/gateway/gateway_settings.h"
-#include "poplarspool/gateway/suspects.h"
 
 #include <memory>
 #include <string>
@@ -24,9 +24,9 @@
     endpoint peerAddress; ///< Gossip.
     endpoint loadAddress; ///< Load updates.
     zone_id zone;
-    endpoint newsAddress; ///< Store updates; invalid if the instance receives none.
+    endpoint updateAddress; ///< Store updates; invalid if the instance receives none.
     /// Runners that it knew to have left at the time of a store rollback.
-    std::vector<entry_mark> outdated;
+    std::vector<outdated_entry_marker> outdated;
 
     bool operator==(const listed_gateway &) const = default;
 };
@@ -34,11 +34,11 @@
 /// Services of the platform that a gateway uses.
 struct platform_links
 {
-    duties::lease_store stages; ///< For the right to order engines.
-    suspect_store suspects; ///< Store of the crash records.
-    duties::lease_store usage; ///< For the right to report usage.
+    duties::lease_store stageLeases; ///< For the right to order engines.
+    crash_record_store crashRecords; ///< Store of the crash records.
+    duties::lease_store usageLeases; ///< For the right to report usage.
     duties::usage_sink usageSink;
-    duties::lease_store fleet; ///< For the right to order runners.
+    duties::lease_store fleetLeases; ///< For the right to order runners.
     fleet_sink fleetSink;
 };
 
@@ -55,12 +55,12 @@
     /// Binds the callers' address and starts the communication with other instances.
     result<unit> start();
 
-    catalogue_keeper &keeper();
+    catalogue_updater &catalogueUpdater();
     /// Sets the instances that the store lists. They are contacted until they answer.
-    void setListed(const std::vector<listed_gateway> &listed);
+    void setInstances(const std::vector<listed_gateway> &listed);
 
     /// Called after a store rollback.
-    void noteOlderCopy();
+    void recordStoreRollback();
 
     /// @returns Whether callers may be sent here: routes and runners are known, and the instance
     ///          is not leaving.
--- a/include/poplarspool/gateway/gateway_settings.h
+++ b/include/poplarspool/gateway/gateway_settings.h
@@ -24,7 +24,7 @@
     endpoint peerAddress; ///< `peer.address`: gossip between instances.
     endpoint loadAddress; ///< `peer.load_address`: load updates between instances.
     /// `peer.share_store_news`: otherwise each instance watches the store itself.
-    bool sharesStoreNews = false;
+    bool sharesStoreUpdates = false;
     endpoint metricsAddress; ///< `metrics.address`
     endpoint storeAddress; ///< `store.address`
     /// `store.settle_ms`: time for which updates may be late after the store or the connection to
@@ -43,7 +43,7 @@
     double usageWindowSeconds = 5; ///< `duties.usage_window_seconds`: period of one report.
     double usageLateSeconds = 10; ///< `duties.usage_late_seconds`: after the window's end.
     /// `scaling.spot`: spot runners replace regular ones; if false, none are ordered.
-    bool ordersSpot = true;
+    bool usesSpotRunners = true;
     /// `workspaces.strict_revoke`: without a confirmation from the store for
     /// `workspaces.revoke_ms`, all keys are rejected; if false, the last known keys stay valid.
     bool isRevokeStrict = false;
@@ -56,9 +56,9 @@
 
 /// @returns Where instances exchange store updates: the port after peerAddress's. Invalid if they
 ///          don't.
-inline endpoint newsAddressOf(const gateway_settings &settings)
+inline endpoint updateAddressOf(const gateway_settings &settings)
 {
-    if (!settings.sharesStoreNews || !settings.peerAddress.isValid())
+    if (!settings.sharesStoreUpdates || !settings.peerAddress.isValid())
         return {};
     endpoint made = settings.peerAddress;
     ++made.port;
@@ -94,6 +94,6 @@
 
 /// @returns The incarnation of an instance started now. It grows with each start, unless the wall
 ///          clock is set back in between.
-incarnation lifeOf(const clock_source &clock);
+incarnation_number incarnationOf(const clock_source &clock);
 
 } // namespace poplarspool::gateway
--- a/include/poplarspool/gateway/limits.h
+++ b/include/poplarspool/gateway/limits.h
@@ -28,14 +28,14 @@
 /// fast by a factor of 5 is corrected after 41 prompts, one that is too slow by the same factor
 /// after 162.
 inline constexpr double paceStep = 0.01;
-inline constexpr double onTimeOdds = 4;
+inline constexpr double slowPromptWeight = 4;
 /// Expected prefill time from which a prompt updates the pace; a shorter one updates the time to
 /// the first token.
-inline constexpr double tellingReadMs = 40;
+inline constexpr double minPaceSampleMs = 40;
 /// Bounds of both, against invalid updates.
-inline constexpr double mostPaceScale = 20;
-inline constexpr double leastFirstMs = 1;
-inline constexpr double mostFirstMs = 500;
+inline constexpr double maxPaceScale = 20;
+inline constexpr double minFirstTokenMs = 1;
+inline constexpr double maxFirstTokenMs = 500;
 /// Slowdown of an engine's step per running request. The data sheets give 0.097 ms per request and
 /// step; a request takes several tens of steps between its first and last event.
 inline constexpr double decodeCostMsPerRequest = 1.5;
@@ -43,52 +43,52 @@
 /// caller's time. Each has a price, which is small compared with a late answer.
 inline constexpr double engineCrossZoneMs = 3;
 inline constexpr double kvCopyCostMs = 20;
-inline constexpr double handOverCostMs = 15;
+inline constexpr double prefillHandoffCostMs = 15;
 /// Cost of prefilling uncached shared parts on an engine other than the one that all instances
 /// choose for them.
-inline constexpr double coldElsewhereMs = 100;
+inline constexpr double coldCachePenaltyMs = 100;
 /// Prompts shorter than this are prefilled where they run: the handoff would take as long.
-inline constexpr std::uint32_t handOverLeastTokens = 400;
+inline constexpr std::uint32_t prefillHandoffMinTokens = 400;
 /// Cost of crossing zones for plain services, as a share of one request's time.
 inline constexpr double serviceCrossZoneCost = 0.2;
 /// Engines of a stage that are sampled for one request, besides the preferred engine of its shared
 /// parts.
-inline constexpr std::ptrdiff_t drawnEngines = 4;
+inline constexpr std::ptrdiff_t sampledEngines = 4;
 /// Random cost that breaks ties; too small to outweigh any other cost.
 inline constexpr double tieBreakCost = 0.05;
 /// Share of a service's runners that stay eligible however many have failed recently: a common
 /// cause, such as packet loss on this instance's link, must not send all requests to the remaining
 /// few.
-inline constexpr double leastOpenShare = 0.5;
+inline constexpr double minEligibleShare = 0.5;
 /// Ejection time of a runner after its first failure in a row, and the maximum. A crashed runner
 /// is back after some seconds under a new id, so a longer ejection would gain nothing.
-inline constexpr std::chrono::milliseconds setAsideFirst = 1500ms;
-inline constexpr std::chrono::milliseconds setAsideMost = 4s;
+inline constexpr std::chrono::milliseconds initialEjectionTime = 1500ms;
+inline constexpr std::chrono::milliseconds maxEjectionTime = 4s;
 /// Time for which a runner's entry is ignored after the runner has denied it, unless the entry
 /// changes. The next entry is written within 2 s and arrives within another 2 s.
 inline constexpr std::chrono::milliseconds misdirectedTime = 4s;
 /// Time for which a runner that refused a request as full is skipped: the duration of a few
 /// requests.
-inline constexpr std::chrono::milliseconds refusedPause = 60ms;
+inline constexpr std::chrono::milliseconds refusalBackoff = 60ms;
 /// Number of recent sends by which a runner is judged, and the share and the minimum count of them
 /// that must have failed to eject it. The share lies above a service's usual failure rate (0.14
 /// for one of the users).
-inline constexpr std::size_t judgedSends = 10;
-inline constexpr double failingShare = 0.4;
-inline constexpr std::size_t leastFailures = 3;
+inline constexpr std::size_t outcomeWindowSize = 10;
+inline constexpr double ejectionFailureShare = 0.4;
+inline constexpr std::size_t minFailuresToEject = 3;
 /// Time after which a runner's slowness is discarded, so that the runner is tried again.
-inline constexpr std::chrono::milliseconds slownessMemory = 3s;
+inline constexpr std::chrono::milliseconds slownessExpiry = 3s;
 /// Ratio to its siblings' time from which a runner counts as slow, and the maximum ratio.
 inline constexpr double slowRatio = 1.8;
-inline constexpr double mostSlowness = 20;
+inline constexpr double maxSlowness = 20;
 /// Times below this are not compared: they consist of overhead.
-inline constexpr double leastUsualStartMs = 10;
+inline constexpr double minMedianStartMs = 10;
 /// Priorities at engines, 0 to 9: prompts that were prefilled elsewhere and only have to run,
 /// urgent requests (plus their rank), and requests that are late anyway (plus their rank).
-inline constexpr std::uint32_t readPriority = 0;
+inline constexpr std::uint32_t prefilledPriority = 0;
 inline constexpr std::uint32_t urgentPriority = 1;
 inline constexpr std::uint32_t laterPriority = 6;
-inline constexpr std::uint32_t mostRank = 3;
+inline constexpr std::uint32_t maxRank = 3;
 /// A request is urgent if it is expected to start within this share of the time to its objective.
 inline constexpr double urgentShare = 0.9;
 /// Requests that can't be on time are sent to an engine only if less than this share of its batch
@@ -100,47 +100,47 @@
 /// number of their intervals for which it stays valid, and the maximum interval. In a large fleet,
 /// instances of other zones send every 2.5 s; if their updates expired in between, their load
 /// would seem to come and go.
-inline constexpr std::chrono::milliseconds loadNewsMemory = 2s;
-inline constexpr int silentIntervals = 2;
-inline constexpr std::chrono::milliseconds loadNewsIntervalMost = 4s;
+inline constexpr std::chrono::milliseconds loadUpdateExpiry = 2s;
+inline constexpr int maxSilentIntervals = 2;
+inline constexpr std::chrono::milliseconds maxLoadUpdateInterval = 4s;
 /// Number of times that each update is sent, against lost datagrams.
-inline constexpr std::uint32_t newsRepeats = 2;
+inline constexpr std::uint32_t updateRepeats = 2;
 /// Updates about cached parts that wait to be sent: some seconds' worth at 100 requests per
 /// second.
-inline constexpr std::size_t maxWaitingNews = 1000;
+inline constexpr std::size_t maxPendingUpdates = 1000;
 /// Prompt parts remembered per runner; beyond that, the older half is dropped.
 inline constexpr std::size_t maxCachedParts = 20000;
 /// Share of an engine's KV memory that caches parts; the rest holds running requests.
 inline constexpr double cacheShare = 0.9;
 /// Share of the fleet's retry budget that is used: instances learn late how many members share it.
-inline constexpr double retryBudgetUse = 0.75;
+inline constexpr double retryBudgetUsableShare = 0.75;
 /// Maximum sends of one request that arrived at a runner, refused ones included, and maximum
 /// tries, including those that reached no runner.
 inline constexpr std::uint32_t maxArrivals = 4;
-inline constexpr std::uint32_t maxSends = 10;
+inline constexpr std::uint32_t maxRequestTries = 10;
 /// Time-out for connecting to a runner: 40 round trips, and less than TCP's first retransmission,
 /// after which another runner is the better choice.
-inline constexpr std::chrono::milliseconds runnerConnectTime = 150ms;
+inline constexpr std::chrono::milliseconds runnerConnectTimeout = 150ms;
 /// Silence after which a connection to a runner counts as lost.
-inline constexpr std::chrono::seconds runnerSilence = 1s;
+inline constexpr std::chrono::seconds runnerSilenceTimeout = 1s;
 /// Idle connections kept per runner and instance, and the maximum time for which one is kept.
 inline constexpr std::size_t maxIdleRunnerConnections = 8;
 inline constexpr std::chrono::milliseconds runnerIdleTime = 2500ms;
 /// Maximum size of a plain answer that is buffered whole before its first byte is passed on, so
 /// that the request can be retried if the runner breaks off.
-inline constexpr std::size_t maxHeldAnswerBytes = 512 * 1024;
+inline constexpr std::size_t maxBufferedReplyBytes = 512 * 1024;
 /// Replies to other requests that are skipped on one connection before it is closed.
 inline constexpr std::uint32_t maxForeignReplies = 2;
 /// Time beyond a request's limit for which the runner's own final reply is awaited.
-inline constexpr std::chrono::milliseconds lastWordTime = 60ms;
+inline constexpr std::chrono::milliseconds finalReplyGraceTime = 60ms;
 /// Time-out for freeing KV cache that no engine takes over.
-inline constexpr std::chrono::milliseconds freeHandleTime = 100ms;
+inline constexpr std::chrono::milliseconds freeHandleTimeout = 100ms;
 /// No send is started with less time left than this.
-inline constexpr std::chrono::milliseconds leastSendTime = 10ms;
+inline constexpr std::chrono::milliseconds minSendTime = 10ms;
 /// Default Retry-After of a refusal.
 inline constexpr std::chrono::milliseconds refusedRetryAfter = 300ms;
 /// Maximum Retry-After: bursts last for some seconds, and callers do not wait much longer.
-inline constexpr std::chrono::milliseconds refusedRetryAfterMost = 2s;
+inline constexpr std::chrono::milliseconds maxRefusedRetryAfter = 2s;
 /// Retry-After of an instance that has no configuration yet: it requests it at this interval.
 inline constexpr std::chrono::milliseconds startingRetryAfter = 300ms;
 /// Maximum age of the last confirmation of the routes at which an unknown route is reported as not
@@ -156,7 +156,7 @@
 /// gave less.
 inline constexpr double decodeShareLargeBatch = 0.2;
 inline constexpr double decodeShareSmallBatch = 0.4;
-inline constexpr std::uint32_t decodersAtLeast = 2;
+inline constexpr std::uint32_t minDecoders = 2;
 inline constexpr std::uint32_t largeBatch = 64;
 /// Running requests per engine, as a share of its batch, from which more decode engines are
 /// needed; beyond it, requests queue. With a threshold of 45 of 128, too few engines were left for
@@ -164,165 +164,165 @@
 inline constexpr double decodeFillShare = 0.95;
 /// A decode engine is returned to prefill if the others are filled up to this share of the
 /// threshold.
-inline constexpr double decodeGiveBackShare = 0.7;
+inline constexpr double decodeReturnShare = 0.7;
 /// Share of the engines that always prefill.
-inline constexpr double prefillShareLeast = 0.3;
+inline constexpr double minPrefillShare = 0.3;
 /// Services with fewer engines than this keep their stages: each change takes one engine away.
-inline constexpr std::size_t stagedEnginesAtLeast = 4;
+inline constexpr std::size_t minStagedEngines = 4;
 /// Time over which the running requests are averaged: longer than the first second of a burst,
 /// shorter than a change of stage.
 inline constexpr double runningMeanSeconds = 2;
 /// Interval of the stage planner, and the time for which the number of runners must have been
 /// stable before it acts: the runners of a fleet register within some seconds of its start.
-inline constexpr std::chrono::milliseconds stageLookTime = 500ms;
+inline constexpr std::chrono::milliseconds stageInterval = 500ms;
 inline constexpr std::chrono::milliseconds stageSettleTime = 1000ms;
 /// Time for which another split must have been needed before it is ordered, unless fewer requests
 /// run than given below: a crashed engine is back after 2 to 4 s.
-inline constexpr std::chrono::milliseconds stagePatience = 5s;
+inline constexpr std::chrono::milliseconds stageChangeDelay = 5s;
 /// The same for returning engines to prefill: a burst of up to 15 s may repeat.
-inline constexpr std::chrono::milliseconds stageGiveBackPatience = 15s;
+inline constexpr std::chrono::milliseconds stageReturnDelay = 15s;
 /// One engine in this many may change at a time while requests run; each is away for 3 s. Without
 /// this bound, 19 of 140 changed at once, and 434 of the 3,900 requests of the next seconds were
 /// refused.
 inline constexpr std::size_t enginesPerChange = 32;
-inline constexpr double restRunning = 1;
+inline constexpr double idleRunningThreshold = 1;
 /// Time after which an order that has shown no effect counts as lost: engines take 3 s plus the
 /// time of the requests that they run.
-inline constexpr std::chrono::milliseconds stageOrderTime = 8s;
+inline constexpr std::chrono::milliseconds stageOrderTimeout = 8s;
 /// Time-out of one report or order call; engines answer these at once.
-inline constexpr std::chrono::milliseconds stageCallTime = 400ms;
+inline constexpr std::chrono::milliseconds stageCallTimeout = 400ms;
 
 /// Time-outs of calls to the platform's store: connect, read, write. A slow store takes 60 times
 /// its usual 4 ms.
-inline constexpr std::chrono::milliseconds storeConnectTime = 500ms;
-inline constexpr std::chrono::milliseconds storeReadTime = 1000ms;
-inline constexpr std::chrono::milliseconds storeWriteTime = 1500ms;
+inline constexpr std::chrono::milliseconds storeConnectTimeout = 500ms;
+inline constexpr std::chrono::milliseconds storeReadTimeout = 1000ms;
+inline constexpr std::chrono::milliseconds storeWriteTimeout = 1500ms;
 inline constexpr std::size_t maxIdleStoreConnections = 2;
 /// Number of runner incarnations that must end under a request before it is quarantined; the first
 /// quarantine time; the factor by which each further incarnation extends it; and the maximum. The
 /// request is tried three times in the first day, and an innocent one is released soon.
-inline constexpr std::size_t quarantineLives = 3;
-inline constexpr std::chrono::milliseconds quarantineTimeFirst = 10min;
+inline constexpr std::size_t quarantineIncarnations = 3;
+inline constexpr std::chrono::milliseconds initialQuarantineTime = 10min;
 inline constexpr int quarantineGrowth = 6;
-inline constexpr std::chrono::milliseconds quarantineTimeMost = 48h;
+inline constexpr std::chrono::milliseconds maxQuarantineTime = 48h;
 /// Number of ended incarnations from which a request is not retried on another runner.
-inline constexpr std::size_t retryLives = 2;
+inline constexpr std::size_t noRetryIncarnations = 2;
 /// Crash records kept in memory, and incarnations per record.
-inline constexpr std::size_t maxSuspects = 1024;
-inline constexpr std::size_t maxSuspectLives = 8;
+inline constexpr std::size_t maxCrashRecords = 1024;
+inline constexpr std::size_t maxCrashIncarnations = 8;
 /// Number of incarnations from which a crash record is stored, and the maximum number of stored
 /// records.
-inline constexpr std::size_t storedLives = 2;
-inline constexpr std::size_t maxStoredSuspects = 256;
+inline constexpr std::size_t minStoredIncarnations = 2;
+inline constexpr std::size_t maxStoredCrashRecords = 256;
 /// Time-out for checking that no process listens at an address: about ten round trips.
-inline constexpr std::chrono::milliseconds endedCheckTime = 60ms;
+inline constexpr std::chrono::milliseconds endedCheckTimeout = 60ms;
 /// Interval of the comparison with other instances' quarantines; time over which updates are
 /// batched; and time for which further reports of the same end are merged into its rumor.
-inline constexpr std::chrono::milliseconds suspectLookTime = 500ms;
-inline constexpr std::chrono::milliseconds suspectGatherTime = 50ms;
-inline constexpr std::chrono::milliseconds suspectReportTime = 30s;
+inline constexpr std::chrono::milliseconds quarantineInterval = 500ms;
+inline constexpr std::chrono::milliseconds crashUpdateBatchTime = 50ms;
+inline constexpr std::chrono::milliseconds crashRumorMergeTime = 30s;
 /// Time for which a broken answer is rechecked if its runner still seemed to be running.
-inline constexpr std::chrono::milliseconds suspectDoubtTime = 3s;
-inline constexpr std::size_t maxSuspectDoubts = 256;
+inline constexpr std::chrono::milliseconds unconfirmedEndTime = 3s;
+inline constexpr std::size_t maxUnconfirmedEnds = 256;
 /// Bits of the quarantine digest in a heartbeat: heartbeats must stay short.
-inline constexpr std::uint32_t suspectMarkBits = 24;
+inline constexpr std::uint32_t quarantineMarkBits = 24;
 /// Time for which another instance's digest must have differed: rumors may still be in transit.
-inline constexpr std::chrono::milliseconds suspectDifferTime = 1500ms;
+inline constexpr std::chrono::milliseconds quarantineMarkDifferTime = 1500ms;
 /// Delay of an iteration from which the process counts as having been suspended.
-inline constexpr std::chrono::milliseconds suspectSuspended = 1s;
+inline constexpr std::chrono::milliseconds quarantineSuspendedTime = 1s;
 /// Time without a confirmation from the store after which the instance counts as having been cut
 /// off; watches wait for less.
-inline constexpr std::chrono::milliseconds suspectCutOff = 6s;
+inline constexpr std::chrono::milliseconds quarantineCutOffTime = 6s;
 /// Pauses between reads of the store for crash records that this instance lacks: initial and
 /// maximum.
-inline constexpr std::chrono::milliseconds suspectReadPauseFirst = 1s;
-inline constexpr std::chrono::milliseconds suspectReadPauseMost = 16s;
+inline constexpr std::chrono::milliseconds initialCrashReadPause = 1s;
+inline constexpr std::chrono::milliseconds maxCrashReadPause = 16s;
 /// The maximum if the store has not been read since the start or since a failed write.
-inline constexpr std::chrono::milliseconds suspectFirstReadPauseMost = 2s;
+inline constexpr std::chrono::milliseconds maxFirstCrashReadPause = 2s;
 
 /// Pages of one list: with 500 objects or 1 MB each, more than a process's memory holds.
-inline constexpr std::size_t storeListPagesMost = 256;
+inline constexpr std::size_t maxStoreListPages = 256;
 /// Bounds of the wait of one watch (watchTimeFor()): each call has a price.
-inline constexpr std::chrono::milliseconds gatewayWatchTimeLeast = 500ms;
-inline constexpr std::chrono::milliseconds gatewayWatchTimeMost = 10s;
+inline constexpr std::chrono::milliseconds minGatewayWatchTime = 500ms;
+inline constexpr std::chrono::milliseconds maxGatewayWatchTime = 10s;
 /// Time from a watch that is given up to the arrival of the last request that was placed without
 /// its changes: a pause of 100 ms, an answer of a slow store (360 ms), and 150 ms to connect to a
 /// runner.
-inline constexpr std::chrono::milliseconds storeNoticeTime = 700ms;
+inline constexpr std::chrono::milliseconds watchLossLag = 700ms;
 /// Time from the expiry of a confirmation to the arrival of the last request that was placed
 /// without newer changes: an answer of a slow store (360 ms), 150 ms to connect to a runner, and
 /// up to 90 ms of processing.
-inline constexpr std::chrono::milliseconds untoldNoticeTime = 600ms;
+inline constexpr std::chrono::milliseconds confirmationLossLag = 600ms;
 /// With a shorter time, the relays would query the store more than twice per second.
-inline constexpr std::chrono::milliseconds trustTimeLeast = 1300ms;
+inline constexpr std::chrono::milliseconds minTrustTime = 1300ms;
 /// Number of other instances in a zone from which an instance relays store changes to these only.
 /// In smaller zones, most instances would become relays.
-inline constexpr std::size_t enoughNearToTell = 8;
+inline constexpr std::size_t minZonePeersForRelay = 8;
 /// Silence after which a connection to the store counts as lost: the store's host acknowledges
 /// probes also while a watch waits.
-inline constexpr std::chrono::seconds storeSilence = 1s;
+inline constexpr std::chrono::seconds storeSilenceTimeout = 1s;
 /// Wait of the first watch after a failure: changes made in the meantime are returned at once.
 inline constexpr std::chrono::milliseconds storeProbeWatchTime = 50ms;
 /// Minimum interval between watches. A runner that leaves must get no more requests after 2 s.
 inline constexpr std::chrono::milliseconds gatewayWatchGap = 900ms;
 /// The same for a relay: its calls are few, and all instances use their results.
-inline constexpr std::chrono::milliseconds tellersWatchGap = 300ms;
+inline constexpr std::chrono::milliseconds relayWatchGap = 300ms;
 /// Pauses between tries to reach the store: initial and maximum. A change must be in force 2 s
 /// after the store accepted it.
-inline constexpr std::chrono::milliseconds gatewayStorePauseFirst = 50ms;
-inline constexpr std::chrono::milliseconds gatewayStorePauseMost = 400ms;
+inline constexpr std::chrono::milliseconds initialGatewayStorePause = 50ms;
+inline constexpr std::chrono::milliseconds maxGatewayStorePause = 400ms;
 /// Longer times in the operators' configuration are reduced to this: longer than any request.
-inline constexpr std::chrono::milliseconds mostConfiguredTime = 24h;
+inline constexpr std::chrono::milliseconds maxConfiguredTime = 24h;
 /// Maximum time by which an answer that the store held back may be older than its arrival.
 inline constexpr std::chrono::milliseconds storeConfirmDelay = 300ms;
 /// Connections to the auxiliary servers beside the callers' one, and bytes of a request there.
-inline constexpr std::uint32_t maxQuestionConnections = 64;
-inline constexpr std::size_t maxQuestionBytes = 4096;
+inline constexpr std::uint32_t maxAuxiliaryConnections = 64;
+inline constexpr std::size_t maxAuxiliaryRequestBytes = 4096;
 /// Interval of reading the list of instances: after a read that showed a change, and the maximum.
-inline constexpr std::chrono::milliseconds instancesLookTime = 2s;
-inline constexpr std::chrono::milliseconds instancesLookTimeMost = 16s;
+inline constexpr std::chrono::milliseconds instancesInterval = 2s;
+inline constexpr std::chrono::milliseconds maxInstancesInterval = 16s;
 /// After a store rollback: the time over which the instances spread the writes of their own
 /// objects, and the grace period of instances that the snapshot lacks. Stale lists are some
 /// seconds old.
-inline constexpr std::chrono::milliseconds enterSpreadTime = 1000ms;
-inline constexpr std::chrono::milliseconds keepListedTime = 10s;
+inline constexpr std::chrono::milliseconds registrationSpreadTime = 1000ms;
+inline constexpr std::chrono::milliseconds missingInstanceGracePeriod = 10s;
 /// Time without an answer from the store after which entries may have lapsed during an outage, and
 /// the grace period in which the entries of running runners return: about two seconds according to
 /// the platform's documentation.
-inline constexpr std::chrono::milliseconds storeOutageTime = 500ms;
-inline constexpr std::chrono::milliseconds entryReturnTime = 2000ms;
+inline constexpr std::chrono::milliseconds storeOutageThreshold = 500ms;
+inline constexpr std::chrono::milliseconds entryReturnGracePeriod = 2000ms;
 /// Time between choosing a runner whose entry is missing but within its grace period, and the
 /// arrival of the request: 150 ms to connect, and the same for a busy processor.
-inline constexpr std::chrono::milliseconds forgivenMargin = 300ms;
+inline constexpr std::chrono::milliseconds gracePeriodMargin = 300ms;
 /// Maximum age of a snapshot from which the store is expected to be restored; departures are
 /// remembered for as long. Snapshots are some seconds old.
-inline constexpr std::chrono::milliseconds lostWritesTime = 60s;
+inline constexpr std::chrono::milliseconds maxSnapshotAge = 60s;
 /// Time after which an entry restored by a rollback is trusted if it still exists: entries of
 /// ended runners lapse after three of their heartbeats of 1.2 s each.
-inline constexpr std::chrono::milliseconds copyDoubtTime = 10s;
+inline constexpr std::chrono::milliseconds rollbackEntryConfirmTime = 10s;
 /// Outdated entries that an instance lists for starting instances: some kilobytes in the store.
 inline constexpr std::size_t maxEntryMarks = 64;
 /// Time after the store's return in which entries that lapsed during the outage are found missing.
 inline constexpr std::chrono::milliseconds entryLapseTime = 500ms;
 /// Gossip between gateways: interval, and time until a member is suspect. Callers cache an address
 /// for 2 s and lose 1 s on an instance that does not answer.
-inline constexpr std::chrono::milliseconds gatewayGossipTime = 250ms;
+inline constexpr std::chrono::milliseconds gatewayGossipInterval = 250ms;
 inline constexpr std::chrono::milliseconds gatewaySuspectTime = 1000ms;
 /// Time beyond the idle limit for which callers' connections are kept open.
 inline constexpr std::chrono::milliseconds idleMargin = 2s;
 /// Number of instances in a caller's zone from which only these are returned to it: with one, its
 /// loss would leave the caller without an address.
-inline constexpr std::size_t enoughNearAddresses = 2;
+inline constexpr std::size_t minZoneAddresses = 2;
 /// Time before the end of the process by which the last answer must be sent, and time for which
 /// callers that have just received this instance's address are still served.
 inline constexpr std::chrono::milliseconds leaveMargin = 900ms;
-inline constexpr std::chrono::milliseconds lastCallersTime = 500ms;
+inline constexpr std::chrono::milliseconds lateCallerTime = 500ms;
 
 /// Maximum time of a route or limit; longer ones are reduced to it and can be added to any clock's
 /// time.
 inline constexpr std::chrono::milliseconds maxRouteTime = std::chrono::hours(24);
 /// Largest weight of a route after scaling, where a weight is a fraction or exceeds 32 bits.
-inline constexpr double scaledWeight = 1'000'000;
+inline constexpr double maxScaledWeight = 1'000'000;
 /// Refused entries of one configuration that are logged with a line each.
 inline constexpr std::size_t maxRefusedLines = 16;
 
--- a/include/poplarspool/gateway/placing.h
+++ b/include/poplarspool/gateway/placement.h
@@ -18,7 +18,7 @@
 struct engine_pace
 {
     double scale = 1; ///< Factor applied to prefillTimeMs().
-    double firstMs = config::firstTokenMs; ///< From the end of prefill to the first token.
+    double firstTokenMs = config::firstTokenMs; ///< From the end of prefill to the first token.
 
     bool operator==(const engine_pace &) const = default;
 };
@@ -27,17 +27,18 @@
 /// @param expectedMs Expected prefill time of this prompt and all before it, at this pace, without
 ///                   firstTokenMs.
 /// @param tookMs Time to the first token.
-engine_pace learnPace(const engine_pace &pace, double expectedMs, double tookMs);
+engine_pace updatePace(const engine_pace &pace, double expectedMs, double tookMs);
 
 /// Load of one runner at the time of the placement, over all instances.
 struct runner_load
 {
     std::uint32_t open = 0; ///< Requests sent and not ended.
-    std::uint32_t waiting = 0; ///< Of these, urgent ones that have not started.
-    std::uint32_t waitingLater = 0; ///< Of these, late ones that have not started.
-    double readingMs = 0; ///< Time needed for the urgent prompts that are not prefilled yet.
-    double laterMs = 0; ///< The same for the late ones, which all urgent ones overtake.
-    mono_time setAsideUntil{}; ///< It failed recently: other runners are preferred until then.
+    std::uint32_t urgentWaiting = 0; ///< Of these, urgent ones that have not started.
+    std::uint32_t lowPriorityWaiting = 0; ///< Of these, late ones that have not started.
+    double urgentPrefillMs = 0; ///< Time needed for the urgent prompts that are not prefilled yet.
+    double lowPriorityPrefillMs =
+            0; ///< The same for the late ones, which all urgent ones overtake.
+    mono_time ejectedUntil{}; ///< It failed recently: other runners are preferred until then.
     engine_pace pace; ///< Of its service and stage.
     double runMs = 0; ///< Recent mean from a request's first event to its end; 0: unknown.
     double slowness = 1; ///< Duration of its requests relative to its siblings'.
@@ -45,19 +46,20 @@
     bool operator==(const runner_load &) const = default;
 };
 
-struct place_candidate
+struct placement_candidate
 {
     std::shared_ptr<const runner> target;
     runner_load load;
     std::uint32_t cachedTokens = 0; ///< Known cached tokens of this prompt's beginning.
-    std::uint32_t readTokens = 0; ///< Of these, the prefilled ones: other engines can copy them.
+    std::uint32_t copyableTokens =
+            0; ///< Of these, the prefilled ones: other engines can copy them.
     bool isTried = false; ///< By this request, without success.
     bool isMisdirected = false; ///< It has denied its own entry.
 
-    bool operator==(const place_candidate &) const = default;
+    bool operator==(const placement_candidate &) const = default;
 };
 
-struct place_wish
+struct placement_query
 {
     service_id service;
     zone_id zone; ///< Of this instance.
@@ -65,17 +67,18 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t sharedTokens = 0; ///< Tokens of the prompt's parts that other requests share.
     std::uint64_t affinityKey = 0; ///< Of the shared parts; 0: none.
-    bool mayHandOver = true; ///< The prompt may be prefilled on another engine.
+    bool mayHandOff = true; ///< The prompt may be prefilled on another engine.
     bool hasBegun = false; ///< The caller has a part of the answer: too late to refuse.
-    bool isRead = false; ///< Prefilled on another engine: only its KV cache has to be taken over.
-    zone_id readerZone; ///< Of that engine.
+    bool isPrefilled =
+            false; ///< Prefilled on another engine: only its KV cache has to be taken over.
+    zone_id prefillZone; ///< Of that engine.
     double objectiveLeftMs = 0; ///< Time in which it should start.
     /// Time in which it must have ended.
     double timeLeftMs = std::numeric_limits<double>::infinity();
     mono_time now{};
     std::uint64_t draw = 0; ///< Uniformly distributed random bits; break ties.
 
-    bool operator==(const place_wish &) const = default;
+    bool operator==(const placement_query &) const = default;
 };
 
 /// Whether a request can still meet its objective.
@@ -92,8 +95,8 @@
     /// Engine that prefills the prompt first; null: `serving` does.
     std::shared_ptr<const runner> prefill;
     /// The engine that prefills the prompt copies cached parts from this one first; null: no copy.
-    std::shared_ptr<const runner> cacheHolder;
-    double readingMs = 0; ///< Prefill time of the prompt on the engine that prefills it.
+    std::shared_ptr<const runner> cacheSource;
+    double prefillMs = 0; ///< Prefill time of the prompt on the engine that prefills it.
     double aheadMs = 0; ///< Prefill time of the prompts before it on that engine.
     double expectedStartMs = 0; ///< Until the first event.
     double slotWaitMs = 0; ///< Wait for a free slot on `serving`.
@@ -104,22 +107,22 @@
 };
 
 /// No runner can take the request now; it has not run.
-struct no_place
+struct no_placement
 {
     bool areAllTried = false; ///< There are runners, but this request has tried them all.
     /// More requests wait at all runners than can start in time; the caller should come back after
     /// this many milliseconds. 0: another reason.
-    double roomInMs = 0;
+    double retryInMs = 0;
 
-    bool operator==(const no_place &) const = default;
+    bool operator==(const no_placement &) const = default;
 };
 
-std::variant<placement, no_place> choosePlace(const place_wish &query,
-                                              std::span<const place_candidate> candidates);
+std::variant<placement, no_placement>
+choosePlacement(const placement_query &query, std::span<const placement_candidate> candidates);
 
 /// @param cached Tokens at the prompt's beginning that need no prefill.
 /// @returns Prefill time in milliseconds of an otherwise idle engine of that stage.
-double readingTimeMs(engine_stage stage, std::uint32_t promptTokens, std::uint32_t cached);
+double prefillTimeMs(engine_stage stage, std::uint32_t promptTokens, std::uint32_t cached);
 
 /// @returns Milliseconds to move the KV cache of that many tokens between two idle links.
 double transferTimeMs(const engine_traits &traits, std::uint32_t tokens);
--- a/include/poplarspool/gateway/copied_entries.h
+++ b/include/poplarspool/gateway/rollback_filter.h
@@ -9,13 +9,13 @@
 namespace poplarspool::gateway {
 
 /// Marks an entry of a runner, and all earlier entries of that runner, as outdated.
-struct entry_mark
+struct outdated_entry_marker
 {
     runner_id id;
-    std::uint64_t bornMs = 0;
+    std::uint64_t startedAtMs = 0;
     std::uint64_t writes = 0;
 
-    bool operator==(const entry_mark &) const = default;
+    bool operator==(const outdated_entry_marker &) const = default;
 };
 
 /// Detects entries of runners that are outdated because the store was rolled back.
@@ -26,25 +26,25 @@
 /// it again, but only later; until then the state known before the rollback is used. An entry is
 /// accepted once the runner has written it again, or if it is still listed after the entries of
 /// runners that have exited must have expired.
-class copied_entries
+class rollback_filter
 {
 public:
     /// Records that a runner was removed from the list.
-    void noteGone(const runner &entry, mono_time now);
+    void recordRemoval(const runner &entry, mono_time now);
     /// Compares all entries of the restored snapshot with the runners known before the rollback.
-    void setCopy(const runner_map &known, const std::vector<runner> &snapshot, mono_time now);
+    void applySnapshot(const runner_map &known, const std::vector<runner> &snapshot, mono_time now);
     /// Adds markers received from an instance that knows more than the snapshot contains. Each
     /// marker is applied only once.
-    void doubt(const std::vector<entry_mark> &received, mono_time now);
+    void addMarkers(const std::vector<outdated_entry_marker> &received, mono_time now);
     /// @returns Markers of the last snapshot, for instances that start now; empty after a
     ///          timeout.
-    const std::vector<entry_mark> &marks() const { return ownMarkers; }
+    const std::vector<outdated_entry_marker> &markers() const { return ownMarkers; }
     /// @returns Whether the entry is older than what is known of the runner. Forgets the outdated
     /// entry if a newer one is passed.
     bool isOutdated(const runner &entry);
     /// Removes the outdated entries whose timeout has passed.
     /// @returns Those that are still listed; they have to be accepted.
-    std::vector<runner> takeOverdue(mono_time now);
+    std::vector<runner> takeTimedOut(mono_time now);
     /// To be called when the store has removed the entry.
     void forget(const runner_id &id) { outdated.erase(id); }
 
@@ -72,9 +72,9 @@
 
     std::map<runner_id, removed_runner> removed;
     std::map<runner_id, outdated_entry> outdated;
-    std::vector<entry_mark> ownMarkers;
+    std::vector<outdated_entry_marker> ownMarkers;
     mono_time rolledBackAt{};
-    std::map<runner_id, entry_mark> appliedMarkers; ///< Markers that have been applied.
+    std::map<runner_id, outdated_entry_marker> appliedMarkers; ///< Markers that have been applied.
 };
 
 } // namespace poplarspool::gateway
--- a/include/poplarspool/gateway/route_index.h
+++ b/include/poplarspool/gateway/route_index.h
@@ -26,34 +26,34 @@
 };
 
 /// An edge of the prefix tree: one path segment below a node.
-struct path_step
+struct path_segment
 {
-    std::uint32_t from = 0; ///< Number of the parent node.
-    std::string word; ///< The segment, without slashes.
+    std::uint32_t parent = 0; ///< Number of the parent node.
+    std::string text; ///< The segment, without slashes.
 
-    bool operator==(const path_step &) const = default;
+    bool operator==(const path_segment &) const = default;
 };
 
 /// Non-owning variant of path_segment, used for lookups.
-struct path_step_view
+struct path_segment_view
 {
-    std::uint32_t from = 0;
-    std::string_view word;
+    std::uint32_t parent = 0;
+    std::string_view text;
 };
 
-struct path_step_hash
+struct path_segment_hash
 {
     using is_transparent = void;
-    std::size_t operator()(const path_step &step) const;
-    std::size_t operator()(const path_step_view &step) const;
+    std::size_t operator()(const path_segment &step) const;
+    std::size_t operator()(const path_segment_view &step) const;
 };
 
-struct path_step_equal
+struct path_segment_equal
 {
     using is_transparent = void;
-    bool operator()(const path_step &left, const path_step &right) const;
-    bool operator()(const path_step_view &left, const path_step &right) const;
-    bool operator()(const path_step &left, const path_step_view &right) const;
+    bool operator()(const path_segment &left, const path_segment &right) const;
+    bool operator()(const path_segment_view &left, const path_segment &right) const;
+    bool operator()(const path_segment &left, const path_segment_view &right) const;
 };
 
 /// A node of the prefix tree.
@@ -70,7 +70,7 @@
     path_node root; ///< The path `/`.
     /// Indexes of routes whose prefix doesn't begin and end with a slash. Each lookup scans them
     /// all.
-    std::vector<std::uint32_t> odd;
+    std::vector<std::uint32_t> unalignedRoutes;
 
     bool operator==(const host_routes &) const = default;
 };
@@ -79,15 +79,15 @@
 struct route_index
 {
     std::unordered_map<std::string, host_routes, host_hash, host_equal> hosts;
-    std::unordered_map<path_step, path_node, path_step_hash, path_step_equal> steps;
+    std::unordered_map<path_segment, path_node, path_segment_hash, path_segment_equal> segments;
     /// Index of the first route with an invalid host or prefix.
-    std::optional<std::uint32_t> unplaced;
+    std::optional<std::uint32_t> firstInvalidRoute;
     workspaces::key_index keys; ///< Maps each key to the index of its workspace.
 
     bool operator==(const route_index &) const = default;
 };
 
-route_index indexOf(const route_table &table);
+route_index buildRouteIndex(const route_table &table);
 
 /// @param index Index of `table`.
 /// @param host With or without a port.
--- a/include/poplarspool/node/instance.h
+++ b/include/poplarspool/node/instance.h
@@ -16,7 +16,7 @@
     /// Binds all addresses and starts all threads.
     result<unit> start();
     /// Logs that a request to reload the settings is ignored: they are read at start only.
-    void noteReload();
+    void recordReload();
     /// Begins a graceful shutdown and returns at once. The instance is announced as leaving; it
     /// serves for the grace period and until its last open stream has ended.
     void leave();
--- a/include/poplarspool/node/orders.h
+++ b/include/poplarspool/node/orders.h
@@ -4,7 +4,7 @@
 #include "poplarspool/base/ids.h"
 #include "poplarspool/base/journal.h"
 #include "poplarspool/base/metrics.h"
-#include "poplarspool/node/view_hub.h"
+#include "poplarspool/node/view_publisher.h"
 #include "poplarspool/platform/object_store.h"
 #include "poplarspool/platform/weight_store.h"
 #include "poplarspool/policy/plan.h"
@@ -42,11 +42,11 @@
 result<order_record> parseOrderRecord(std::string_view text);
 
 /// What the planner needs from the other components of the instance.
-struct planner_needs
+struct planner_dependencies
 {
     instance_id self;
     std::string deployment;
-    milliseconds lookTime;
+    milliseconds interval;
     /// @returns Demand on a pool over all instances since the previous call for that pool.
     std::function<policy::demand_estimate(const pool_id &)> demand;
     /// @returns Whether every instance has applied that store version, so that none sends work to a
@@ -61,7 +61,7 @@
 class planner
 {
 public:
-    planner(planner_needs dependencies, view_hub &views, platform::object_store &store,
+    planner(planner_dependencies dependencies, view_publisher &views, platform::object_store &store,
             platform::weight_store weights, runner::engine_api engines, clock_source clock,
             metrics_registry &metrics, journal &events);
     ~planner();
--- a/include/poplarspool/node/view_hub.h
+++ b/include/poplarspool/node/view_publisher.h
@@ -9,11 +9,11 @@
 
 /// Publishes views by read-copy-update: readers get the current view without a lock; writers change
 /// a copy, one writer at a time. Version numbers only increase.
-class view_hub
+class view_publisher
 {
 public:
-    view_hub();
-    ~view_hub();
+    view_publisher();
+    ~view_publisher();
 
     policy::view_ptr current() const;
     /// Copies the current view, calls `change` on the copy, and publishes it under the next
--- a/include/poplarspool/operators/config_files.h
+++ b/include/poplarspool/operators/config_files.h
@@ -39,13 +39,12 @@
 
 /// Checks rules against an inventory, for example that each pool named by a rule exists.
 /// @returns The errors, located in the rules file; empty where one of the files is itself invalid.
-std::vector<diagnostic> checkTogether(const std::string &inventoryFile,
-                                      std::string_view inventoryText, const std::string &rulesFile,
-                                      std::string_view rulesText);
+std::vector<diagnostic> crossCheck(const std::string &inventoryFile, std::string_view inventoryText,
+                                   const std::string &rulesFile, std::string_view rulesText);
 
 enum class file_kind { Settings, Gateway, Inventory, Rules };
 
 /// @returns The kind of file with the most known top-level keys in `text`.
-file_kind guessKind(std::string_view text);
+file_kind detectFileKind(std::string_view text);
 
 } // namespace poplarspool::operators
--- a/include/poplarspool/operators/config_store.h
+++ b/include/poplarspool/operators/config_store.h
@@ -34,8 +34,8 @@
     std::string nonce;
     std::string author;
     std::int64_t wallMs = 0;
-    /// Earlier changes, newest first, at most config::headHistory. Distinguishes a change that was
-    /// accepted and has been replaced since from one that was never accepted.
+    /// Earlier changes, newest first, at most config::headHistorySize. Distinguishes a change that
+    /// was accepted and has been replaced since from one that was never accepted.
     std::vector<config_change> earlier;
 
     bool operator==(const config_head &) const = default;
--- a/include/poplarspool/peer/calls.h
+++ b/include/poplarspool/peer/calls.h
@@ -21,7 +21,7 @@
 struct call_identity
 {
     instance_id instance;
-    incarnation life = 0;
+    incarnation_number incarnation = 0;
     std::string key; ///< Secret from which the MAC key is derived.
 };
 
@@ -62,8 +62,8 @@
 
 /// Encodes `request`, sends the call and decodes the reply.
 template <class Reply, class Request>
-result<Reply> ask(call_client &client, const endpoint &to, call_kind kind, const Request &request,
-                  milliseconds timeLimit)
+result<Reply> callTyped(call_client &client, const endpoint &to, call_kind kind,
+                        const Request &request, milliseconds timeLimit)
 {
     const result<std::string> reply = client.call(to, kind, encode(request), timeLimit);
     if (!succeeded(reply))
--- a/include/poplarspool/peer/datagram_settings.h
+++ b/include/poplarspool/peer/datagram_settings.h
@@ -11,7 +11,7 @@
 struct datagram_settings
 {
     instance_id self;
-    incarnation life = 0;
+    incarnation_number incarnation = 0;
     endpoint address; ///< UDP address to bind.
     std::string key; ///< Secret from which the MAC key is derived.
 };
--- a/include/poplarspool/peer/gossip.h
+++ b/include/poplarspool/peer/gossip.h
@@ -30,9 +30,9 @@
 {
     policy::member self; ///< Id, zone, addresses and incarnation are set.
     std::string key; ///< Secret from which the MAC key is derived.
-    milliseconds roundTime;
-    milliseconds suspectTime;
-    milliseconds deadTime;
+    milliseconds roundInterval;
+    milliseconds probeTimeout;
+    milliseconds suspicionTimeout;
     std::size_t fanout;
     std::size_t bytesPerSecond;
 };
--- a/include/poplarspool/peer/load_exchange.h
+++ b/include/poplarspool/peer/load_exchange.h
@@ -22,55 +22,56 @@
 {
     std::uint32_t runner = 0; ///< runnerKey() of its id.
     std::uint32_t open = 0; ///< Requests sent that have not ended.
-    std::uint32_t readingMs = 0; ///< Estimated prefill time of urgent requests not begun.
-    std::uint32_t laterMs = 0; ///< The same for low-priority requests, which wait for urgent ones.
+    std::uint32_t urgentPrefillMs = 0; ///< Estimated prefill time of urgent requests not begun.
+    std::uint32_t lowPriorityPrefillMs =
+            0; ///< The same for low-priority requests, which wait for urgent ones.
     /// Running total of prompt tokens that this instance has added to the
     /// runner's cache; wraps around at 2^32.
-    std::uint32_t tokensIn = 0;
-    std::uint32_t waiting = 0; ///< Urgent requests that have not begun.
-    std::uint32_t waitingLater = 0; ///< Low-priority requests that have not begun.
+    std::uint32_t prefilledTokens = 0;
+    std::uint32_t urgentWaiting = 0; ///< Urgent requests that have not begun.
+    std::uint32_t lowPriorityWaiting = 0; ///< Low-priority requests that have not begun.
 
     bool operator==(const runner_work &) const = default;
 };
 
 /// A prompt prefix that a runner was sent and keeps in its cache for a while.
-struct cached_chain
+struct cached_prefix
 {
     std::uint32_t runner = 0;
-    std::uint32_t chain = 0; ///< Low half of the hash of the prefix.
-    bool isRead = false; ///< Prefill has ended; before that, other runners can't copy it.
+    std::uint32_t prefixHash = 0; ///< Low half of the hash of the prefix.
+    bool isPrefilled = false; ///< Prefill has ended; before that, other runners can't copy it.
 
-    bool operator==(const cached_chain &) const = default;
+    bool operator==(const cached_prefix &) const = default;
 };
 
 /// Load update of one instance. Only a hint: the datagram may be lost, and its data is soon stale.
-struct load_news
+struct load_update
 {
     std::vector<runner_work> work; ///< Complete: runners not listed have no requests of the sender.
-    std::vector<cached_chain> cached; ///< Prefixes added recently.
+    std::vector<cached_prefix> cached; ///< Prefixes added recently.
 
-    bool operator==(const load_news &) const = default;
+    bool operator==(const load_update &) const = default;
 };
 
 /// @returns Hash that identifies a runner in load updates.
 std::uint32_t runnerKey(const runner_id &id);
 
 /// @returns TooLarge if the update exceeds a bound.
-result<std::string> encode(const load_news &update);
-result<load_news> decodeLoadNews(std::string_view payload);
+result<std::string> encode(const load_update &update);
+result<load_update> decodeLoadUpdate(std::string_view payload);
 
 /// Recipients of an update: the instances in the sender's availability zone, or all others. Both
 /// groups get the same data, at different intervals.
-enum class news_audience { Near, Far };
-inline constexpr std::size_t newsAudiences = 2;
+enum class update_recipients { SameZone, OtherZones };
+inline constexpr std::size_t updateRecipientGroups = 2;
 
 /// @param peers Number of instances in the recipient group.
 /// @param others Number of all other instances in the fleet.
 /// @param datagramsPerSecond Rate at which one instance sends to the group in a fleet that is
 ///                           small enough for the full rate.
 /// @returns Time between two updates to the group.
-milliseconds loadNewsInterval(std::size_t peers, std::size_t others,
-                              std::size_t datagramsPerSecond);
+milliseconds loadUpdateInterval(std::size_t peers, std::size_t others,
+                                std::size_t datagramsPerSecond);
 
 /// Exchanges load updates with every other instance: many times a second within the availability
 /// zone, less often with other zones in large fleets. Gossip would deliver the updates two or
@@ -81,8 +82,8 @@
     /// @param collect Returns the update to send. Called on the thread
     ///                of the exchange, as is onUpdate.
     /// @param onUpdate Gets the sender's number and its update, in the order in which it sent them.
-    load_exchange(datagram_settings settings, std::function<load_news(news_audience)> collect,
-                  std::function<void(std::uint64_t sender, const load_news &)> onUpdate,
+    load_exchange(datagram_settings settings, std::function<load_update(update_recipients)> collect,
+                  std::function<void(std::uint64_t sender, const load_update &)> onUpdate,
                   clock_source clock, metrics_registry &metrics, journal &events);
     ~load_exchange();
 
--- a/include/poplarspool/peer/messages.h
+++ b/include/poplarspool/peer/messages.h
@@ -23,11 +23,11 @@
 
 /// Requests the watched objects (configuration head, order
 /// records) that are newer than `knownVersion`.
-struct watched_ask
+struct watched_request
 {
     std::uint64_t knownVersion = 0;
 
-    bool operator==(const watched_ask &) const = default;
+    bool operator==(const watched_request &) const = default;
 };
 
 struct watched_object
@@ -49,11 +49,11 @@
 };
 
 /// Requests an immutable body by the SHA-256 of its content.
-struct body_ask
+struct body_request
 {
     std::string sha256;
 
-    bool operator==(const body_ask &) const = default;
+    bool operator==(const body_request &) const = default;
 };
 
 struct body_reply
@@ -64,7 +64,7 @@
 };
 
 /// Asks the batcher of a claim bucket to write a claim.
-struct claim_ask
+struct claim_request
 {
     std::string key; ///< Hash of workspace, operation and idempotency key.
     std::string bodyHash;
@@ -72,7 +72,7 @@
     instance_id owner; ///< Instance that will dispatch the request.
     std::uint32_t timeLeftMs = 0;
 
-    bool operator==(const claim_ask &) const = default;
+    bool operator==(const claim_request &) const = default;
 };
 
 struct claim_reply
@@ -93,13 +93,13 @@
 };
 
 /// Requests the answer of a claimed attempt from the owner of the claim.
-struct answer_ask
+struct answer_request
 {
     std::string key;
     std::string nonce;
     std::uint32_t waitMs = 0; ///< Maximum time to wait while the attempt is running.
 
-    bool operator==(const answer_ask &) const = default;
+    bool operator==(const answer_request &) const = default;
 };
 
 struct answer_reply
@@ -113,7 +113,7 @@
     bool operator==(const answer_reply &) const = default;
 };
 
-struct events_ask
+struct events_request
 {
     event_filter filter;
 };
@@ -129,15 +129,15 @@
 // than its lengths say, or has trailing bytes, is Broken. An encoder returns an empty payload,
 // which no decoder accepts, if the message exceeds a bound.
 
-std::string encode(const watched_ask &message);
+std::string encode(const watched_request &message);
 std::string encode(const watched_reply &message);
-std::string encode(const body_ask &message);
+std::string encode(const body_request &message);
 std::string encode(const body_reply &message);
-std::string encode(const claim_ask &message);
+std::string encode(const claim_request &message);
 std::string encode(const claim_reply &message);
-std::string encode(const answer_ask &message);
+std::string encode(const answer_request &message);
 std::string encode(const answer_reply &message);
-std::string encode(const events_ask &message);
+std::string encode(const events_request &message);
 std::string encode(const events_reply &message);
 
 /// @tparam Message One of the message types above.
--- a/include/poplarspool/peer/teller_board.h
+++ b/include/poplarspool/peer/relay_election.h
@@ -2,7 +2,7 @@
 
 #include "poplarspool/base/clock.h"
 #include "poplarspool/base/ids.h"
-#include "poplarspool/peer/store_news.h"
+#include "poplarspool/peer/store_update.h"
 
 #include <cstdint>
 #include <map>
@@ -19,7 +19,7 @@
 };
 
 /// @returns Number of relays wanted in a fleet with so many other instances.
-std::size_t tellersFor(std::size_t others);
+std::size_t relayCountFor(std::size_t others);
 
 /// Decides whether this instance is a relay, from the store updates it receives; needs neither
 /// extra messages nor a member list. An instance becomes a relay if it receives updates from
@@ -28,12 +28,12 @@
 /// receives none watches the store itself.
 ///
 /// @attention Not thread-safe.
-class teller_board
+class relay_election
 {
 public:
-    explicit teller_board(const instance_id &self);
+    explicit relay_election(const instance_id &self);
 
-    void hear(std::uint64_t sender, const store_news &update, mono_time now);
+    void receive(std::uint64_t sender, const store_update &update, mono_time now);
 
     /// To be called in every iteration.
     /// @param isAble This instance has recipients, and the store answers its calls.
@@ -42,7 +42,7 @@
     bool decide(bool isAble, std::size_t wantedRelays, mono_time now);
     /// @returns Time at which this instance becomes a relay if no
     ///          update arrives; nullopt if it won't.
-    std::optional<mono_time> standsInAt() const;
+    std::optional<mono_time> takeoverAt() const;
 
     /// @param maxAge Maximum age of a confirmation by the store.
     /// @returns Time until which relays cover the kind for this instance if no
--- a/include/poplarspool/peer/store_news.h
+++ b/include/poplarspool/peer/store_update.h
@@ -16,7 +16,7 @@
 namespace poplarspool::peer {
 
 /// State of one kind of store objects, as known to the sender.
-struct kind_news
+struct kind_update
 {
     std::uint32_t kind = 0; ///< Number assigned by the component that watches the store.
     bool isAnswered = false; ///< The sender's last call to the store for this kind succeeded.
@@ -25,19 +25,19 @@
     std::uint32_t ageMs = 0; ///< Time since the store last confirmed that `version` was the newest.
     std::vector<std::string> changes; ///< Oldest first; each at most config::maxChangeBytes.
 
-    bool operator==(const kind_news &) const = default;
+    bool operator==(const kind_update &) const = default;
 };
 
-struct store_news
+struct store_update
 {
-    std::vector<kind_news> kinds;
+    std::vector<kind_update> kinds;
 
-    bool operator==(const store_news &) const = default;
+    bool operator==(const store_update &) const = default;
 };
 
 /// @returns TooLarge if the update exceeds a bound.
-result<std::string> encode(const store_news &update);
-result<store_news> decodeStoreNews(std::string_view payload);
+result<std::string> encode(const store_update &update);
+result<store_update> decodeStoreUpdate(std::string_view payload);
 
 /// Recent changes of one kind, without gaps. Each datagram repeats them, so that a lost datagram
 /// does not cost its receivers a call to the store.
@@ -52,7 +52,7 @@
     void add(std::uint64_t since, store_version version, std::vector<std::string> changes,
              mono_time now);
     /// @returns An update with as many of the newest changes as fit; `since` and `version` are set.
-    kind_news tell(std::size_t maxBytes) const;
+    kind_update makeUpdate(std::size_t maxBytes) const;
 
 private:
     struct change_batch
--- a/include/poplarspool/peer/store_relay.h
+++ b/include/poplarspool/peer/store_update_exchange.h
@@ -7,7 +7,7 @@
 #include "poplarspool/base/metrics.h"
 #include "poplarspool/base/result.h"
 #include "poplarspool/peer/datagram_settings.h"
-#include "poplarspool/peer/store_news.h"
+#include "poplarspool/peer/store_update.h"
 
 #include <functional>
 #include <memory>
@@ -18,29 +18,29 @@
 namespace poplarspool::peer {
 
 /// Result of one iteration of the sender: the update to send and the time until the next iteration.
-struct relay_turn
+struct relay_iteration
 {
-    std::optional<store_news> news; ///< Update to send, if any.
+    std::optional<store_update> update; ///< Update to send, if any.
     milliseconds wait{0};
 };
 
 /// Exchanges store updates between instances over UDP. A lost datagram is made up for by the next;
 /// if a sender goes silent, its receivers query the store themselves.
-class store_relay
+class store_update_exchange
 {
 public:
     /// @param collect Returns the update to send, if any. Called on the sender thread.
     /// @param onUpdate Gets the sender's number and its update, in the order in which it sent
     ///                 them. Called on the receiver thread.
-    store_relay(datagram_settings settings, std::function<relay_turn()> collect,
-                std::function<void(std::uint64_t sender, const store_news &)> onUpdate,
-                metrics_registry &metrics, journal &events);
-    ~store_relay();
+    store_update_exchange(datagram_settings settings, std::function<relay_iteration()> collect,
+                          std::function<void(std::uint64_t sender, const store_update &)> onUpdate,
+                          metrics_registry &metrics, journal &events);
+    ~store_update_exchange();
 
     result<unit> start();
     void stop();
     void setPeers(std::vector<endpoint> peers);
-    std::size_t countPeers() const;
+    std::size_t peerCount() const;
     /// Runs the next iteration at once, because there is something new to send.
     void wake();
 
--- a/include/poplarspool/platform/object_store.h
+++ b/include/poplarspool/platform/object_store.h
@@ -71,8 +71,8 @@
     {
         double callsPerSecond;
         double burst;
-        milliseconds backoffFirst;
-        milliseconds backoffMax;
+        milliseconds initialBackoff;
+        milliseconds maxBackoff;
     };
 
     object_store(object_api api, limits bounds, clock_source clock, metrics_registry &metrics,
@@ -102,7 +102,7 @@
     result<unit> remove(const std::string &key, std::uint64_t ifVersion);
 
     /// @returns When the store last replied to any call.
-    mono_time lastAnswer() const;
+    mono_time lastReplyAt() const;
     std::uint64_t callsMade() const;
 
 private:
--- a/include/poplarspool/policy/inventory.h
+++ b/include/poplarspool/policy/inventory.h
@@ -50,7 +50,7 @@
     double prefillTokensPerSecond = 8000; ///< Total of the engine.
     double decodeTokensPerSecond = 1500; ///< Total of the engine over all streams.
     std::uint32_t concurrency = 64; ///< Maximum number of requests that run at once.
-    std::vector<model_version> mayCarry; ///< Engines only.
+    std::vector<model_version> supportedModels; ///< Engines only.
     std::vector<std::string> adapters; ///< Engines only.
 
     bool operator==(const runner_spec &) const = default;
@@ -118,7 +118,7 @@
     runner_rates rates;
     std::uint32_t zone = UINT32_MAX; ///< Index into inventory::zones.
     engine_role startRole = engine_role::Mixed;
-    bool startsWithModel = false; ///< Served by its pool; assumed loaded before a report.
+    bool isModelExpected = false; ///< Served by its pool; assumed loaded before a report.
 
     bool operator==(const indexed_runner &) const = default;
 };
--- a/include/poplarspool/policy/plan.h
+++ b/include/poplarspool/policy/plan.h
@@ -21,23 +21,23 @@
 {
     double prefillSeconds = 0;
     double decodeSeconds = 0;
-    double prefillSpread = 0; ///< Standard deviation of single iterations.
-    double decodeSpread = 0;
+    double prefillStdDev = 0; ///< Standard deviation of single iterations.
+    double decodeStdDev = 0;
 
     bool operator==(const demand_estimate &) const = default;
 };
 
 /// State of a planner between two iterations. A successor starts from an empty state, which only
 /// delays its first changes.
-struct plan_memory
+struct planner_state
 {
     demand_estimate demand;
     /// Accumulated cost of not changing roles, in engine seconds (rent-or-buy rule). Above 0 if
     /// changes towards prefill would avoid it, below 0 for changes towards decode.
     double regretSeconds = 0;
-    mono_time lookedAt{};
+    mono_time lastIterationAt{};
 
-    bool operator==(const plan_memory &) const = default;
+    bool operator==(const planner_state &) const = default;
 };
 
 struct planned_change
@@ -51,7 +51,7 @@
 struct plan_step
 {
     std::vector<planned_change> changes; ///< To start now; may be empty.
-    plan_memory memory; ///< For the next iteration.
+    planner_state plannerState; ///< For the next iteration.
 };
 
 /// Runs one planning iteration for a pool. Engines that lack models of their pool get them first. A
@@ -60,6 +60,6 @@
 /// the pool is in flight (docs/design/role-plan.md).
 /// @param seen Demand since the last iteration.
 plan_step planPool(const view &now, const pool_id &pool, const plan_rule &rule,
-                   const plan_memory &memory, const demand_estimate &seen, mono_time time);
+                   const planner_state &memory, const demand_estimate &seen, mono_time time);
 
 } // namespace poplarspool::policy
--- a/include/poplarspool/policy/retry.h
+++ b/include/poplarspool/policy/retry.h
@@ -26,14 +26,14 @@
     /// @returns Whether the budget is not overdrawn.
     bool hasRoom() const;
     /// Deducts a retry that was already made; may overdraw the budget.
-    void takeAnyway();
+    void takeUnconditionally();
 
 private:
     void add(std::int64_t amount);
 
     std::int64_t perRequest; ///< In thousandths of a retry.
-    std::int64_t most;
-    std::atomic<std::int64_t> saved;
+    std::int64_t maxBalance;
+    std::atomic<std::int64_t> balance;
 };
 
 /// @param triesMade Number of tries, including the first one.
--- a/include/poplarspool/policy/rules.h
+++ b/include/poplarspool/policy/rules.h
@@ -32,7 +32,7 @@
     bool operator==(const caller_rule &) const = default;
 };
 
-enum class repeat_rule {
+enum class retry_policy {
     Allowed, ///< Idempotent: may be retried after a failure.
     Never, ///< Runs at most once.
 };
@@ -50,7 +50,7 @@
     std::string pathPrefix; ///< Prefix of the path within the service.
 
     std::string priorityClass; ///< Empty: the caller's class or the default.
-    repeat_rule repeat = repeat_rule::Allowed;
+    retry_policy repeat = retry_policy::Allowed;
     bool needsKey = false; ///< Refuse requests without an Idempotency-Key.
 
     bool operator==(const request_rule &) const = default;
@@ -76,9 +76,9 @@
     std::vector<request_rule> requests;
     std::vector<plan_rule> plans;
     std::chrono::seconds addressKeepTime = config::addressKeepTime;
-    milliseconds claimKeepTime = config::claimKeepTime;
+    milliseconds claimKeepTime = config::claimRetention;
     double retryShare = config::retryShare;
-    milliseconds drainTime = config::drainTime;
+    milliseconds drainTime = config::drainTimeout;
 
     bool operator==(const rules &) const = default;
 };
@@ -97,27 +97,27 @@
 };
 
 /// Settings that result from the rules for one request.
-struct request_ruling
+struct effective_rules
 {
     std::string priorityClass;
     std::uint32_t rank = 0;
     milliseconds timeLimit = config::defaultTimeLimit;
-    repeat_rule repeat = repeat_rule::Allowed;
+    retry_policy repeat = retry_policy::Allowed;
     bool needsKey = false;
 
-    bool operator==(const request_ruling &) const = default;
+    bool operator==(const effective_rules &) const = default;
 };
 
 /// If no request rule matches, completions may be repeated, and calls of plain services only if
 /// HTTP defines their method as idempotent.
-request_ruling rulingOf(const rules &ruleSet, const request_facts &facts);
+effective_rules effectiveRulesOf(const rules &ruleSet, const request_facts &facts);
 
 /// @param bearerKey Key as received; empty if there was none.
 /// @returns The caller; an invalid id if the rules list no callers, which allows all requests;
 ///          otherwise Unauthorized (not run).
-result<caller_id> admitCaller(const rules &ruleSet, std::string_view bearerKey);
+result<caller_id> authenticateCaller(const rules &ruleSet, std::string_view bearerKey);
 
 /// @returns Whether the caller may use the workspace.
-bool mayUse(const rules &ruleSet, const caller_id &caller, const workspace_id &workspace);
+bool mayUseWorkspace(const rules &ruleSet, const caller_id &caller, const workspace_id &workspace);
 
 } // namespace poplarspool::policy
--- a/include/poplarspool/policy/view.h
+++ b/include/poplarspool/policy/view.h
@@ -25,7 +25,7 @@
     zone_id zone;
     endpoint callerAddress;
     endpoint peerAddress;
-    incarnation life = 0;
+    incarnation_number incarnation = 0;
     member_state state = member_state::Alive;
     std::uint64_t appliedVersion = 0; ///< Store version up to which the member's view is complete.
     std::uint32_t openStreams = 0;
@@ -39,7 +39,7 @@
 /// A runner's last report about itself, which may be outdated.
 struct load_report
 {
-    incarnation life = 0; ///< Incarnation of the runner.
+    incarnation_number incarnation = 0; ///< Incarnation of the runner.
     std::uint64_t sequence = 0; ///< Increases with each report of one incarnation.
     engine_role role = engine_role::Mixed;
     bool isChanging = false; ///< Is changing its role or loading weights, and serves no requests.
@@ -82,7 +82,7 @@
     /// its next update.
     mono_time freshUntil{};
     std::shared_ptr<const inventory> fleet;
-    std::shared_ptr<const rules> book;
+    std::shared_ptr<const rules> ruleSet;
     std::vector<runner_state> runners; ///< Indexed as fleet->runners.
     std::vector<member> members; ///< Sorted by id; includes this instance.
     /// Index of `fleet`. If it is missing or belongs to another inventory, routing builds a
--- a/include/poplarspool/scaling/fleet_plan.h
+++ b/include/poplarspool/scaling/fleet_plan.h
@@ -23,7 +23,7 @@
     std::uint32_t spot = 0; ///< In service. Cheaper; a whole zone may be reclaimed at once.
     std::optional<std::uint32_t> regularOrdered; ///< None: no order has been issued.
     std::optional<std::uint32_t> spotOrdered;
-    bool isSpotDry = false; ///< The platform has no spot capacity for now.
+    bool isSpotUnavailable = false; ///< The platform has no spot capacity for now.
 
     bool operator==(const zone_fleet &) const = default;
 };
@@ -43,26 +43,26 @@
 std::vector<fleet_order> planFleet(const fleet_traits &traits, std::span<const zone_fleet> zones);
 
 /// An order that was issued, or may have been.
-struct given_order
+struct issued_order
 {
     std::string service;
     fleet_order order;
 
-    bool operator==(const given_order &) const = default;
+    bool operator==(const issued_order &) const = default;
 };
 
 /// State that a holder of the duty leaves to the next one.
-struct fleet_note
+struct fleet_checkpoint
 {
-    std::vector<given_order> given; ///< Last order of each service, zone and kind.
+    std::vector<issued_order> issued; ///< Last order of each service, zone and kind.
     /// Wanted number of runners in each zone, as `wanted` of an order; its kind is ignored.
-    std::vector<given_order> sizes;
+    std::vector<issued_order> sizes;
 
-    bool operator==(const fleet_note &) const = default;
+    bool operator==(const fleet_checkpoint &) const = default;
 };
 
-std::string encode(const fleet_note &checkpoint);
+std::string encode(const fleet_checkpoint &checkpoint);
 /// @returns None if the text is not a valid checkpoint.
-std::optional<fleet_note> decodeFleetNote(std::string_view text);
+std::optional<fleet_checkpoint> decodeFleetCheckpoint(std::string_view text);
 
 } // namespace poplarspool::scaling
--- a/src/app/gateway_command.cpp
+++ b/src/app/gateway_command.cpp
@@ -3,8 +3,8 @@
 #include "app/process.h"
 #include "operators/command_line.h"
 #include "platform/adapter.h"
-#include "poplarspool/base/end_signal.h"
 #include "poplarspool/base/journal.h"
+#include "poplarspool/base/process_signal.h"
 #include "poplarspool/operators/config_files.h"
 
 #include <cstdlib>
@@ -46,7 +46,7 @@
     while (waitForSignal() == process_signal::Reload) {
         // An invalid file is reported and ignored; the current settings stay in effect.
         if (const auto reloaded = readSettings(path, err))
-            server.noteReload(*reloaded);
+            server.recordReload(*reloaded);
     }
     server.leave();
     return operators::exitSuccess;
--- a/src/app/process.cpp
+++ b/src/app/process.cpp
@@ -1,6 +1,6 @@
 #include "app/process.h"
 
-#include "poplarspool/base/end_signal.h"
+#include "poplarspool/base/process_signal.h"
 
 #include <csignal>
 #include <malloc.h>
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -1,8 +1,8 @@
 #include "app/serve.h"
 #include "app/process.h"
 #include "operators/command_line.h"
-#include "poplarspool/base/end_signal.h"
 #include "poplarspool/base/journal.h"
+#include "poplarspool/base/process_signal.h"
 #include "poplarspool/node/instance.h"
 #include "poplarspool/operators/config_files.h"
 
@@ -32,7 +32,7 @@
     // Settings are read only at startup. SIGHUP is recorded as ignored and must not end the
     // process.
     while (waitForSignal() == process_signal::Reload)
-        instance.noteReload();
+        instance.recordReload();
     instance.leave();
     instance.wait();
     return operators::exitSuccess;
--- a/src/base/bounded_json.cpp
+++ b/src/base/bounded_json.cpp
@@ -89,7 +89,7 @@
     return json::parse(text);
 }
 
-json parseJsonCut(std::string_view text)
+json parseJsonPruned(std::string_view text)
 {
     if (isNestedTooDeep(text))
         return json::parse(pruneTooDeep(text), nullptr, false);
--- a/src/base/connection_pool.cpp
+++ b/src/base/connection_pool.cpp
@@ -19,10 +19,10 @@
     stop();
 }
 
-result<descriptor> connection_pool::take(const endpoint &to, socket_deadline deadline,
-                                         int interruptFd)
+result<descriptor> connection_pool::acquire(const endpoint &to, socket_deadline deadline,
+                                            int interruptFd)
 {
-    descriptor pooled = takeIdle(to);
+    descriptor pooled = acquireIdle(to);
     if (pooled.isOpen())
         return pooled;
     return connect(to, deadline, interruptFd);
@@ -38,7 +38,7 @@
 
 /// Takes the most recently used connection, so that the surplus connections of a load peak expire
 /// after it.
-descriptor connection_pool::takeIdle(const endpoint &to)
+descriptor connection_pool::acquireIdle(const endpoint &to)
 {
     const std::lock_guard lock(guard);
     const socket_deadline now = socket_clock::now();
@@ -60,7 +60,7 @@
     return descriptor();
 }
 
-void connection_pool::keep(const endpoint &to, descriptor connection, milliseconds idleTime)
+void connection_pool::release(const endpoint &to, descriptor connection, milliseconds idleTime)
 {
     const std::lock_guard lock(guard);
     const socket_deadline now = socket_clock::now();
@@ -77,7 +77,7 @@
 {
     if (now < nextSweep)
         return;
-    nextSweep = now + config::poolSweepTime;
+    nextSweep = now + config::poolSweepInterval;
     for (auto target = idle.begin(); target != idle.end();) {
         const auto isExpired = [now](const idle_connection &one) { return one.expires <= now; };
         const std::size_t dropped = std::erase_if(target->second, isExpired);
--- a/src/base/connection_pool.h
+++ b/src/base/connection_pool.h
@@ -19,15 +19,15 @@
     ~connection_pool();
 
     /// @returns An idle connection of the pool, or a new one.
-    result<descriptor> take(const endpoint &to, socket_deadline deadline, int interruptFd);
+    result<descriptor> acquire(const endpoint &to, socket_deadline deadline, int interruptFd);
     /// @returns A new connection.
     result<descriptor> connect(const endpoint &to, socket_deadline deadline, int interruptFd);
     /// @returns The most recently used idle connection; a closed descriptor if none is usable.
-    descriptor takeIdle(const endpoint &to);
+    descriptor acquireIdle(const endpoint &to);
 
     /// Returns a connection to the pool, whose last reply must be complete.
     /// @param idleTime Time after which the pool closes it.
-    void keep(const endpoint &to, descriptor connection, milliseconds idleTime);
+    void release(const endpoint &to, descriptor connection, milliseconds idleTime);
 
     /// Closes the idle connections. Connections returned later are closed.
     void stop();
--- a/src/base/connection_threads.cpp
+++ b/src/base/connection_threads.cpp
@@ -11,7 +11,7 @@
 
 struct connection_threads::state
 {
-    state(std::string name, std::uint32_t limit, step_faults faults)
+    state(std::string name, std::uint32_t limit, step_failure_reporter faults)
         : name(std::move(name)), limit(limit), faults(faults)
     { }
 
@@ -20,7 +20,7 @@
 
     const std::string name;
     const std::uint32_t limit;
-    const step_faults faults;
+    const step_failure_reporter faults;
     std::mutex guard;
     std::condition_variable jobAvailable;
     std::condition_variable threadEnded;
@@ -36,7 +36,7 @@
 {
     std::unique_lock lock(guard);
     ++idle;
-    jobAvailable.wait_for(lock, config::idleThreadTime,
+    jobAvailable.wait_for(lock, config::idleThreadTimeout,
                           [this] { return !pendingJobs.empty() || isStopping; });
     if (pendingJobs.empty()) {
         --idle;
@@ -49,9 +49,9 @@
 
 void connection_threads::state::work(std::function<void()> job)
 {
-    nameThisThread(name);
+    setThreadName(name);
     do {
-        contained(faults, job);
+        runLoggingExceptions(faults, job);
         job = nullptr;
         const std::lock_guard lock(guard);
         --busy;
@@ -90,7 +90,8 @@
 
 } // namespace
 
-connection_threads::connection_threads(std::string name, std::uint32_t limit, step_faults faults)
+connection_threads::connection_threads(std::string name, std::uint32_t limit,
+                                       step_failure_reporter faults)
     : inner(std::make_shared<state>(std::move(name), limit, faults))
 { }
 
--- a/src/base/connection_threads.h
+++ b/src/base/connection_threads.h
@@ -18,7 +18,7 @@
 public:
     /// @param name Name of each thread of the pool.
     /// @param limit Maximum number of concurrent jobs.
-    connection_threads(std::string name, std::uint32_t limit, step_faults faults);
+    connection_threads(std::string name, std::uint32_t limit, step_failure_reporter faults);
     ~connection_threads();
 
     /// @returns False if the limit is reached or the system can't create a thread.
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -46,7 +46,7 @@
     return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
 }
 
-double unitOf(std::uint64_t hash)
+double toUnitInterval(std::uint64_t hash)
 {
     constexpr unsigned mantissaBits = 53;
     return static_cast<double>(hash >> (64 - mantissaBits))
--- a/src/base/http_listener.cpp
+++ b/src/base/http_listener.cpp
@@ -58,7 +58,7 @@
     // The library's backlog is 5: in a burst, most connections would be delayed by seconds.
     if (bound.port == 0 || ::listen(svr_sock_, config::listenBacklog) != 0)
         return notRun(error_code::Unavailable, "can't listen on " + textOf(bind));
-    acceptor = startNamed("http_accept", [this, bound] { acceptUntilStopped(bound); });
+    acceptor = startNamedThread("http_accept", [this, bound] { acceptUntilStopped(bound); });
     return bound;
 }
 
--- a/src/base/http_pool.cpp
+++ b/src/base/http_pool.cpp
@@ -38,7 +38,7 @@
         : silence(silence), connections(idlePerTarget, connectTime, metrics)
     { }
 
-    raised_flag stopping;
+    pollable_flag stopping;
     const std::chrono::seconds silence;
     connection_pool connections;
 };
@@ -83,16 +83,16 @@
     if (auto fault = checkRequest(request))
         return *fault;
     result<descriptor> connection =
-            inner->connections.take(to, deadline, inner->stopping.descriptorNumber());
+            inner->connections.acquire(to, deadline, inner->stopping.descriptorNumber());
     if (!succeeded(connection))
         return errorOf(connection);
     if (inner->silence.count() > 0)
-        noticeSilence(valueOf(connection).get(), inner->silence);
+        enableDeadPeerDetection(valueOf(connection).get(), inner->silence);
     pooled_call call(to, std::move(valueOf(connection)), deadline, inner->stopping);
     result<http_reply> outcome = call.run(request, {onHead, onPiece});
     descriptor reusable = call.takeConnection();
     if (reusable.isOpen())
-        inner->connections.keep(to, std::move(reusable), config::idleConnectionTime);
+        inner->connections.release(to, std::move(reusable), config::idleConnectionTimeout);
     return outcome;
 }
 
--- a/src/base/http_server.cpp
+++ b/src/base/http_server.cpp
@@ -60,7 +60,7 @@
           lingering("http_refused_" + name, maxLingeringConnections, faults),
           listener([this](int fd) {
               descriptor arrived(fd);
-              contained(faults, [&] { accept(std::move(arrived)); });
+              runLoggingExceptions(faults, [&] { accept(std::move(arrived)); });
           })
     { }
 
@@ -79,10 +79,11 @@
     counter &refused;
     counter &timeouts;
     counter &badRequests;
-    const step_faults faults; ///< For exceptions in the handler and in connection threads.
+    const step_failure_reporter
+            faults; ///< For exceptions in the handler and in connection threads.
     std::atomic<std::uint32_t> open{0};
     std::atomic<bool> isShuttingDown{false};
-    raised_flag stopping;
+    pollable_flag stopping;
     connection_threads serving;
     connection_threads lingering;
     http_listener listener;
@@ -111,7 +112,7 @@
 void http_server::state::accept(descriptor arrived)
 {
     const auto connection = std::make_shared<descriptor>(std::move(arrived));
-    sendWithoutDelay(connection->get());
+    setNoDelay(connection->get());
     connections.add(1);
     open.fetch_add(1);
     const bool started = serving.run([this, connection] {
@@ -131,7 +132,7 @@
     reply_writer writer(connection->get(), milliseconds(0), {.closes = true});
     writer.writeReply(tooManyConnectionsReply());
     lingering.run([this, connection] {
-        closeAfterReply(std::move(*connection), socket_clock::now() + config::closeTime,
+        closeAfterReply(std::move(*connection), socket_clock::now() + config::lingeringCloseTimeout,
                         stopping.descriptorNumber());
     });
 }
@@ -140,21 +141,21 @@
 {
     const auto bounds = limits.load();
     request_reader reader(connection.get(), *bounds, stopping.descriptorNumber());
-    milliseconds idleTime = bounds->readTime;
+    milliseconds idleTime = bounds->readTimeout;
     std::size_t served = 0;
     while (true) {
-        const reading outcome = reader.next(idleTime);
-        if (std::holds_alternative<no_request>(outcome))
+        const read_outcome outcome = reader.next(idleTime);
+        if (std::holds_alternative<connection_ended>(outcome))
             return;
         if (const auto *bad = std::get_if<bad_request>(&outcome))
-            return rejectRequest(connection, bounds->writeTime, *bad);
+            return rejectRequest(connection, bounds->writeTimeout, *bad);
         const auto &arrived = std::get<arrived_request>(outcome);
         ++served;
         const bool closes = !arrived.keepsAlive || served >= bounds->keepAliveRequests
                 || isShuttingDown.load() || stopping.isRaised();
-        if (!answer(connection.get(), arrived, bounds->writeTime, closes))
+        if (!answer(connection.get(), arrived, bounds->writeTimeout, closes))
             return;
-        idleTime = bounds->keepAliveTime;
+        idleTime = bounds->keepAliveTimeout;
     }
 }
 
@@ -168,7 +169,7 @@
     try {
         reply = handler(request, writer);
     } catch (...) {
-        noteFailedStep(faults);
+        recordFailedStep(faults);
         // A reply already started is aborted, so that the caller sees that it is incomplete.
         reply = errorReply(500, error_code::Internal, verdict::MayHaveRun, "internal error");
     }
@@ -185,7 +186,7 @@
     reply_writer writer(connection.get(), writeTime, {.closes = true});
     writer.writeReply(
             errorReply(bad.status, errorCodeForStatus(bad.status), verdict::NotRun, bad.message));
-    closeAfterReply(std::move(connection), socket_clock::now() + config::closeTime,
+    closeAfterReply(std::move(connection), socket_clock::now() + config::lingeringCloseTimeout,
                     stopping.descriptorNumber());
 }
 
@@ -209,7 +210,7 @@
     inner->limits.store(std::make_shared<const http_limits>(limits));
 }
 
-void http_server::announceEnd()
+void http_server::announceShutdown()
 {
     inner->isShuttingDown.store(true);
 }
--- a/src/base/http_text.cpp
+++ b/src/base/http_text.cpp
@@ -233,8 +233,8 @@
 
 http_limits defaultHttpLimits()
 {
-    return {config::maxHeaderBytes,   config::maxBodyBytes,    config::maxCallerConnections,
-            config::requestReadTime,  config::callerWriteTime, config::keepAliveTime,
+    return {config::maxHeaderBytes,     config::maxBodyBytes,       config::maxCallerConnections,
+            config::requestReadTimeout, config::callerWriteTimeout, config::keepAliveTimeout,
             config::keepAliveRequests};
 }
 
--- a/src/base/journal.cpp
+++ b/src/base/journal.cpp
@@ -1,6 +1,6 @@
 #include "poplarspool/base/journal.h"
 
-#include "base/line_budget.h"
+#include "base/log_rate_limiter.h"
 #include "poplarspool/config.h"
 
 #include <log4cxx/basicconfigurator.h>
@@ -45,7 +45,7 @@
         return;
     pollfd writable{fd, POLLOUT, 0};
     while (!line.empty()
-           && poll(&writable, 1, static_cast<int>(config::lastLineTime.count())) == 1) {
+           && poll(&writable, 1, static_cast<int>(config::finalLogLineTimeout.count())) == 1) {
         const ssize_t written = write(fd, line.data(), line.size());
         if (written <= 0)
             return;
@@ -66,7 +66,7 @@
 
 void writeLine(const event &entry)
 {
-    static line_budget budget(config::maxLogLinesPerSecond);
+    static log_rate_limiter budget(config::maxLogLinesPerSecond);
     const int threshold = logThreshold.load(std::memory_order_relaxed);
     if (threshold > log4cxx::Level::WARN_INT)
         return;
--- a/src/base/line_budget.h
+++ b/src/base/log_rate_limiter.h
@@ -9,10 +9,10 @@
 /// Limits the number of log lines per second, so that logging many failures doesn't take the time
 /// needed to serve requests. Dropped lines are counted, and the count is reported with the first
 /// line of a later second.
-class line_budget
+class log_rate_limiter
 {
 public:
-    explicit line_budget(std::uint64_t maxLines) : maxLines(maxLines) { }
+    explicit log_rate_limiter(std::uint64_t maxLines) : maxLines(maxLines) { }
 
     /// @param droppedBefore Set to the number of unreported lines of earlier seconds.
     /// @returns Whether a line may be written.
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -114,7 +114,7 @@
 
 } // namespace
 
-struct latency::state
+struct latency_histogram::state
 {
     time_histogram bins{
             std::make_tuple(log_axis(decades * binsPerDecade, lowestSeconds, highestSeconds))};
@@ -149,23 +149,23 @@
     }
 };
 
-latency::latency() : inner(std::make_unique<state>()) { }
+latency_histogram::latency_histogram() : inner(std::make_unique<state>()) { }
 
-latency::~latency() = default;
+latency_histogram::~latency_histogram() = default;
 
-void latency::record(std::chrono::nanoseconds elapsed)
+void latency_histogram::record(std::chrono::nanoseconds elapsed)
 {
     const std::int64_t nanoseconds = std::max<std::int64_t>(elapsed.count(), 0);
     inner->bins(static_cast<double>(nanoseconds) * 1e-9);
     inner->sumNs.fetch_add(static_cast<std::uint64_t>(nanoseconds), std::memory_order_relaxed);
 }
 
-std::uint64_t latency::count() const
+std::uint64_t latency_histogram::count() const
 {
     return inner->total();
 }
 
-std::chrono::nanoseconds latency::quantile(double share) const
+std::chrono::nanoseconds latency_histogram::quantile(double share) const
 {
     const std::uint64_t total = inner->total();
     if (total == 0)
@@ -188,7 +188,7 @@
     mutable std::mutex mutex;
     families<counter> counters;
     families<gauge> gauges;
-    families<latency> latencies;
+    families<latency_histogram> latencies;
 };
 
 metrics_registry::metrics_registry() : inner(std::make_unique<state>()) { }
@@ -207,7 +207,7 @@
     return findOrCreate(inner->gauges, name);
 }
 
-latency &metrics_registry::latencyOf(std::string_view name)
+latency_histogram &metrics_registry::latencyOf(std::string_view name)
 {
     const std::lock_guard lock(inner->mutex);
     return findOrCreate(inner->latencies, name);
--- a/src/base/named_thread.cpp
+++ b/src/base/named_thread.cpp
@@ -62,7 +62,7 @@
 /// Waits while another thread writes the final log line. Terminating the process now would lose it.
 void waitForFinalLine()
 {
-    const auto end = std::chrono::steady_clock::now() + config::lastLineTime;
+    const auto end = std::chrono::steady_clock::now() + config::finalLogLineTimeout;
     while (!isLineWritten && std::chrono::steady_clock::now() < end)
         std::this_thread::sleep_for(linePollInterval);
 }
@@ -86,15 +86,15 @@
 
 } // namespace
 
-std::thread startNamed(std::string name, std::function<void()> run)
+std::thread startNamedThread(std::string name, std::function<void()> run)
 {
     return std::thread([name = std::move(name), run = std::move(run)] {
-        nameThisThread(name);
+        setThreadName(name);
         run();
     });
 }
 
-void nameThisThread(std::string name)
+void setThreadName(std::string name)
 {
     currentThreadName = std::move(name);
 }
@@ -104,12 +104,12 @@
     return currentThreadName.empty() ? unnamed : std::string_view(currentThreadName);
 }
 
-step_faults stepFaultsOf(journal &events, metrics_registry &metrics)
+step_failure_reporter stepFailureReporterOf(journal &events, metrics_registry &metrics)
 {
     return {&events, metrics.counterOf("poplarspool_steps_failed_total")};
 }
 
-void noteFailedStep(const step_faults &faults) noexcept
+void recordFailedStep(const step_failure_reporter &faults) noexcept
 {
     faults.failed.add();
     try {
@@ -119,7 +119,7 @@
     }
 }
 
-uncaught_log::uncaught_log(journal &events)
+uncaught_exception_logger::uncaught_exception_logger(journal &events)
 {
     uncaughtLog = &events;
     // With two objects, the handler would otherwise call itself without end.
@@ -128,7 +128,7 @@
         previousHandler = current;
 }
 
-uncaught_log::~uncaught_log()
+uncaught_exception_logger::~uncaught_exception_logger()
 {
     std::set_terminate(previousHandler);
     uncaughtLog = nullptr;
--- a/src/base/percent_text.cpp
+++ b/src/base/percent_encoding.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/base/percent_text.h"
+#include "poplarspool/base/percent_encoding.h"
 
 namespace poplarspool {
 
--- a/src/base/pooled_call.cpp
+++ b/src/base/pooled_call.cpp
@@ -82,7 +82,8 @@
 /// connections, body too large). If sending fails for that reason, the reply is still read.
 bool pooled_call::reply_stream::sendRequest()
 {
-    const sent outcome = sendAll(fd, request, call.deadline, call.stopping.descriptorNumber());
+    const send_result outcome =
+            sendAll(fd, request, call.deadline, call.stopping.descriptorNumber());
     call.bytesSent += outcome.bytes;
     call.isRequestSent = outcome.fault == socket_fault::None;
     request.clear();
@@ -129,8 +130,8 @@
         return false;
     }
     std::array<char, receiveBytes> bytes; // NOLINT: filled before it is read
-    const received some = receiveSome(fd, bytes.data(), bytes.size(), call.deadline,
-                                      call.stopping.descriptorNumber());
+    const receive_result some = receiveSome(fd, bytes.data(), bytes.size(), call.deadline,
+                                            call.stopping.descriptorNumber());
     if (some.fault != socket_fault::None && !some.isEnd)
         call.fault = some.fault;
     buffer.append(bytes.data(), some.bytes);
@@ -138,7 +139,7 @@
 }
 
 pooled_call::pooled_call(const endpoint &to, descriptor connection, socket_deadline deadline,
-                         const raised_flag &stopping)
+                         const pollable_flag &stopping)
     : ClientImpl(to.host, to.port), connection(std::move(connection)), deadline(deadline),
       stopping(stopping)
 {
--- a/src/base/pooled_call.h
+++ b/src/base/pooled_call.h
@@ -21,7 +21,7 @@
 {
 public:
     pooled_call(const endpoint &to, descriptor connection, socket_deadline deadline,
-                const raised_flag &stopping);
+                const pollable_flag &stopping);
 
     result<http_reply> run(const http_request &request, const call_receivers &receivers);
 
@@ -42,7 +42,7 @@
 
     descriptor connection;
     const socket_deadline deadline;
-    const raised_flag &stopping;
+    const pollable_flag &stopping;
 
     // State of the request:
     bool expectsBody = true;
--- a/src/base/end_signal.cpp
+++ b/src/base/process_signal.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/base/end_signal.h"
+#include "poplarspool/base/process_signal.h"
 
 #include <csignal>
 
@@ -31,7 +31,7 @@
 
 } // namespace
 
-void blockEndSignals()
+void blockTerminationSignals()
 {
     const sigset_t signals = terminationSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
@@ -43,14 +43,14 @@
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
-void waitForEndSignal()
+void waitForTerminationSignal()
 {
     waitForAny(terminationSignals());
 }
 
 process_signal waitForSignal()
 {
-    return waitForAny(allSignals()) == SIGHUP ? process_signal::Reload : process_signal::End;
+    return waitForAny(allSignals()) == SIGHUP ? process_signal::Reload : process_signal::Terminate;
 }
 
 } // namespace poplarspool
--- a/src/base/reply_writer.cpp
+++ b/src/base/reply_writer.cpp
@@ -49,7 +49,7 @@
     if (hasBody && options.supportsChunks && !send("0\r\n\r\n"))
         return;
     if (hasBody && !options.supportsChunks)
-        closeInOrder(fd);
+        restoreGracefulClose(fd);
     state = progress::Complete;
 }
 
@@ -85,7 +85,7 @@
 {
     while (!bytes.empty()) {
         const std::string_view slice = bytes.substr(0, maxSliceBytes);
-        const sent outcome = sendAll(fd, slice, socket_clock::now() + writeTime, -1);
+        const send_result outcome = sendAll(fd, slice, socket_clock::now() + writeTime, -1);
         if (outcome.fault != socket_fault::None) {
             state = progress::Failed;
             return false;
--- a/src/base/request_reader.cpp
+++ b/src/base/request_reader.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-using read_part = std::variant<std::string, bad_request, no_request>;
+using read_part = std::variant<std::string, bad_request, connection_ended>;
 
 constexpr std::size_t receiveBytes = 8 * 1024;
 /// Maximum length of the line before a chunk, and of a trailer line, in bytes.
@@ -17,11 +17,11 @@
 constexpr std::string_view headEnd = "\r\n\r\n";
 
 /// @returns The failure as the result of reading the request.
-reading failureOf(const read_part &failed)
+read_outcome failureOf(const read_part &failed)
 {
     if (const auto *bad = std::get_if<bad_request>(&failed))
         return *bad;
-    return std::get<no_request>(failed);
+    return std::get<connection_ended>(failed);
 }
 
 bool isRead(const read_part &outcome)
@@ -35,11 +35,11 @@
     : fd(fd), limits(limits), stopFd(stopFd)
 { }
 
-reading request_reader::next(milliseconds idleTime)
+read_outcome request_reader::next(milliseconds idleTime)
 {
     if (buffer.empty() && !waitForFirstByte(idleTime))
-        return no_request{};
-    deadline = socket_clock::now() + limits.readTime;
+        return connection_ended{};
+    deadline = socket_clock::now() + limits.readTimeout;
     hasStarted = false;
     return readRequest();
 }
@@ -54,7 +54,7 @@
     return waitForSocket(fd, POLLIN, socket_clock::now(), -1) == socket_fault::None;
 }
 
-reading request_reader::readRequest()
+read_outcome request_reader::readRequest()
 {
     const read_part text = readHead();
     if (!isRead(text))
@@ -108,7 +108,7 @@
     if (head.bodyBytes > limits.bodyBytes)
         return bad_request{413, "body too large"};
     if (head.expectsContinue && buffer.empty()) {
-        const socket_deadline end = socket_clock::now() + limits.writeTime;
+        const socket_deadline end = socket_clock::now() + limits.writeTimeout;
         sendAll(fd, "HTTP/1.1 100 Continue\r\n\r\n", end, -1);
     }
     if (head.isChunked)
@@ -177,13 +177,13 @@
 std::optional<read_part> request_reader::fill()
 {
     std::array<char, receiveBytes> bytes; // NOLINT: filled before it is read
-    const received some = receiveSome(fd, bytes.data(), bytes.size(), deadline, -1);
+    const receive_result some = receiveSome(fd, bytes.data(), bytes.size(), deadline, -1);
     if (some.fault == socket_fault::TimedOut)
         return bad_request{408, "request not received within the time limit"};
     if (some.isEnd && hasStarted)
         return bad_request{400, "request truncated"};
     if (some.fault != socket_fault::None)
-        return no_request{};
+        return connection_ended{};
     buffer.append(bytes.data(), some.bytes);
     return std::nullopt;
 }
--- a/src/base/request_reader.h
+++ b/src/base/request_reader.h
@@ -16,12 +16,12 @@
 };
 
 /// The connection has ended and no reply is due.
-struct no_request
+struct connection_ended
 {
     bool timedOut = false;
 };
 
-using reading = std::variant<arrived_request, bad_request, no_request>;
+using read_outcome = std::variant<arrived_request, bad_request, connection_ended>;
 
 /// Reads the requests of one connection one after the other, with limits on size and time.
 class request_reader
@@ -32,18 +32,18 @@
     request_reader(int fd, const http_limits &limits, int stopFd);
 
     /// @param idleTime Maximum wait for the next request.
-    reading next(milliseconds idleTime);
+    read_outcome next(milliseconds idleTime);
 
 private:
     bool waitForFirstByte(milliseconds idleTime);
-    reading readRequest();
-    std::variant<std::string, bad_request, no_request> readHead();
-    std::variant<std::string, bad_request, no_request> readBody(const request_head &head);
-    std::variant<std::string, bad_request, no_request> readChunks();
-    std::variant<std::string, bad_request, no_request> readLine();
+    read_outcome readRequest();
+    std::variant<std::string, bad_request, connection_ended> readHead();
+    std::variant<std::string, bad_request, connection_ended> readBody(const request_head &head);
+    std::variant<std::string, bad_request, connection_ended> readChunks();
+    std::variant<std::string, bad_request, connection_ended> readLine();
     /// Receives more bytes.
     /// @returns The failure; none on success.
-    std::optional<std::variant<std::string, bad_request, no_request>> fill();
+    std::optional<std::variant<std::string, bad_request, connection_ended>> fill();
 
     const int fd;
     const http_limits limits;
--- a/src/base/socket.cpp
+++ b/src/base/socket.cpp
@@ -84,9 +84,9 @@
         close(release());
 }
 
-raised_flag::raised_flag() : event(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) { }
+pollable_flag::pollable_flag() : event(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) { }
 
-void raised_flag::raise()
+void pollable_flag::raise()
 {
     raised.store(true);
     eventfd_write(event.get(), 1);
@@ -110,7 +110,8 @@
     }
 }
 
-received receiveSome(int fd, char *to, std::size_t size, socket_deadline deadline, int interruptFd)
+receive_result receiveSome(int fd, char *to, std::size_t size, socket_deadline deadline,
+                           int interruptFd)
 {
     while (true) {
         // Checked before each recv(): a peer that sends single bytes would otherwise never be timed
@@ -132,7 +133,7 @@
     }
 }
 
-sent sendAll(int fd, std::string_view bytes, socket_deadline deadline, int interruptFd)
+send_result sendAll(int fd, std::string_view bytes, socket_deadline deadline, int interruptFd)
 {
     std::size_t done = 0;
     while (done < bytes.size()) {
@@ -167,7 +168,7 @@
             socket(address.bytes.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!connection.isOpen())
         return connectFailure(to, "can't create a socket");
-    sendWithoutDelay(connection.get());
+    setNoDelay(connection.get());
     const auto *raw = reinterpret_cast<const sockaddr *>(&address.bytes);
     if (connect(connection.get(), raw, address.size) == 0)
         return connection;
@@ -194,7 +195,7 @@
     return connectTo(to, deadline, interruptFd, failure);
 }
 
-bool isRefused(const endpoint &to, socket_deadline deadline)
+bool isConnectionRefused(const endpoint &to, socket_deadline deadline)
 {
     int failure = 0;
     const auto connection = connectTo(to, deadline, -1, failure);
@@ -217,13 +218,13 @@
     return poll(&state, 1, 0) > 0 && (state.revents & (POLLHUP | POLLERR | POLLNVAL)) != 0;
 }
 
-void sendWithoutDelay(int fd)
+void setNoDelay(int fd)
 {
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-void noticeSilence(int fd, std::chrono::seconds silence)
+void enableDeadPeerDetection(int fd, std::chrono::seconds silence)
 {
     const int on = 1;
     const int seconds = std::max(1, static_cast<int>(silence.count()));
@@ -243,7 +244,7 @@
     setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
 }
 
-void closeInOrder(int fd)
+void restoreGracefulClose(int fd)
 {
     const linger none{0, 0};
     setsockopt(fd, SOL_SOCKET, SO_LINGER, &none, sizeof none);
@@ -255,8 +256,8 @@
     std::array<char, 4096> discarded{};
     std::size_t total = 0;
     while (total < maxDiscardedBytes) {
-        const received some = receiveSome(connection.get(), discarded.data(), discarded.size(),
-                                          deadline, interruptFd);
+        const receive_result some = receiveSome(connection.get(), discarded.data(),
+                                                discarded.size(), deadline, interruptFd);
         if (some.fault != socket_fault::None)
             return;
         total += some.bytes;
--- a/src/base/socket.h
+++ b/src/base/socket.h
@@ -40,10 +40,10 @@
 };
 
 /// Flag that stays set once raised and can be polled together with a socket.
-class raised_flag
+class pollable_flag
 {
 public:
-    raised_flag();
+    pollable_flag();
     void raise();
     bool isRaised() const { return raised.load(); }
     int descriptorNumber() const { return event.get(); }
@@ -59,7 +59,7 @@
 socket_fault waitForSocket(int fd, short events, socket_deadline deadline, int interruptFd,
                            short interruptEvents = POLLIN);
 
-struct received
+struct receive_result
 {
     std::size_t bytes = 0;
     socket_fault fault = socket_fault::None; ///< Also Closed if the peer has ended its side.
@@ -67,9 +67,10 @@
 };
 
 /// Receives at least one byte, or returns the reason why not.
-received receiveSome(int fd, char *to, std::size_t size, socket_deadline deadline, int interruptFd);
+receive_result receiveSome(int fd, char *to, std::size_t size, socket_deadline deadline,
+                           int interruptFd);
 
-struct sent
+struct send_result
 {
     std::size_t bytes = 0;
     socket_fault fault = socket_fault::None;
@@ -77,13 +78,13 @@
 
 /// Sends all bytes, or returns how many the kernel accepted before the failure. Doesn't raise
 /// SIGPIPE.
-sent sendAll(int fd, std::string_view bytes, socket_deadline deadline, int interruptFd);
+send_result sendAll(int fd, std::string_view bytes, socket_deadline deadline, int interruptFd);
 
 /// Connects a socket with TCP_NODELAY.
 result<descriptor> connectTo(const endpoint &to, socket_deadline deadline, int interruptFd);
 /// @returns Whether the host refuses the connection (ECONNREFUSED); false if it doesn't answer
 ///          before the deadline.
-bool isRefused(const endpoint &to, socket_deadline deadline);
+bool isConnectionRefused(const endpoint &to, socket_deadline deadline);
 
 /// @returns Whether an idle connection is still usable: open and without data to read.
 bool isIdleAndOpen(int fd);
@@ -91,19 +92,19 @@
 /// @returns Whether the peer has reset the connection or closed both directions.
 bool isPeerGone(int fd);
 
-void sendWithoutDelay(int fd);
+void setNoDelay(int fd);
 
 /// Makes a connection fail if its peer has disappeared. After a network partition or the loss of a
 /// machine no reset arrives, so reads would wait forever, and writes for minutes until the kernel
 /// gives up.
 /// @param silence Time without any packet from the peer. At least one second.
-void noticeSilence(int fd, std::chrono::seconds silence);
+void enableDeadPeerDetection(int fd, std::chrono::seconds silence);
 
 /// Makes the next close reset the connection, so that it can't be taken for a graceful one.
 void abortOnClose(int fd);
 
 /// Reverts abortOnClose().
-void closeInOrder(int fd);
+void restoreGracefulClose(int fd);
 
 /// Closes a connection whose peer may still be sending: shuts down the sending side and discards
 /// what arrives. With unread bytes, the kernel would reset the connection on close, and the peer
--- a/src/bench/address_book.cpp
+++ b/src/bench/address_cache.cpp
@@ -1,4 +1,4 @@
-#include "bench/address_book.h"
+#include "bench/address_cache.h"
 
 #include "poplarspool/base/hash.h"
 #include "poplarspool/caller/caller_server.h"
@@ -39,31 +39,32 @@
     return headers;
 }
 
-address_book::address_book(std::vector<endpoint> seeds, caller_identity identity, http_pool &pool)
-    : ask(std::move(seeds)), who(std::move(identity)), pool(pool), turn(hashOf(this->who.caller))
+address_cache::address_cache(std::vector<endpoint> seeds, caller_identity identity, http_pool &pool)
+    : seeds(std::move(seeds)), identity(std::move(identity)), pool(pool),
+      nextSeed(hashOf(this->identity.caller))
 { }
 
-std::vector<endpoint> address_book::addresses()
+std::vector<endpoint> address_cache::addresses()
 {
     const std::lock_guard lock(mutex);
-    if (!known.empty() && clock.mono() < keepUntil)
-        return known;
-    for (std::size_t tried = 0; tried < ask.size(); ++tried) {
-        if (askOne(ask[turn++ % ask.size()]))
-            return known;
+    if (!cached.empty() && clock.mono() < expiresAt)
+        return cached;
+    for (std::size_t tried = 0; tried < seeds.size(); ++tried) {
+        if (queryInstance(seeds[nextSeed++ % seeds.size()]))
+            return cached;
     }
     // No seed answered: the last known addresses are still the best choice, and the next call
     // queries the seeds again.
-    return known.empty() ? ask : known;
+    return cached.empty() ? seeds : cached;
 }
 
-bool address_book::askOne(const endpoint &instance)
+bool address_cache::queryInstance(const endpoint &instance)
 {
     http_request request;
     request.path = "/v1/addresses";
-    if (!who.zone.empty())
-        request.path += "?zone=" + who.zone;
-    request.headers = headersOf(who);
+    if (!identity.zone.empty())
+        request.path += "?zone=" + identity.zone;
+    request.headers = headersOf(identity);
     const result<http_reply> reply = pool.send(instance, request, queryTimeout);
     if (!succeeded(reply) || valueOf(reply).status != 200)
         return false;
@@ -73,8 +74,8 @@
     std::vector<endpoint> found = addressesIn(answer);
     if (found.empty())
         return false;
-    known = std::move(found);
-    keepUntil = clock.mono() + std::chrono::seconds(answer.value("keep_seconds", 0));
+    cached = std::move(found);
+    expiresAt = clock.mono() + std::chrono::seconds(answer.value("keep_seconds", 0));
     return true;
 }
 
--- a/src/bench/address_book.h
+++ b/src/bench/address_cache.h
@@ -21,26 +21,26 @@
 
 /// The instance addresses that one caller uses, best first. They are fetched from any instance and
 /// cached for as long as its reply allows (`keep_seconds`).
-class address_book
+class address_cache
 {
 public:
     /// @param seeds Instances to fetch the addresses from.
-    address_book(std::vector<endpoint> seeds, caller_identity identity, http_pool &pool);
+    address_cache(std::vector<endpoint> seeds, caller_identity identity, http_pool &pool);
 
     /// @returns The addresses, best first; never empty: the seeds if no instance has answered yet.
     std::vector<endpoint> addresses();
 
 private:
-    bool askOne(const endpoint &instance);
+    bool queryInstance(const endpoint &instance);
 
-    const std::vector<endpoint> ask;
-    const caller_identity who;
+    const std::vector<endpoint> seeds;
+    const caller_identity identity;
     http_pool &pool;
     const clock_source clock = systemClock();
     std::mutex mutex;
-    std::vector<endpoint> known;
-    mono_time keepUntil{};
-    std::size_t turn;
+    std::vector<endpoint> cached;
+    mono_time expiresAt{};
+    std::size_t nextSeed;
 };
 
 } // namespace poplarspool::bench
--- a/src/bench/answer_reader.cpp
+++ b/src/bench/answer_reader.cpp
@@ -67,7 +67,7 @@
 
 } // namespace
 
-error failureIn(const http_reply &reply)
+error parseFailure(const http_reply &reply)
 {
     const json answer = json::parse(reply.body, nullptr, false);
     if (!answer.is_object())
@@ -79,36 +79,36 @@
 
 bool stream_answer_reader::feed(std::string_view piece)
 {
-    return lines.feed(piece, [this](std::string_view line) { return takeLine(line); });
+    return lines.feed(piece, [this](std::string_view line) { return parseLine(line); });
 }
 
-bool stream_answer_reader::takeLine(std::string_view line)
+bool stream_answer_reader::parseLine(std::string_view line)
 {
     if (!line.starts_with(dataField))
         return true;
     line.remove_prefix(dataField.size());
     // Data after [DONE] is a protocol error, just as a missing [DONE] is.
-    if (read.hasEnd) {
-        read.isMalformed = true;
+    if (parsed.hasEnd) {
+        parsed.isMalformed = true;
         return false;
     }
     if (line == "[DONE]") {
-        read.hasEnd = true;
+        parsed.hasEnd = true;
         return true;
     }
     const json chunk = json::parse(line, nullptr, false);
     if (!chunk.is_object()) {
-        read.isMalformed = true;
+        parsed.isMalformed = true;
         return false;
     }
     if (chunk.contains("error"))
-        read.failure = parseError(chunk);
+        parsed.failure = parseError(chunk);
     else
-        addChoice(chunk, read, clock);
-    return !read.isMalformed;
+        addChoice(chunk, parsed, clock);
+    return !parsed.isMalformed;
 }
 
-completion_answer answerIn(const http_reply &reply, const clock_source &clock)
+completion_answer parseAnswer(const http_reply &reply, const clock_source &clock)
 {
     completion_answer answer;
     const json body = json::parse(reply.body, nullptr, false);
--- a/src/bench/answer_reader.h
+++ b/src/bench/answer_reader.h
@@ -24,7 +24,7 @@
 
 /// @returns The error in a reply's body. Its verdict is "may have run" unless the body says "not
 /// run".
-error failureIn(const http_reply &reply);
+error parseFailure(const http_reply &reply);
 
 /// Incremental parser for a streamed completion (server-sent events).
 class stream_answer_reader
@@ -34,17 +34,17 @@
 
     /// @returns False if the stream is malformed; the rest is not worth reading.
     bool feed(std::string_view piece);
-    const completion_answer &answer() const { return read; }
+    const completion_answer &answer() const { return parsed; }
 
 private:
-    bool takeLine(std::string_view line);
+    bool parseLine(std::string_view line);
 
     const clock_source &clock;
     runner::line_splitter lines;
-    completion_answer read;
+    completion_answer parsed;
 };
 
 /// @returns The answer in a reply that is not streamed.
-completion_answer answerIn(const http_reply &reply, const clock_source &clock);
+completion_answer parseAnswer(const http_reply &reply, const clock_source &clock);
 
 } // namespace poplarspool::bench
--- a/src/bench/call_command.cpp
+++ b/src/bench/call_command.cpp
@@ -25,10 +25,10 @@
     const auto reply = pool.send(endpointOption(parsed, "to"), request, callTimeout);
     if (!succeeded(reply)) {
         std::cerr << errorOf(reply).message << '\n';
-        return exitWrong;
+        return exitFailure;
     }
     std::cout << valueOf(reply).body << std::endl;
-    return valueOf(reply).status < 300 ? exitDone : exitWrong;
+    return valueOf(reply).status < 300 ? exitSuccess : exitFailure;
 }
 
 /// @returns Whether the reply has status 200 and its body contains the text.
@@ -57,17 +57,17 @@
             if (clock.mono() > deadline) {
                 std::cerr << textOf(to) << path
                           << " did not give the expected answer within the time limit\n";
-                return exitWrong;
+                return exitFailure;
             }
             std::this_thread::sleep_for(pollInterval);
         }
     }
-    return exitDone;
+    return exitSuccess;
 }
 
 } // namespace
 
-int callCommand(const words &arguments)
+int callCommand(const argument_list &arguments)
 {
     cxxopts::Options options("poplarspool-bench call",
                              "Sends one HTTP request and prints the body of the reply.");
@@ -76,10 +76,10 @@
     add("method", "Method", cxxopts::value<std::string>()->default_value("GET"));
     add("path", "Path and query", cxxopts::value<std::string>()->default_value("/"));
     add("body", "JSON", cxxopts::value<std::string>()->default_value(""));
-    return runParsed(options, arguments, runCall);
+    return parseAndRun(options, arguments, runCall);
 }
 
-int waitCommand(const words &arguments)
+int waitCommand(const argument_list &arguments)
 {
     cxxopts::Options options(
             "poplarspool-bench wait",
@@ -90,7 +90,7 @@
     add("text", "Text that the body must contain",
         cxxopts::value<std::string>()->default_value(""));
     add("seconds", "Bound", cxxopts::value<double>()->default_value("30"));
-    return runParsed(options, arguments, runWait);
+    return parseAndRun(options, arguments, runWait);
 }
 
 } // namespace poplarspool::bench
--- a/src/bench/command.cpp
+++ b/src/bench/command.cpp
@@ -23,8 +23,8 @@
 
 } // namespace
 
-int runParsed(cxxopts::Options &options, const words &arguments,
-              const std::function<int(const cxxopts::ParseResult &)> &body)
+int parseAndRun(cxxopts::Options &options, const argument_list &arguments,
+                const std::function<int(const cxxopts::ParseResult &)> &body)
 {
     options.add_options()("help", "Show this text");
     std::vector<const char *> raw{"poplarspool-bench"};
@@ -35,7 +35,7 @@
         if (parsed.count("help") == 0)
             return body(parsed);
         std::cout << options.help();
-        return exitDone;
+        return exitSuccess;
     } catch (const cxxopts::exceptions::exception &fault) {
         return reportUsageError(options, fault.what());
     } catch (const usage_error &fault) {
@@ -51,7 +51,7 @@
 std::vector<endpoint> endpointsOption(const cxxopts::ParseResult &parsed, const std::string &name)
 {
     std::vector<endpoint> found;
-    for (const std::string &part : partsOf(parsed[name].as<std::string>(), ','))
+    for (const std::string &part : splitNonEmpty(parsed[name].as<std::string>(), ','))
         found.push_back(parseAddress(part));
     if (found.empty())
         throw usage_error("--" + name + " contains no address");
@@ -70,7 +70,7 @@
     return count;
 }
 
-std::vector<std::string> partsOf(std::string_view text, char separator)
+std::vector<std::string> splitNonEmpty(std::string_view text, char separator)
 {
     std::vector<std::string> parts;
     while (!text.empty()) {
@@ -82,7 +82,7 @@
     return parts;
 }
 
-double numberIn(const std::string &text)
+double parseNumber(const std::string &text)
 {
     double number = 0;
     const char *end = text.data() + text.size();
--- a/src/bench/command.h
+++ b/src/bench/command.h
@@ -15,20 +15,20 @@
 /// docs/BENCHMARKS.md.
 namespace poplarspool::bench {
 
-using words = std::vector<std::string>;
+using argument_list = std::vector<std::string>;
 
 // Subcommands. Each takes the arguments after its name and returns the exit status: 0 for success,
 // 1 for a failed check or measurement, 2 for invalid arguments.
 
-int loadCommand(const words &arguments);
-int pathCommand(const words &arguments);
-int idleCommand(const words &arguments);
-int slopeCommand(const words &arguments);
-int waitCommand(const words &arguments);
-int callCommand(const words &arguments);
+int loadCommand(const argument_list &arguments);
+int pathCommand(const argument_list &arguments);
+int idleCommand(const argument_list &arguments);
+int slopeCommand(const argument_list &arguments);
+int waitCommand(const argument_list &arguments);
+int callCommand(const argument_list &arguments);
 
-inline constexpr int exitDone = 0;
-inline constexpr int exitWrong = 1;
+inline constexpr int exitSuccess = 0;
+inline constexpr int exitFailure = 1;
 inline constexpr int exitUsage = 2;
 
 /// Invalid command-line arguments.
@@ -40,8 +40,8 @@
 /// Parses the arguments and runs the body, or prints the help if `--help` is given. Prints the
 /// error and the help for invalid arguments.
 /// @returns The exit status.
-int runParsed(cxxopts::Options &options, const words &arguments,
-              const std::function<int(const cxxopts::ParseResult &)> &body);
+int parseAndRun(cxxopts::Options &options, const argument_list &arguments,
+                const std::function<int(const cxxopts::ParseResult &)> &body);
 
 /// @throws usage_error
 endpoint endpointOption(const cxxopts::ParseResult &parsed, const std::string &name);
@@ -56,9 +56,9 @@
                           std::uint64_t min = 0);
 
 /// @returns The parts between separators, without empty ones.
-std::vector<std::string> partsOf(std::string_view text, char separator);
+std::vector<std::string> splitNonEmpty(std::string_view text, char separator);
 
 /// @throws usage_error
-double numberIn(const std::string &text);
+double parseNumber(const std::string &text);
 
 } // namespace poplarspool::bench
--- a/src/bench/decisions.cpp
+++ b/src/bench/decisions.cpp
@@ -62,7 +62,7 @@
         runner.zone = zoneOf(i / poolCount);
         runner.address = {"127.0.0.1", static_cast<std::uint16_t>(10000 + i)};
         for (std::uint32_t k = 0; k < modelsEach; ++k)
-            runner.mayCarry.push_back(modelOf(i % poolCount + k));
+            runner.supportedModels.push_back(modelOf(i % poolCount + k));
         fleet->runners.push_back(runner);
     }
     return fleet;
@@ -81,7 +81,7 @@
         state.report.kvPiecesTotal = 1000;
         state.report.kvPiecesUsed = state.report.running * 18;
         state.report.prefillTokensQueued = random() % 3000;
-        state.report.models = now.fleet->runners[i].mayCarry;
+        state.report.models = now.fleet->runners[i].supportedModels;
     }
     for (std::uint32_t i = 0; i < memberCount; ++i) {
         policy::member member;
@@ -150,15 +150,15 @@
     const pool_id pool = now.fleet->pools.front().id;
     policy::plan_rule rule;
     rule.goodputWeight = 0;
-    policy::plan_memory plannerState;
+    policy::planner_state plannerState;
     std::size_t changes = 0;
     print("plan_pool_of_600", timesOf(planIterations, [&](std::uint32_t i) {
               const double prefillDemand = i % 100 < 50 ? 700.0 : 200.0;
               const policy::demand_estimate estimate{prefillDemand, 800 - prefillDemand,
                                                      prefillDemand / 10, prefillDemand / 10};
               const auto step = policy::planPool(now, pool, rule, plannerState, estimate,
-                                                 startTime + i * config::planTime / 10);
-              plannerState = step.memory;
+                                                 startTime + i * config::planInterval / 10);
+              plannerState = step.plannerState;
               changes += step.changes.size();
           }));
     std::cout << "planned_changes=" << changes << std::endl;
@@ -176,7 +176,7 @@
 
 } // namespace
 
-int decisionsBench(const std::vector<std::string> &arguments)
+int decisionsCommand(const std::vector<std::string> &arguments)
 {
     if (!arguments.empty()) {
         std::cerr << "unexpected argument: " << arguments.front() << '\n';
@@ -186,7 +186,7 @@
     benchRoute("route_11_models_each", modelCount);
     benchPlan();
     benchAddresses();
-    return exitDone;
+    return exitSuccess;
 }
 
 } // namespace poplarspool::bench
--- a/src/bench/decisions.h
+++ b/src/bench/decisions.h
@@ -9,6 +9,6 @@
 /// docs/CAPACITY.md; prints key=value lines.
 /// @param arguments Must be empty; otherwise the exit status is that of invalid arguments.
 /// @returns The exit status.
-int decisionsBench(const std::vector<std::string> &arguments);
+int decisionsCommand(const std::vector<std::string> &arguments);
 
 } // namespace poplarspool::bench
--- a/src/bench/first_byte.cpp
+++ b/src/bench/first_byte.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint32_t warmUpPairs = 50;
 
 result<nanoseconds> timeViaInstance(const path_target &target, const std::string &prompt,
-                                    address_book &addressCache, http_pool &pool)
+                                    address_cache &addressCache, http_pool &pool)
 {
     load_call call;
     call.model = target.model;
@@ -68,8 +68,8 @@
         return errorOf(viaInstance);
     if (!succeeded(direct))
         return errorOf(direct);
-    into.through.push_back(valueOf(viaInstance));
-    into.straight.push_back(valueOf(direct));
+    into.viaInstance.push_back(valueOf(viaInstance));
+    into.direct.push_back(valueOf(direct));
     return std::nullopt;
 }
 
@@ -80,7 +80,7 @@
     metrics_registry metrics;
     const auto pool = std::make_shared<http_pool>(1, connectTimeout, metrics);
     const runner::engine_api engine = runner::httpEngineApi(pool);
-    address_book addressCache({target.instance}, {"bench-path", "", ""}, *pool);
+    address_cache addressCache({target.instance}, {"bench-path", "", ""}, *pool);
     const std::string run = randomHex128();
     first_byte_times times;
     first_byte_times warmUp;
@@ -96,11 +96,11 @@
 
 figures figuresOf(const first_byte_times &times)
 {
-    figures all{{"pairs", double(times.through.size()), 0}};
+    figures all{{"pairs", double(times.viaInstance.size()), 0}};
     for (const double share : {0.5, 0.99}) {
         const std::string name = share < 0.9 ? "p50" : "p99";
-        const double viaInstance = inMilliseconds(quantileOf(times.through, share));
-        const double direct = inMilliseconds(quantileOf(times.straight, share));
+        const double viaInstance = inMilliseconds(quantileOf(times.viaInstance, share));
+        const double direct = inMilliseconds(quantileOf(times.direct, share));
         all.push_back({name + "_through_ms", viaInstance, 3});
         all.push_back({name + "_straight_ms", direct, 3});
         all.push_back({name + "_added_ms", viaInstance - direct, 3});
--- a/src/bench/first_byte.h
+++ b/src/bench/first_byte.h
@@ -20,8 +20,8 @@
 /// Times to the first token.
 struct first_byte_times
 {
-    durations through; ///< Through the instance.
-    durations straight; ///< Sent to the engine itself.
+    durations viaInstance; ///< Through the instance.
+    durations direct; ///< Sent to the engine itself.
 };
 
 /// Sends pairs of one request through the instance and one directly to the engine. The two
--- a/src/bench/gossip_slope.cpp
+++ b/src/bench/gossip_command.cpp
@@ -1,7 +1,7 @@
-#include "bench/gossip_slope.h"
+#include "bench/gossip_command.h"
 
 #include "bench/command.h"
-#include "bench/process_stat.h"
+#include "bench/process_usage.h"
 #include "bench/sample_stats.h"
 #include "poplarspool/config.h"
 #include "poplarspool/peer/gossip.h"
@@ -32,7 +32,7 @@
 
 struct usage_sample
 {
-    process_stat process;
+    process_usage process;
     std::uint64_t bytes = 0;
     std::uint64_t datagrams = 0;
     steady_clock::time_point at;
@@ -83,9 +83,9 @@
 
     usage_sample measure()
     {
-        const result<process_stat> stat = readProcess(getpid());
+        const result<process_usage> stat = readProcessUsage(getpid());
         usage_sample sample;
-        sample.process = succeeded(stat) ? valueOf(stat) : process_stat{};
+        sample.process = succeeded(stat) ? valueOf(stat) : process_usage{};
         sample.bytes =
                 metrics.counterOf("poplarspool_gossip_bytes_total{direction=\"sent\"}").get();
         sample.datagrams =
@@ -120,11 +120,11 @@
         settings.self.zone = zone_id{"colombo-" + std::to_string(index % 8)};
         settings.self.peerAddress = {"127.0.0.1", 0};
         settings.self.callerAddress = {"127.0.0.1", 8080};
-        settings.self.life = 1;
+        settings.self.incarnation = 1;
         settings.key = "bench";
-        settings.roundTime = config::gossipTime;
-        settings.suspectTime = config::suspectTime;
-        settings.deadTime = config::deadTime;
+        settings.roundInterval = config::gossipInterval;
+        settings.probeTimeout = config::probeTimeout;
+        settings.suspicionTimeout = config::suspicionTimeout;
         settings.fanout = config::gossipFanout;
         settings.bytesPerSecond = config::gossipBytesPerSecond;
         return settings;
@@ -256,21 +256,21 @@
 {
     const std::uint64_t rumors = countOption(parsed, "rumors");
     const std::chrono::seconds measureTime(countOption(parsed, "seconds", 1));
-    for (const std::string &count : partsOf(parsed["nodes"].as<std::string>(), ',')) {
-        const double nodes = numberIn(count);
+    for (const std::string &count : splitNonEmpty(parsed["nodes"].as<std::string>(), ',')) {
+        const double nodes = parseNumber(count);
         if (nodes < 2 || nodes > static_cast<double>(config::maxMembers))
             throw usage_error("--nodes must be from 2 to " + std::to_string(config::maxMembers));
         measureCluster(static_cast<std::size_t>(nodes), rumors, measureTime);
     }
-    return exitDone;
+    return exitSuccess;
 }
 
 } // namespace
 
-int gossipSlope(const words &arguments)
+int gossipCommand(const argument_list &arguments)
 {
     cxxopts::Options options = optionsOfGossip();
-    return runParsed(options, arguments, runFrom);
+    return parseAndRun(options, arguments, runFrom);
 }
 
 } // namespace poplarspool::bench
--- a/src/bench/idle_command.cpp
+++ b/src/bench/idle_command.cpp
@@ -1,6 +1,6 @@
 #include "bench/command.h"
 #include "bench/metrics_text.h"
-#include "bench/process_stat.h"
+#include "bench/process_usage.h"
 #include "bench/sample_stats.h"
 
 #include <iostream>
@@ -21,7 +21,7 @@
 struct snapshot
 {
     mono_time at{};
-    process_stat process;
+    process_usage process;
     metric_samples metrics;
 };
 
@@ -55,12 +55,12 @@
     const std::vector<endpoint> operators = endpointsOption(parsed, "operators");
     if (parsed.count("pids") == 0)
         throw usage_error("--pids is missing");
-    const std::vector<std::string> pids = partsOf(parsed["pids"].as<std::string>(), ',');
+    const std::vector<std::string> pids = splitNonEmpty(parsed["pids"].as<std::string>(), ',');
     if (pids.size() != operators.size())
         throw usage_error("--pids and --operators must have the same number of entries");
     std::vector<instance_process> instances;
     for (std::size_t index = 0; index < pids.size(); ++index)
-        instances.push_back({std::int64_t(numberIn(pids[index])), operators[index]});
+        instances.push_back({std::int64_t(parseNumber(pids[index])), operators[index]});
     return instances;
 }
 
@@ -72,7 +72,7 @@
     const auto metrics = fetchMetrics(instance.operatorAddress, bearerKey, pool);
     if (!succeeded(metrics))
         return errorOf(metrics);
-    const auto process = readProcess(instance.pid);
+    const auto process = readProcessUsage(instance.pid);
     if (!succeeded(process))
         return errorOf(process);
     return snapshot{systemClock().mono(), valueOf(process), valueOf(metrics)};
@@ -96,7 +96,7 @@
     const double seconds = std::chrono::duration<double>(after.at - before.at).count();
     const std::chrono::duration<double> cpu = after.process.cpuTime - before.process.cpuTime;
     const auto increaseOf = [&](std::string_view suffix) {
-        return sumOfSuffix(after.metrics, suffix) - sumOfSuffix(before.metrics, suffix);
+        return sumBySuffix(after.metrics, suffix) - sumBySuffix(before.metrics, suffix);
     };
     return {100 * cpu.count() / seconds, double(after.process.residentKb),
             increaseOf("_bytes_total") / seconds, increaseOf("store_calls_total") / seconds};
@@ -145,21 +145,21 @@
     const auto after = succeeded(before) ? takeSnapshots(instances, bearerKey, pool) : before;
     if (!succeeded(after)) {
         std::cerr << errorOf(after).message << '\n';
-        return exitWrong;
+        return exitFailure;
     }
     std::vector<control_cost> costs;
     for (std::size_t index = 0; index < instances.size(); ++index)
         costs.push_back(costBetween(valueOf(before)[index], valueOf(after)[index]));
     printCosts(instances, costs, parsed["runners"].as<double>());
-    return exitDone;
+    return exitSuccess;
 }
 
 } // namespace
 
-int idleCommand(const words &arguments)
+int idleCommand(const argument_list &arguments)
 {
     cxxopts::Options options = optionsOfIdle();
-    return runParsed(options, arguments, runFrom);
+    return parseAndRun(options, arguments, runFrom);
 }
 
 } // namespace poplarspool::bench
--- a/src/bench/instance_load.cpp
+++ b/src/bench/instance_load.cpp
@@ -3,7 +3,7 @@
 #include "bench/answer_check.h"
 #include "bench/answer_reader.h"
 #include "bench/load_run.h"
-#include "bench/process_stat.h"
+#include "bench/process_usage.h"
 #include "poplarspool/base/hash.h"
 
 #include <atomic>
@@ -30,8 +30,8 @@
     options.plan.mix = {{16, 4}};
     options.plan.models = {target.model};
     options.plan.streamShare = 0.5;
-    options.ask = {target.instance};
-    options.who.caller = "bench-throughput";
+    options.seeds = {target.instance};
+    options.identity.caller = "bench-throughput";
     options.callers = 1;
     options.streams = connections;
     options.time = time;
@@ -119,9 +119,9 @@
 result<throughput> measureThroughput(const path_target &target, std::uint32_t connections,
                                      std::chrono::seconds time)
 {
-    const auto before = readProcess(target.instancePid);
+    const auto before = readProcessUsage(target.instancePid);
     const load_summary load = runLoad(throughputLoad(target, connections, time));
-    const auto after = readProcess(target.instancePid);
+    const auto after = readProcessUsage(target.instancePid);
     if (!succeeded(before))
         return errorOf(before);
     if (!succeeded(after))
@@ -140,7 +140,7 @@
     http_pool pool(1, connectTimeout, metrics);
     stream_count count;
     const std::string run = randomHex128();
-    const auto before = readProcess(target.instancePid);
+    const auto before = readProcessUsage(target.instancePid);
     std::vector<std::thread> threads;
     for (std::uint32_t index = 0; index < streams; ++index) {
         threads.emplace_back([&, prompt = run + "-" + std::to_string(index)] {
@@ -148,7 +148,7 @@
         });
     }
     const std::uint32_t open = count.waitUntilOpen(streams);
-    const auto atOpen = readProcess(target.instancePid);
+    const auto atOpen = readProcessUsage(target.instancePid);
     for (std::thread &thread : threads)
         thread.join();
     if (!succeeded(before))
@@ -169,7 +169,7 @@
 
 figures figuresOf(const open_streams &measured)
 {
-    return {{"streams", double(measured.wanted), 0},
+    return {{"streams", double(measured.requested), 0},
             {"open", double(measured.open), 0},
             {"whole", double(measured.whole), 0},
             {"resident_before_kb", double(measured.beforeKb), 0},
--- a/src/bench/instance_load.h
+++ b/src/bench/instance_load.h
@@ -22,7 +22,7 @@
 /// Memory of an instance with many streams open at the same time.
 struct open_streams
 {
-    std::uint32_t wanted = 0;
+    std::uint32_t requested = 0;
     std::uint32_t open = 0; ///< Open when the memory was read.
     std::uint32_t whole = 0;
     std::uint64_t beforeKb = 0; ///< Resident memory before the first stream.
--- a/src/bench/load_call.cpp
+++ b/src/bench/load_call.cpp
@@ -143,7 +143,7 @@
     const result<http_reply> sent =
             pool.stream(to, request, timeLeft + verdictGraceTime, onHead, onPiece);
     if (succeeded(sent) && refused)
-        return failedTry(failureIn(*refused), false);
+        return failedTry(parseFailure(*refused), false);
     const completion_answer &answer = reader.answer();
     if (answer.text.empty() && answer.failure)
         return failedTry(*answer.failure, false);
@@ -163,9 +163,9 @@
         return failedTry(errorOf(sent), true);
     const http_reply &reply = valueOf(sent);
     if (reply.status != 200)
-        return failedTry(failureIn(reply), false);
+        return failedTry(parseFailure(reply), false);
     call_outcome outcome = call.model.empty() ? checkServiceReply(call, reply)
-                                              : checkCompletion(call, answerIn(reply, clock));
+                                              : checkCompletion(call, parseAnswer(reply, clock));
     outcome.firstByte = clock.mono() - due;
     return outcome;
 }
@@ -190,7 +190,7 @@
 /// Tries each address once, best first. Moves on to the next one only if the connection could not
 /// be made.
 try_outcome tryAddresses(const load_call &call, const caller_identity &identity,
-                         address_book &addressCache, http_pool &pool, mono_time deadline,
+                         address_cache &addressCache, http_pool &pool, mono_time deadline,
                          mono_time due)
 {
     const clock_source clock = systemClock();
@@ -211,7 +211,7 @@
 } // namespace
 
 call_outcome performCall(const load_call &call, const caller_identity &identity,
-                         address_book &addressCache, http_pool &pool, mono_time due)
+                         address_cache &addressCache, http_pool &pool, mono_time due)
 {
     const clock_source clock = systemClock();
     const mono_time deadline = clock.mono() + call.timeLimit;
--- a/src/bench/load_call.h
+++ b/src/bench/load_call.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "bench/address_book.h"
+#include "bench/address_cache.h"
 #include "bench/answer_check.h"
 
 #include <cstdint>
@@ -46,6 +46,6 @@
 /// connection can be made, and again with the same key only if the verdict is "not run".
 /// @param due Scheduled time of the call; time spent waiting for a free stream counts as latency.
 call_outcome performCall(const load_call &call, const caller_identity &identity,
-                         address_book &addressCache, http_pool &pool, mono_time due);
+                         address_cache &addressCache, http_pool &pool, mono_time due);
 
 } // namespace poplarspool::bench
--- a/src/bench/load_command.cpp
+++ b/src/bench/load_command.cpp
@@ -57,8 +57,8 @@
     const std::uint64_t shift = countOption(parsed, "shift-seconds");
     if (shift > 0)
         plan.shift = std::chrono::seconds(shift);
-    plan.models = partsOf(parsed["models"].as<std::string>(), ',');
-    plan.services = partsOf(parsed["services"].as<std::string>(), ',');
+    plan.models = splitNonEmpty(parsed["models"].as<std::string>(), ',');
+    plan.services = splitNonEmpty(parsed["services"].as<std::string>(), ',');
     if (plan.models.empty() && plan.services.empty())
         throw usage_error("one of --models and --services is required");
     plan.servicePath = parsed["service-path"].as<std::string>();
@@ -74,19 +74,19 @@
 {
     load_options options;
     options.plan = planFrom(parsed);
-    options.ask = endpointsOption(parsed, "ask");
+    options.seeds = endpointsOption(parsed, "ask");
     if (!parsed["records"].as<std::string>().empty())
         options.records = endpointsOption(parsed, "records");
-    options.who = {parsed["caller"].as<std::string>(), parsed["bearer"].as<std::string>(),
-                   parsed["zone"].as<std::string>()};
+    options.identity = {parsed["caller"].as<std::string>(), parsed["bearer"].as<std::string>(),
+                        parsed["zone"].as<std::string>()};
     options.callers = std::uint32_t(countOption(parsed, "callers", 1));
     options.streams = std::uint32_t(countOption(parsed, "streams", 1));
     options.rate = parsed["rate"].as<double>();
     options.requests = countOption(parsed, "requests");
     const std::chrono::duration<double> time(parsed["seconds"].as<double>());
     options.time = std::chrono::duration_cast<std::chrono::nanoseconds>(time);
-    options.whileFile = parsed["while"].as<std::string>();
-    if (options.requests == 0 && options.time.count() <= 0 && options.whileFile.empty())
+    options.runWhileFile = parsed["while"].as<std::string>();
+    if (options.requests == 0 && options.time.count() <= 0 && options.runWhileFile.empty())
         throw usage_error("one of --requests, --seconds and --while is required to limit the load");
     return options;
 }
@@ -98,15 +98,15 @@
         std::cerr << detail << '\n';
     const figures all = figuresOf(summary);
     std::cout << (parsed.count("json") > 0 ? jsonOf(all) : lineOf(all)) << std::endl;
-    return summary.isClean() ? exitDone : exitWrong;
+    return summary.isClean() ? exitSuccess : exitFailure;
 }
 
 } // namespace
 
-int loadCommand(const words &arguments)
+int loadCommand(const argument_list &arguments)
 {
     cxxopts::Options options = optionsOfLoad();
-    return runParsed(options, arguments, runFrom);
+    return parseAndRun(options, arguments, runFrom);
 }
 
 } // namespace poplarspool::bench
--- a/src/bench/load_plan.cpp
+++ b/src/bench/load_plan.cpp
@@ -65,7 +65,7 @@
 
 std::uint32_t parseTokenCount(const std::string &text)
 {
-    const double number = numberIn(text);
+    const double number = parseNumber(text);
     if (number < 1 || number > config::maxOutputTokens)
         throw usage_error("\"" + text + "\" is not a valid token count");
     return static_cast<std::uint32_t>(number);
@@ -76,8 +76,8 @@
 std::vector<mix_entry> parseMix(std::string_view text)
 {
     std::vector<mix_entry> mix;
-    for (const std::string &part : partsOf(text, ',')) {
-        const std::vector<std::string> lengths = partsOf(part, ':');
+    for (const std::string &part : splitNonEmpty(text, ',')) {
+        const std::vector<std::string> lengths = splitNonEmpty(part, ':');
         if (lengths.size() != 2)
             throw usage_error("\"" + part + "\" is not PROMPT:OUTPUT");
         mix.push_back({parseTokenCount(lengths[0]), parseTokenCount(lengths[1])});
@@ -87,7 +87,7 @@
     return mix;
 }
 
-load_call callOf(const load_plan &plan, std::uint64_t number, std::chrono::nanoseconds elapsed)
+load_call makeCall(const load_plan &plan, std::uint64_t number, std::chrono::nanoseconds elapsed)
 {
     load_call call;
     call.timeLimit = plan.timeLimit;
--- a/src/bench/load_plan.h
+++ b/src/bench/load_plan.h
@@ -44,6 +44,6 @@
 
 /// @returns The request of that number.
 /// @param elapsed Time since the start of the run.
-load_call callOf(const load_plan &plan, std::uint64_t number, std::chrono::nanoseconds elapsed);
+load_call makeCall(const load_plan &plan, std::uint64_t number, std::chrono::nanoseconds elapsed);
 
 } // namespace poplarspool::bench
--- a/src/bench/load_run.cpp
+++ b/src/bench/load_run.cpp
@@ -74,7 +74,7 @@
 
     // Only read after all threads have ended.
     load_summary summary;
-    key_ends endByKey;
+    key_outcomes endByKey;
 
 private:
     std::mutex mutex;
@@ -88,9 +88,9 @@
         : options(options), pool(options.streams, connectTimeout, metrics), startedAt(clock.mono())
     {
         for (std::uint32_t index = 0; index < options.callers; ++index) {
-            caller_identity identity = options.who;
+            caller_identity identity = options.identity;
             identity.caller += "-" + std::to_string(index);
-            callers.push_back(std::make_unique<simulated_caller>(options.ask, identity, pool));
+            callers.push_back(std::make_unique<simulated_caller>(options.seeds, identity, pool));
         }
     }
 
@@ -110,7 +110,7 @@
     struct simulated_caller
     {
         caller_identity identity;
-        address_book addresses;
+        address_cache addresses;
 
         simulated_caller(const std::vector<endpoint> &seeds, const caller_identity &identity,
                          http_pool &pool)
@@ -122,7 +122,7 @@
     {
         if (options.requests > 0 && number >= options.requests)
             return true;
-        if (!options.whileFile.empty() && !std::filesystem::exists(options.whileFile))
+        if (!options.runWhileFile.empty() && !std::filesystem::exists(options.runWhileFile))
             return true;
         return options.time.count() > 0 && due - startedAt >= options.time;
     }
@@ -143,7 +143,7 @@
             if (isOver(number, due))
                 return;
             std::this_thread::sleep_for(due - clock.mono());
-            const load_call call = callOf(options.plan, number, due - startedAt);
+            const load_call call = makeCall(options.plan, number, due - startedAt);
             outcomes.add(call, perform(call, caller, due));
         }
     }
--- a/src/bench/load_run.h
+++ b/src/bench/load_run.h
@@ -12,15 +12,15 @@
 struct load_options
 {
     load_plan plan;
-    std::vector<endpoint> ask; ///< Instances to fetch the addresses from.
+    std::vector<endpoint> seeds; ///< Instances to fetch the addresses from.
     std::vector<endpoint> records; ///< Stand-in services whose records are compared at the end.
-    caller_identity who; ///< Its name is the prefix of all caller names.
+    caller_identity identity; ///< Its name is the prefix of all caller names.
     std::uint32_t callers = 8; ///< Each has its own cached addresses.
     std::uint32_t streams = 8; ///< Maximum number of concurrent requests.
     double rate = 0; ///< Requests per second; 0: a stream sends the next when one has ended.
     std::uint64_t requests = 0; ///< 0: unlimited.
     std::chrono::nanoseconds time{0}; ///< 0: unlimited.
-    std::string whileFile; ///< Sends only while this file exists; empty: unlimited.
+    std::string runWhileFile; ///< Sends only while this file exists; empty: unlimited.
 };
 
 /// Number of requests by outcome, and the times to the first byte of those that ended whole.
--- a/src/bench/metrics_text.cpp
+++ b/src/bench/metrics_text.cpp
@@ -13,16 +13,16 @@
 metric_samples parseMetrics(std::string_view text)
 {
     metric_samples samples;
-    for (const std::string &line : partsOf(text, '\n')) {
+    for (const std::string &line : splitNonEmpty(text, '\n')) {
         const std::size_t space = line.rfind(' ');
         if (line.front() == '#' || space == std::string::npos)
             continue;
-        samples[line.substr(0, space)] = numberIn(line.substr(space + 1));
+        samples[line.substr(0, space)] = parseNumber(line.substr(space + 1));
     }
     return samples;
 }
 
-double sumOfSuffix(const metric_samples &samples, std::string_view suffix)
+double sumBySuffix(const metric_samples &samples, std::string_view suffix)
 {
     double sum = 0;
     for (const auto &[series, value] : samples) {
--- a/src/bench/metrics_text.h
+++ b/src/bench/metrics_text.h
@@ -14,7 +14,7 @@
 metric_samples parseMetrics(std::string_view text);
 
 /// @returns Sum over all series whose name, without its labels, ends with the suffix.
-double sumOfSuffix(const metric_samples &samples, std::string_view suffix);
+double sumBySuffix(const metric_samples &samples, std::string_view suffix);
 
 /// Fetches `/metrics` from an operator address.
 result<metric_samples> fetchMetrics(const endpoint &from, const std::string &bearerKey,
--- a/src/bench/path_command.cpp
+++ b/src/bench/path_command.cpp
@@ -63,15 +63,15 @@
     isMeasured &= printMeasurement(measureThroughput(target, positive("connections"), time));
     isMeasured &= printMeasurement(
             measureStreams(target, positive("streams"), positive("stream-tokens")));
-    return isMeasured ? exitDone : exitWrong;
+    return isMeasured ? exitSuccess : exitFailure;
 }
 
 } // namespace
 
-int pathCommand(const words &arguments)
+int pathCommand(const argument_list &arguments)
 {
     cxxopts::Options options = optionsOfPath();
-    return runParsed(options, arguments, runFrom);
+    return parseAndRun(options, arguments, runFrom);
 }
 
 } // namespace poplarspool::bench
--- a/src/bench/process_stat.cpp
+++ b/src/bench/process_usage.cpp
@@ -1,4 +1,4 @@
-#include "bench/process_stat.h"
+#include "bench/process_usage.h"
 
 #include "bench/command.h"
 
@@ -38,13 +38,13 @@
 
 } // namespace
 
-result<std::chrono::nanoseconds> cpuTimeIn(std::string_view stat, std::int64_t ticksPerSecond)
+result<std::chrono::nanoseconds> parseCpuTime(std::string_view stat, std::int64_t ticksPerSecond)
 {
     // The command name is in parentheses and may itself contain spaces and parentheses.
     const std::size_t parenthesis = stat.rfind(')');
     if (parenthesis == std::string_view::npos)
         return notRun(error_code::Broken, "no command name in the stat file of the process");
-    const std::vector<std::string> fields = partsOf(stat.substr(parenthesis + 1), ' ');
+    const std::vector<std::string> fields = splitNonEmpty(stat.substr(parenthesis + 1), ' ');
     if (fields.size() <= systemTicksIndex)
         return notRun(error_code::Broken, "too few fields in the stat file of the process");
     const auto user = parseCount(fields[userTicksIndex]);
@@ -57,7 +57,7 @@
     return std::chrono::nanoseconds(ticks * (1'000'000'000 / ticksPerSecond));
 }
 
-result<std::uint64_t> residentKbIn(std::string_view status)
+result<std::uint64_t> parseResidentKb(std::string_view status)
 {
     constexpr std::string_view label = "VmRSS:";
     const std::size_t start = status.find(label);
@@ -68,7 +68,7 @@
     return parseCount(rest);
 }
 
-result<process_stat> readProcess(std::int64_t pid)
+result<process_usage> readProcessUsage(std::int64_t pid)
 {
     const std::string directory = "/proc/" + std::to_string(pid);
     const auto stat = readFile(directory + "/stat");
@@ -77,13 +77,13 @@
     const auto status = readFile(directory + "/status");
     if (!succeeded(status))
         return errorOf(status);
-    const auto cpuTime = cpuTimeIn(valueOf(stat), sysconf(_SC_CLK_TCK));
+    const auto cpuTime = parseCpuTime(valueOf(stat), sysconf(_SC_CLK_TCK));
     if (!succeeded(cpuTime))
         return errorOf(cpuTime);
-    const auto resident = residentKbIn(valueOf(status));
+    const auto resident = parseResidentKb(valueOf(status));
     if (!succeeded(resident))
         return errorOf(resident);
-    return process_stat{valueOf(cpuTime), valueOf(resident)};
+    return process_usage{valueOf(cpuTime), valueOf(resident)};
 }
 
 } // namespace poplarspool::bench
--- a/src/bench/routes.cpp
+++ b/src/bench/routes.cpp
@@ -4,7 +4,7 @@
 #include "bench/sample_stats.h"
 #include "platform/decode.h"
 #include "platform/names.h"
-#include "poplarspool/gateway/catalogue_keeper.h"
+#include "poplarspool/gateway/catalogue_updater.h"
 #include "poplarspool/gateway/route_index.h"
 
 #include <array>
@@ -48,7 +48,7 @@
                           {wire::routePrefix, prefixOf(i)},
                           {wire::routeKind, wire::kindIdempotent},
                           {wire::routeTimeLimitMs, i == version % size ? 5'000 + version : 5'000},
-                          {wire::routeObjectiveMs, 800},
+                          {wire::routeLatencyObjectiveMs, 800},
                           {wire::routeRank, 1},
                           {wire::routeMaxRunners, 2},
                           {wire::routeService, "service-" + std::to_string(i % serviceCount)}});
@@ -109,7 +109,7 @@
 void benchLookup(std::uint32_t size)
 {
     const gateway::route_table table = tableOf(configurationOf(size, 1));
-    const gateway::route_index index = gateway::indexOf(table);
+    const gateway::route_index index = gateway::buildRouteIndex(table);
     const std::vector<request_line> requests = makeRequests(size);
     durations times;
     std::size_t found = 0;
@@ -147,7 +147,7 @@
 
 /// @returns Size of the update for the other instances in bytes; 0 if it cannot be sent.
 std::size_t applyChange(std::uint32_t size, std::uint32_t version,
-                        gateway::catalogue_keeper &updater, change_times &times)
+                        gateway::catalogue_updater &updater, change_times &times)
 {
     const std::string text = configurationOf(size, version);
     const auto before = updater.table();
@@ -173,9 +173,9 @@
 
 void benchChange(std::uint32_t size)
 {
-    gateway::catalogue_hub publisher{gateway::catalogue{}};
+    gateway::catalogue_publisher publisher{gateway::catalogue{}};
     journal events({"bench"}, systemClock(), changeCount);
-    gateway::catalogue_keeper updater(publisher, gracePeriod, systemClock(), events);
+    gateway::catalogue_updater updater(publisher, gracePeriod, systemClock(), events);
     updater.setTable(tableOf(configurationOf(size, 1)));
     change_times times;
     std::size_t bytes = 0;
@@ -200,7 +200,7 @@
 
 } // namespace
 
-int routesBench(const std::vector<std::string> &arguments)
+int routesCommand(const std::vector<std::string> &arguments)
 {
     if (!arguments.empty()) {
         std::cerr << "unexpected argument: " << arguments.front() << '\n';
@@ -210,7 +210,7 @@
         benchLookup(size);
     for (const std::uint32_t size : sizes)
         benchChange(size);
-    return exitDone;
+    return exitSuccess;
 }
 
 } // namespace poplarspool::bench
--- a/src/bench/routes.h
+++ b/src/bench/routes.h
@@ -10,6 +10,6 @@
 /// lines.
 /// @param arguments Must be empty; otherwise the exit status is that of invalid arguments.
 /// @returns The exit status.
-int routesBench(const std::vector<std::string> &arguments);
+int routesCommand(const std::vector<std::string> &arguments);
 
 } // namespace poplarspool::bench
--- a/src/bench/sample_stats.cpp
+++ b/src/bench/sample_stats.cpp
@@ -24,7 +24,7 @@
     return std::chrono::duration<double, std::milli>(time).count();
 }
 
-std::string fixedText(double value, int digits)
+std::string formatFixed(double value, int digits)
 {
     std::array<char, 64> text{};
     std::snprintf(text.data(), text.size(), "%.*f", digits, value);
@@ -37,7 +37,7 @@
     for (const figure &one : all) {
         if (!line.empty())
             line += ' ';
-        line += one.name + '=' + fixedText(one.value, one.digits);
+        line += one.name + '=' + formatFixed(one.value, one.digits);
     }
     return line;
 }
@@ -46,7 +46,7 @@
 {
     nlohmann::ordered_json object = nlohmann::ordered_json::object();
     for (const figure &one : all)
-        object[one.name] = nlohmann::ordered_json::parse(fixedText(one.value, one.digits));
+        object[one.name] = nlohmann::ordered_json::parse(formatFixed(one.value, one.digits));
     return object.dump();
 }
 
--- a/src/bench/sample_stats.h
+++ b/src/bench/sample_stats.h
@@ -19,7 +19,7 @@
 double inMilliseconds(std::chrono::nanoseconds time);
 
 /// @returns The value with that many decimal places.
-std::string fixedText(double value, int digits);
+std::string formatFixed(double value, int digits);
 
 /// One named value of a summary line.
 struct figure
@@ -42,7 +42,7 @@
 /// A fitted straight line: y = intercept + slope * x.
 struct line_fit
 {
-    double atZero = 0;
+    double intercept = 0;
     double slope = 0;
 
     bool operator==(const line_fit &) const = default;
--- a/src/bench/service_records.cpp
+++ b/src/bench/service_records.cpp
@@ -36,7 +36,7 @@
     return runs;
 }
 
-record_faults compareRecords(const run_counts &runs, const key_ends &ends)
+record_faults compareRecords(const run_counts &runs, const key_outcomes &ends)
 {
     record_faults faults;
     for (const auto &[key, end] : ends) {
--- a/src/bench/service_records.h
+++ b/src/bench/service_records.h
@@ -16,7 +16,7 @@
 result<run_counts> fetchRecords(const std::vector<endpoint> &services, http_pool &pool);
 
 /// Outcome of each call with an idempotency key, as its caller saw it.
-using key_ends = std::map<std::string, call_end>;
+using key_outcomes = std::map<std::string, call_end>;
 
 struct record_faults
 {
@@ -28,6 +28,6 @@
 };
 
 /// Compares the outcomes that callers saw with the recorded runs.
-record_faults compareRecords(const run_counts &runs, const key_ends &ends);
+record_faults compareRecords(const run_counts &runs, const key_outcomes &ends);
 
 } // namespace poplarspool::bench
--- a/src/bench/slope_command.cpp
+++ b/src/bench/slope_command.cpp
@@ -14,10 +14,10 @@
 row parseRow(const std::string &line)
 {
     row valuesByName;
-    for (const std::string &field : partsOf(line, ' ')) {
+    for (const std::string &field : splitNonEmpty(line, ' ')) {
         const std::size_t equals = field.find('=');
         if (equals != std::string::npos)
-            valuesByName[field.substr(0, equals)] = numberIn(field.substr(equals + 1));
+            valuesByName[field.substr(0, equals)] = parseNumber(field.substr(equals + 1));
     }
     return valuesByName;
 }
@@ -52,22 +52,22 @@
     const std::vector<row> rows = readRows(std::cin, by);
     if (rows.size() < 2) {
         std::cerr << "a fit needs at least two lines with " << by << "=\n";
-        return exitWrong;
+        return exitFailure;
     }
     for (const auto &[name, value] : rows.front()) {
         if (name == by)
             continue;
         const line_fit fit = fitLine(pointsOf(rows, by, name));
-        std::cout << "figure=" << name << " at_zero=" << fixedText(fit.atZero, 4) << " per_" << by
-                  << '=' << fixedText(fit.slope, 4) << " at_" << fixedText(at, 0) << '='
-                  << fixedText(fit.atZero + at * fit.slope, 4) << '\n';
+        std::cout << "figure=" << name << " at_zero=" << formatFixed(fit.intercept, 4) << " per_"
+                  << by << '=' << formatFixed(fit.slope, 4) << " at_" << formatFixed(at, 0) << '='
+                  << formatFixed(fit.intercept + at * fit.slope, 4) << '\n';
     }
-    return exitDone;
+    return exitSuccess;
 }
 
 } // namespace
 
-int slopeCommand(const words &arguments)
+int slopeCommand(const argument_list &arguments)
 {
     cxxopts::Options options("poplarspool-bench slope",
                              "Reads lines of NAME=NUMBER fields, for example the means of idle, "
@@ -77,7 +77,7 @@
         cxxopts::value<std::string>()->default_value("instances"));
     add("at", "Value of it to extrapolate the lines to",
         cxxopts::value<double>()->default_value("330"));
-    return runParsed(options, arguments, runFrom);
+    return parseAndRun(options, arguments, runFrom);
 }
 
 } // namespace poplarspool::bench
--- a/src/bench_app/main.cpp
+++ b/src/bench_app/main.cpp
@@ -1,6 +1,6 @@
 #include "bench/command.h"
 #include "bench/decisions.h"
-#include "bench/gossip_slope.h"
+#include "bench/gossip_command.h"
 #include "bench/routes.h"
 
 #include <array>
@@ -14,7 +14,7 @@
 {
     std::string_view name;
     std::string_view purpose;
-    int (*run)(const bench::words &);
+    int (*run)(const bench::argument_list &);
 };
 
 constexpr std::array subcommands{
@@ -26,10 +26,10 @@
         subcommand{"slope", "fit straight lines to the values of several fleets",
                    bench::slopeCommand},
         subcommand{"decisions", "time that the decisions of the policy library take",
-                   bench::decisionsBench},
+                   bench::decisionsCommand},
         subcommand{"routes", "time of route lookups and changes for several numbers of routes",
-                   bench::routesBench},
-        subcommand{"gossip", "cost of gossip for several numbers of nodes", bench::gossipSlope},
+                   bench::routesCommand},
+        subcommand{"gossip", "cost of gossip for several numbers of nodes", bench::gossipCommand},
         subcommand{"wait", "wait until addresses give the expected answer", bench::waitCommand},
         subcommand{"call", "send one HTTP request", bench::callCommand},
 };
@@ -49,16 +49,16 @@
 
 int main(int count, char **values)
 {
-    const bench::words arguments(values + 1, values + count);
+    const bench::argument_list arguments(values + 1, values + count);
     if (arguments.empty())
         return usage(std::cerr);
     if (arguments.front() == "--help") {
         usage(std::cout);
-        return bench::exitDone;
+        return bench::exitSuccess;
     }
     for (const subcommand &known : subcommands) {
         if (known.name == arguments.front())
-            return known.run(bench::words(arguments.begin() + 1, arguments.end()));
+            return known.run(bench::argument_list(arguments.begin() + 1, arguments.end()));
     }
     std::cerr << "unknown command: " << arguments.front() << '\n';
     return usage(std::cerr);
