--- a/src/caller/caller_server.cpp
+++ b/src/caller/caller_server.cpp
@@ -5,7 +5,7 @@
 #include "caller/completion_stream.h"
 #include "caller/json_text.h"
 #include "caller/request_head.h"
-#include "caller/request_watch.h"
+#include "caller/request_observer.h"
 #include "caller/service_path.h"
 #include "poplarspool/base/hash.h"
 #include "poplarspool/config.h"
@@ -142,7 +142,7 @@
 
 } // namespace
 
-bool service_ask::operator==(const service_ask &other) const
+bool service_request::operator==(const service_request &other) const
 {
     return head == other.head && service == other.service && request.method == other.request.method
             && request.path == other.request.path && request.headers == other.request.headers
@@ -166,20 +166,20 @@
 
     std::optional<http_reply> serve(const http_request &request, http_sink &connection);
     serve_result routeOrFail(const http_request &request, const result<request_head> &head,
-                             reply_probe &probe);
-    serve_result route(const http_request &request, const request_head &head, reply_probe &probe);
+                             reply_tracker &probe);
+    serve_result route(const http_request &request, const request_head &head, reply_tracker &probe);
     serve_result serveAddresses(const http_request &request, const request_head &head);
     serve_result serveModels(const request_head &head);
     serve_result serveCompletion(const http_request &request, const request_head &head,
-                                 reply_probe &probe);
+                                 reply_tracker &probe);
     serve_result serveService(const http_request &request, const request_head &head,
-                              reply_probe &probe);
-    void complete(const completion_ask &ask, completion_sink &sink,
+                              reply_tracker &probe);
+    void complete(const completion_request &ask, completion_sink &sink,
                   const completion_outcome &outcome);
 
     caller_handlers handlers;
     clock_source clock;
-    request_watch observer;
+    request_observer observer;
     http_server server;
 };
 
@@ -196,31 +196,32 @@
     if (succeeded(head))
         knownHead = valueOf(head);
 
-    observer.onIn(kind, knownHead);
-    reply_probe probe(connection, id, clock);
+    observer.onRequestStarted(kind, knownHead);
+    reply_tracker probe(connection, id, clock);
     serve_result served = routeOrFail(request, head, probe);
-    observer.onOut(kind, knownHead, served.outcome, probe.firstByteAt());
+    observer.onRequestFinished(kind, knownHead, served.outcome, probe.firstByteAt());
     if (served.reply)
         served.reply->headers = withRequestId(served.reply->headers, id);
     return std::move(served.reply);
 }
 
 serve_result caller_server::state::routeOrFail(const http_request &request,
-                                               const result<request_head> &head, reply_probe &probe)
+                                               const result<request_head> &head,
+                                               reply_tracker &probe)
 {
     if (!succeeded(head))
         return failureResult(errorOf(head));
     try {
         return route(request, valueOf(head), probe);
     } catch (const std::exception &thrown) {
-        observer.onThrown(valueOf(head), thrown.what());
+        observer.onHandlerThrew(valueOf(head), thrown.what());
     } catch (...) {
-        observer.onThrown(valueOf(head), "not an exception type of the standard library");
+        observer.onHandlerThrew(valueOf(head), "not an exception type of the standard library");
     }
     serve_result out = failureResult(internalError());
     // A reply that has started can't be replaced. Leaving it without its end closes the connection,
     // which shows the caller that the reply is incomplete.
-    if (probe.isBegun()) {
+    if (probe.hasStarted()) {
         out.reply.reset();
         out.outcome.status = probe.status();
     }
@@ -228,7 +229,7 @@
 }
 
 serve_result caller_server::state::route(const http_request &request, const request_head &head,
-                                         reply_probe &probe)
+                                         reply_tracker &probe)
 {
     if (const fixed_route *fixed = findFixed(request.path)) {
         if (request.method != fixed->method)
@@ -272,15 +273,15 @@
     return successResult(jsonReply(modelList(valueOf(models))));
 }
 
-void caller_server::state::complete(const completion_ask &ask, completion_sink &sink,
+void caller_server::state::complete(const completion_request &ask, completion_sink &sink,
                                     const completion_outcome &outcome)
 {
     try {
         handlers.complete(ask, sink);
     } catch (const std::exception &thrown) {
-        observer.onThrown(ask.head, thrown.what());
+        observer.onHandlerThrew(ask.head, thrown.what());
     } catch (...) {
-        observer.onThrown(ask.head, "not an exception type of the standard library");
+        observer.onHandlerThrew(ask.head, "not an exception type of the standard library");
     }
     // A handler that threw or did not end the answer must not leave the caller with a partial one.
     if (!outcome.isEnded)
@@ -288,19 +289,19 @@
 }
 
 serve_result caller_server::state::serveCompletion(const http_request &request,
-                                                   const request_head &head, reply_probe &probe)
+                                                   const request_head &head, reply_tracker &probe)
 {
     const result<completion_body> body = parseCompletion(request.body);
     if (!succeeded(body))
         return failureResult(errorOf(body));
     const completion_body &parsed = valueOf(body);
-    const completion_ask ask{head, parsed.model, parsed.prompt, parsed.maxTokens,
-                             parsed.isStreamed};
+    const completion_request ask{head, parsed.model, parsed.prompt, parsed.maxTokens,
+                                 parsed.isStreamed};
     const auto created =
             std::chrono::duration_cast<std::chrono::seconds>(clock.wall().time_since_epoch());
-    const completion_label label{head.request, parsed.model, created.count()};
+    const completion_metadata label{head.request, parsed.model, created.count()};
     if (!ask.isStreamed) {
-        gathered_completion sink(label, probe);
+        buffered_completion sink(label, probe);
         complete(ask, sink, sink.outcome());
         http_reply reply = sink.takeReply();
         const int status = reply.status;
@@ -314,20 +315,20 @@
 }
 
 serve_result caller_server::state::serveService(const http_request &request,
-                                                const request_head &head, reply_probe &probe)
+                                                const request_head &head, reply_tracker &probe)
 {
     const auto target =
             parseServiceTarget(std::string_view(request.path).substr(servicesPrefix.size()));
     if (!succeeded(target))
         return failureResult(errorOf(target));
-    service_ask ask{head, valueOf(target).service, request};
+    service_request ask{head, valueOf(target).service, request};
     ask.request.path = valueOf(target).path;
     ask.request.headers = headersForService(request.headers, head.request);
     const std::optional<error> failure = handlers.callService(ask, probe);
-    if (failure && !probe.isBegun())
+    if (failure && !probe.hasStarted())
         return failureResult(*failure);
     request_outcome outcome{probe.status(), failure, 0};
-    if (!failure && !probe.isWhole())
+    if (!failure && !probe.isComplete())
         outcome.failure = mayHaveRun(error_code::Broken, "the reply was cut short");
     return {std::nullopt, std::move(outcome)};
 }
--- a/src/caller/completion_json.cpp
+++ b/src/caller/completion_json.cpp
@@ -197,22 +197,22 @@
                            valueOf(isStreamed)};
 }
 
-gathered_completion::gathered_completion(completion_label label, http_sink &connection)
+buffered_completion::buffered_completion(completion_metadata label, http_sink &connection)
     : label(std::move(label)), connection(connection)
 { }
 
-bool gathered_completion::token(std::string_view piece)
+bool buffered_completion::token(std::string_view piece)
 {
     // Bounds the memory that an engine which never ends its answer can use on a small instance.
-    isTooLong = isTooLong || text.size() + piece.size() > config::maxGatheredAnswerBytes;
+    isTooLong = isTooLong || text.size() + piece.size() > config::maxCollectedAnswerBytes;
     if (isTooLong)
         return false;
     text.append(piece);
     ++result.tokens;
-    return result.tokens % config::goneLookTokens != 0 || !connection.isGone();
+    return result.tokens % config::callerGoneCheckTokens != 0 || !connection.isGone();
 }
 
-void gathered_completion::finish(const completion_end &end)
+void buffered_completion::finish(const completion_summary &end)
 {
     if (result.isEnded)
         return;
@@ -237,7 +237,7 @@
     result.isEnded = true;
 }
 
-void gathered_completion::fail(const error &failure)
+void buffered_completion::fail(const error &failure)
 {
     if (result.isEnded)
         return;
@@ -252,7 +252,7 @@
     result.isEnded = true;
 }
 
-bool gathered_completion::isGone() const
+bool buffered_completion::isGone() const
 {
     return isTooLong || connection.isGone();
 }
--- a/src/caller/completion_json.h
+++ b/src/caller/completion_json.h
@@ -24,7 +24,7 @@
 result<completion_body> parseCompletion(std::string_view text);
 
 /// Fields that are the same in all chunks of one answer.
-struct completion_label
+struct completion_metadata
 {
     request_id request;
     std::string model;
@@ -40,13 +40,13 @@
 };
 
 /// Buffers a completion that was requested without streaming, and replies with one JSON object.
-class gathered_completion final : public completion_sink
+class buffered_completion final : public completion_sink
 {
 public:
-    gathered_completion(completion_label label, http_sink &connection);
+    buffered_completion(completion_metadata label, http_sink &connection);
 
     bool token(std::string_view text) override;
-    void finish(const completion_end &end) override;
+    void finish(const completion_summary &end) override;
     void fail(const error &failure) override;
     bool isGone() const override;
 
@@ -55,7 +55,7 @@
     http_reply takeReply() { return std::move(reply); }
 
 private:
-    completion_label label;
+    completion_metadata label;
     http_sink &connection;
     std::string text;
     bool isTooLong = false;
--- a/src/caller/completion_stream.cpp
+++ b/src/caller/completion_stream.cpp
@@ -13,7 +13,7 @@
 constexpr std::string_view doneEvent = "data: [DONE]\n\n";
 
 /// @returns The start of every chunk of one answer, up to its choices.
-std::string chunkPrefix(const completion_label &label)
+std::string chunkPrefix(const completion_metadata &label)
 {
     std::string prefix(eventPrefix);
     prefix += R"({"id":"cmpl-)";
@@ -28,7 +28,7 @@
 
 } // namespace
 
-streamed_completion::streamed_completion(const completion_label &label, http_sink &connection)
+streamed_completion::streamed_completion(const completion_metadata &label, http_sink &connection)
     : connection(connection), tokenPrefix(chunkPrefix(label)), endPrefix(tokenPrefix)
 {
     tokenPrefix += R"(,"choices":[{"index":0,"text":")";
@@ -58,7 +58,7 @@
     return !hasWriteFailed;
 }
 
-void streamed_completion::finish(const completion_end &end)
+void streamed_completion::finish(const completion_summary &end)
 {
     if (result.isEnded)
         return;
--- a/src/caller/completion_stream.h
+++ b/src/caller/completion_stream.h
@@ -10,10 +10,10 @@
 class streamed_completion final : public completion_sink
 {
 public:
-    streamed_completion(const completion_label &label, http_sink &connection);
+    streamed_completion(const completion_metadata &label, http_sink &connection);
 
     bool token(std::string_view text) override;
-    void finish(const completion_end &end) override;
+    void finish(const completion_summary &end) override;
     void fail(const error &failure) override;
     bool isGone() const override;
 
--- a/src/caller/reply_probe.cpp
+++ b/src/caller/reply_tracker.cpp
@@ -1,4 +1,4 @@
-#include "caller/reply_probe.h"
+#include "caller/reply_tracker.h"
 
 #include "poplarspool/caller/caller_server.h"
 
@@ -6,29 +6,29 @@
 
 namespace poplarspool::caller {
 
-reply_probe::reply_probe(http_sink &connection, request_id request, clock_source clock)
+reply_tracker::reply_tracker(http_sink &connection, request_id request, clock_source clock)
     : connection(connection), request(std::move(request)), clock(std::move(clock))
 { }
 
-bool reply_probe::begin(int status, const http_headers &headers, std::string_view contentType)
+bool reply_tracker::begin(int status, const http_headers &headers, std::string_view contentType)
 {
     sentStatus = status;
     firstByte = clock.mono();
     return connection.begin(status, withRequestId(headers, request), contentType);
 }
 
-bool reply_probe::write(std::string_view piece)
+bool reply_tracker::write(std::string_view piece)
 {
     return connection.write(piece);
 }
 
-void reply_probe::end()
+void reply_tracker::end()
 {
     isEnded = true;
     connection.end();
 }
 
-bool reply_probe::isGone() const
+bool reply_tracker::isGone() const
 {
     return connection.isGone();
 }
--- a/src/caller/reply_probe.h
+++ b/src/caller/reply_tracker.h
@@ -10,10 +10,10 @@
 
 /// Forwards a reply to the connection, adds the request id to its headers, and tracks the reply's
 /// progress for log and metrics.
-class reply_probe final : public http_sink
+class reply_tracker final : public http_sink
 {
 public:
-    reply_probe(http_sink &connection, request_id request, clock_source clock);
+    reply_tracker(http_sink &connection, request_id request, clock_source clock);
 
     bool begin(int status, const http_headers &headers, std::string_view contentType) override;
     bool write(std::string_view piece) override;
@@ -22,8 +22,8 @@
 
     /// @returns 0 if the reply has not started.
     int status() const { return sentStatus; }
-    bool isBegun() const { return sentStatus != 0; }
-    bool isWhole() const { return isEnded; }
+    bool hasStarted() const { return sentStatus != 0; }
+    bool isComplete() const { return isEnded; }
     std::optional<mono_time> firstByteAt() const { return firstByte; }
 
 private:
--- a/src/caller/request_watch.cpp
+++ b/src/caller/request_observer.cpp
@@ -1,4 +1,4 @@
-#include "caller/request_watch.h"
+#include "caller/request_observer.h"
 
 #include <algorithm>
 
@@ -41,7 +41,7 @@
     return "other";
 }
 
-request_watch::request_watch(clock_source clock, metrics_registry &metrics, journal &events)
+request_observer::request_observer(clock_source clock, metrics_registry &metrics, journal &events)
     : clock(std::move(clock)), events(events),
       openGauge(metrics.gaugeOf("poplarspool_requests_open"))
 {
@@ -62,7 +62,7 @@
     }
 }
 
-void request_watch::onIn(route_kind route, const request_head &head)
+void request_observer::onRequestStarted(route_kind route, const request_head &head)
 {
     openGauge.add(1);
     if (!isLogged(route))
@@ -73,8 +73,9 @@
                  {"route", std::string(nameOf(route))}});
 }
 
-void request_watch::onOut(route_kind route, const request_head &head,
-                          const request_outcome &outcome, std::optional<mono_time> firstByteAt)
+void request_observer::onRequestFinished(route_kind route, const request_head &head,
+                                         const request_outcome &outcome,
+                                         std::optional<mono_time> firstByteAt)
 {
     openGauge.add(-1);
     const mono_time now = clock.mono();
@@ -101,7 +102,7 @@
     events.emit("request_out", std::move(fields));
 }
 
-void request_watch::onThrown(const request_head &head, std::string_view what)
+void request_observer::onHandlerThrew(const request_head &head, std::string_view what)
 {
     events.emit("handler_threw",
                 {{"request", head.request.text},
@@ -109,7 +110,7 @@
                  {"what", std::string(what)}});
 }
 
-std::uint32_t request_watch::openRequests() const
+std::uint32_t request_observer::openRequests() const
 {
     return static_cast<std::uint32_t>(std::max<std::int64_t>(openGauge.get(), 0));
 }
--- a/src/caller/request_watch.h
+++ b/src/caller/request_observer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "caller/reply_probe.h"
+#include "caller/reply_tracker.h"
 #include "poplarspool/base/journal.h"
 #include "poplarspool/base/metrics.h"
 #include "poplarspool/caller/caller_server.h"
@@ -25,16 +25,16 @@
 
 /// Records metrics and events of requests. Looks up every metric once at construction, so that
 /// requests do not take the registry's lock.
-class request_watch
+class request_observer
 {
 public:
-    request_watch(clock_source clock, metrics_registry &metrics, journal &events);
+    request_observer(clock_source clock, metrics_registry &metrics, journal &events);
 
-    void onIn(route_kind route, const request_head &head);
-    void onOut(route_kind route, const request_head &head, const request_outcome &outcome,
-               std::optional<mono_time> firstByteAt);
+    void onRequestStarted(route_kind route, const request_head &head);
+    void onRequestFinished(route_kind route, const request_head &head,
+                           const request_outcome &outcome, std::optional<mono_time> firstByteAt);
     /// Records an exception that a handler threw.
-    void onThrown(const request_head &head, std::string_view what);
+    void onHandlerThrew(const request_head &head, std::string_view what);
 
     std::uint32_t openRequests() const;
 
@@ -48,8 +48,8 @@
     journal &events;
     gauge &openGauge;
     std::array<code_counters, routeCount> requests{};
-    std::array<latency *, routeCount> firstByteTime{};
-    std::array<latency *, routeCount> totalTime{};
+    std::array<latency_histogram *, routeCount> firstByteTime{};
+    std::array<latency_histogram *, routeCount> totalTime{};
 };
 
 } // namespace poplarspool::caller
--- a/src/duties/fleet_clock.cpp
+++ b/src/duties/fleet_clock.cpp
@@ -19,7 +19,7 @@
 void removeExpired(Clocks &clocks, mono_time at)
 {
     std::erase_if(clocks, [at](const auto &entry) {
-        return at - entry.second.samples.back().takenAt > config::clockMemory;
+        return at - entry.second.samples.back().takenAt > config::clockRetention;
     });
 }
 
@@ -27,46 +27,46 @@
 
 fleet_clock::fleet_clock(clock_source given) : clock(std::move(given))
 {
-    settle(clock.mono());
+    updateOffsets(clock.mono());
 }
 
 /// Latency makes a received time too early, so ahead() uses the sample that is furthest ahead;
 /// delayed samples have no effect.
-void fleet_clock::told_clock::add(const sample &received)
+void fleet_clock::received_clock::add(const sample &received)
 {
     std::erase_if(samples, [&received](const sample &one) {
-        return received.takenAt - one.takenAt > config::clockMemory;
+        return received.takenAt - one.takenAt > config::clockRetention;
     });
     samples.push_back(received);
-    if (samples.size() > config::clockSamples)
+    if (samples.size() > config::maxClockSamples)
         samples.pop_front();
 }
 
-fleet_clock::offset fleet_clock::told_clock::ahead() const
+fleet_clock::offset fleet_clock::received_clock::ahead() const
 {
     return std::ranges::max(samples, {}, &sample::ahead).ahead;
 }
 
-void fleet_clock::noteClock(std::uint64_t sender, wall_time received)
+void fleet_clock::recordClock(std::uint64_t sender, wall_time received)
 {
     const mono_time at = clock.mono();
     const std::lock_guard lock(guard);
     clocks[sender].add({offsetOf(received, at), at});
-    settle(at);
+    updateOffsets(at);
 }
 
-void fleet_clock::noteEstimate(std::uint64_t sender, const fleet_time &received)
+void fleet_clock::recordEstimate(std::uint64_t sender, const fleet_time &received)
 {
     const mono_time at = clock.mono();
     const std::lock_guard lock(guard);
-    told_clock &known = estimates[sender];
+    received_clock &known = estimates[sender];
     known.add({offsetOf(received.at, at), at});
     known.clocks = received.clocks;
-    settle(at);
+    updateOffsets(at);
 }
 
 /// @attention Call with `guard` locked.
-void fleet_clock::settle(mono_time at)
+void fleet_clock::updateOffsets(mono_time at)
 {
     removeExpired(clocks, at);
     removeExpired(estimates, at);
@@ -75,11 +75,11 @@
         offsets.push_back(entry.second.ahead());
     const auto middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
     std::ranges::nth_element(offsets, middle);
-    ofHeard = {*middle, static_cast<std::uint32_t>(offsets.size())};
-    ofAll = ofHeard;
+    directOffset = {*middle, static_cast<std::uint32_t>(offsets.size())};
+    bestOffset = directOffset;
     for (const auto &entry : estimates) {
-        if (entry.second.clocks > ofAll.clocks)
-            ofAll = {entry.second.ahead(), entry.second.clocks};
+        if (entry.second.clocks > bestOffset.clocks)
+            bestOffset = {entry.second.ahead(), entry.second.clocks};
     }
 }
 
@@ -92,13 +92,13 @@
 fleet_time fleet_clock::now() const
 {
     const std::lock_guard lock(guard);
-    return timeOf(ofAll);
+    return timeOf(bestOffset);
 }
 
-fleet_time fleet_clock::heard() const
+fleet_time fleet_clock::directEstimate() const
 {
     const std::lock_guard lock(guard);
-    return timeOf(ofHeard);
+    return timeOf(directOffset);
 }
 
 } // namespace poplarspool::duties
--- a/src/duties/lease.cpp
+++ b/src/duties/lease.cpp
@@ -13,7 +13,7 @@
 std::optional<std::uint64_t> fenceAfter(const lease_record &present)
 {
     const bool isLast = present.fence == std::numeric_limits<std::uint64_t>::max();
-    if (isLast || present.version.epoch > config::storeEpochMost)
+    if (isLast || present.version.epoch > config::maxStoreEpoch)
         return std::nullopt;
     // Fences of terms whose records were lost must not be reused.
     return std::max(present.fence + 1, present.version.epoch * config::fencesPerEpoch);
@@ -30,15 +30,15 @@
 /// The holder's clock can't be compared with the local one. A record that has not changed for twice
 /// the bound shows that the holder's last term is over, since only another write could have started
 /// a new one.
-bool duty_lease::isFreeFrom(const lease_record &found)
+bool duty_lease::isAvailable(const lease_record &found)
 {
     const mono_time now = clock.mono();
     // Applies to an instance that starts in a later epoch too: the record of a term that is still
     // running may just have been lost.
     if (epoch.value_or(0) != found.version.epoch)
-        wentBackAt = now;
+        rollbackSeenAt = now;
     epoch = found.version.epoch;
-    if (wentBackAt != mono_time{} && now - wentBackAt < 2 * bound)
+    if (rollbackSeenAt != mono_time{} && now - rollbackSeenAt < 2 * bound)
         return false;
     const bool hasNoHolder = found.version.revision == 0;
     if (hasNoHolder || found.holder == self)
@@ -50,19 +50,19 @@
     return now - seenAt >= 2 * bound;
 }
 
-std::optional<lease_record> duty_lease::findFree()
+std::optional<lease_record> duty_lease::readIfAvailable()
 {
     const auto found = store.read();
     if (!succeeded(found)) {
         events.emit("lease_unknown", {{"duty", store.duty}, {"reason", errorOf(found).message}});
         return std::nullopt;
     }
-    if (!isFreeFrom(valueOf(found)))
+    if (!isAvailable(valueOf(found)))
         return std::nullopt;
     return valueOf(found);
 }
 
-std::optional<lease_term> duty_lease::take(const lease_record &present, std::string checkpoint)
+std::optional<lease_term> duty_lease::acquire(const lease_record &present, std::string checkpoint)
 {
     const auto fence = fenceAfter(present);
     if (!fence) {
@@ -89,10 +89,10 @@
     return lease_term{next.fence, requestedAt + bound / 2};
 }
 
-std::optional<lease_term> duty_lease::tryTake()
+std::optional<lease_term> duty_lease::tryAcquire()
 {
-    const auto present = findFree();
-    return present ? take(*present, {}) : std::nullopt;
+    const auto present = readIfAvailable();
+    return present ? acquire(*present, {}) : std::nullopt;
 }
 
 } // namespace poplarspool::duties
--- a/src/duties/usage.cpp
+++ b/src/duties/usage.cpp
@@ -49,20 +49,20 @@
     return wall_time(length * (static_cast<std::int64_t>(window) + 1));
 }
 
-void usage_ledger::noteBegun(window_number window, const workspace_id &workspace)
+void usage_table::recordRequestStart(window_number window, const workspace_id &workspace)
 {
     const std::lock_guard lock(guard);
     own_count &counted = own[window][workspace];
     ++counted.count;
-    counted.changedIn = tellings;
+    counted.changedInUpdate = updateNumber;
 }
 
-void usage_ledger::take(const told_usage &received)
+void usage_table::merge(const incarnation_usage &received)
 {
     const std::lock_guard lock(guard);
     const bool isNew = !others[received.window].contains(received.incarnation);
     if (received.incarnation == self
-        || (isNew && others[received.window].size() >= config::maxUsageLives))
+        || (isNew && others[received.window].size() >= config::maxUsageIncarnations))
         return;
     usage_counts &known = others[received.window][received.incarnation];
     for (const auto &[workspace, count] : received.counts) {
@@ -70,34 +70,35 @@
         highest = std::max(highest, count);
     }
     if (!received.counts.empty()) {
-        window_number &last = lives[received.incarnation].lastWindow;
+        window_number &last = incarnations[received.incarnation].lastWindow;
         last = std::max(last, received.window);
     }
 }
 
-void usage_ledger::noteTold(std::uint64_t incarnation, wall_time at, bool isLast)
+void usage_table::recordReceivedUpTo(std::uint64_t incarnation, wall_time at, bool isLast)
 {
     const std::lock_guard lock(guard);
     if (incarnation == self
-        || (!lives.contains(incarnation) && lives.size() >= config::maxUsageLives))
+        || (!incarnations.contains(incarnation)
+            && incarnations.size() >= config::maxUsageIncarnations))
         return;
-    told_life &known = lives[incarnation];
-    known.toldAt = std::max(known.toldAt, at);
-    known.isOver = known.isOver || isLast;
+    incarnation_state &known = incarnations[incarnation];
+    known.receivedUpTo = std::max(known.receivedUpTo, at);
+    known.hasEnded = known.hasEnded || isLast;
 }
 
-std::vector<told_usage> usage_ledger::collect(bool sendsAll)
+std::vector<incarnation_usage> usage_table::collect(bool sendsAll)
 {
     const std::lock_guard lock(guard);
-    const std::uint64_t current = tellings++;
-    std::vector<told_usage> parts;
+    const std::uint64_t current = updateNumber++;
+    std::vector<incarnation_usage> parts;
     for (const auto &[window, counts] : own) {
         std::size_t bytesLeft = 0;
         for (const auto &[workspace, counted] : counts) {
-            if (!sendsAll && counted.changedIn + config::usageRepeats <= current)
+            if (!sendsAll && counted.changedInUpdate + config::usageUpdateRepeats <= current)
                 continue;
             const std::size_t bytes = workspace.text.size() + countBytes;
-            if (bytes > bytesLeft || parts.back().counts.size() >= config::maxToldCounts) {
+            if (bytes > bytesLeft || parts.back().counts.size() >= config::maxCountsPerUpdate) {
                 parts.push_back({self, window, {}});
                 bytesLeft = std::max(config::usageBytesPerDatagram, bytes);
             }
@@ -108,7 +109,7 @@
     return parts;
 }
 
-usage_counts usage_ledger::totalOf(window_number window) const
+usage_counts usage_table::totalOf(window_number window) const
 {
     const std::lock_guard lock(guard);
     usage_counts total;
@@ -127,24 +128,25 @@
     return total;
 }
 
-bool usage_ledger::isComplete(window_number since, wall_time end) const
+bool usage_table::isComplete(window_number since, wall_time end) const
 {
     const std::lock_guard lock(guard);
-    return std::ranges::all_of(lives, [&](const auto &entry) {
-        const told_life &progress = entry.second;
-        return progress.isOver || progress.lastWindow < since || progress.toldAt >= end;
+    return std::ranges::all_of(incarnations, [&](const auto &entry) {
+        const incarnation_state &progress = entry.second;
+        return progress.hasEnded || progress.lastWindow < since || progress.receivedUpTo >= end;
     });
 }
 
-void usage_ledger::forgetBefore(window_number window)
+void usage_table::forgetBefore(window_number window)
 {
     const std::lock_guard lock(guard);
     own.erase(own.begin(), own.lower_bound(window));
     others.erase(others.begin(), others.lower_bound(window));
-    std::erase_if(lives, [window](const auto &entry) { return entry.second.lastWindow < window; });
+    std::erase_if(incarnations,
+                  [window](const auto &entry) { return entry.second.lastWindow < window; });
 }
 
-std::string encode(const usage_note &checkpoint)
+std::string encode(const usage_checkpoint &checkpoint)
 {
     json reports = json::array();
     for (const usage_report &one : checkpoint.reports) {
@@ -159,11 +161,11 @@
             .dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::optional<usage_note> decodeUsageNote(std::string_view text)
+std::optional<usage_checkpoint> decodeUsageCheckpoint(std::string_view text)
 {
     try {
         const json read = parseJsonOrThrow(text);
-        usage_note made;
+        usage_checkpoint made;
         made.epoch = numberOf(read.at(epochKey));
         made.settled = numberOf(read.at(settledKey));
         for (const json &entry : read.at(reportsKey))
@@ -174,15 +176,16 @@
     }
 }
 
-usage_note nextNote(const std::optional<usage_note> &before, const usage_state &state,
-                    const std::function<usage_counts(window_number)> &totalOf)
+usage_checkpoint nextCheckpoint(const std::optional<usage_checkpoint> &before,
+                                const checkpoint_input &state,
+                                const std::function<usage_counts(window_number)> &totalOf)
 {
-    usage_note made;
+    usage_checkpoint made;
     made.epoch = state.epoch;
     if (before) {
         for (const usage_report &one : before->reports) {
-            const bool isOld = one.window + config::usageWindowsKept < state.present;
-            if (!isOld && (!state.delivered || one.window > *state.delivered))
+            const bool isOld = one.window + config::usageWindowsKept < state.currentWindow;
+            if (!isOld && (!state.deliveredUpTo || one.window > *state.deliveredUpTo))
                 made.reports.push_back(one);
         }
     }
@@ -191,13 +194,15 @@
     const bool wasRolledBack =
             before ? before->epoch != state.epoch : state.epoch > 0 || !state.isFirst;
     if (wasRolledBack) {
-        made.settled = std::max(before ? before->settled : 0, state.present);
+        made.settled = std::max(before ? before->settled : 0, state.currentWindow);
         return made;
     }
-    made.settled = before ? std::max(before->settled, state.due) : state.due;
-    const window_number oldest = state.due - std::min(state.due, config::usageWindowsAtOnce - 1);
-    const window_number first = before ? std::max(before->settled + 1, oldest) : state.due;
-    for (window_number window = first; window <= state.due; ++window)
+    made.settled = before ? std::max(before->settled, state.lastDueWindow) : state.lastDueWindow;
+    const window_number oldest =
+            state.lastDueWindow - std::min(state.lastDueWindow, config::maxUsageWindowsPerTerm - 1);
+    const window_number first =
+            before ? std::max(before->settled + 1, oldest) : state.lastDueWindow;
+    for (window_number window = first; window <= state.lastDueWindow; ++window)
         made.reports.push_back({window, totalOf(window)});
     return made;
 }
--- a/src/duties/usage_exchange.cpp
+++ b/src/duties/usage_exchange.cpp
@@ -1,6 +1,6 @@
 #include "poplarspool/duties/usage_exchange.h"
 
-#include "duties/usage_news.h"
+#include "duties/usage_update.h"
 #include "peer/datagram_loop.h"
 #include "poplarspool/duties/limits.h"
 #include "poplarspool/policy/role_owner.h"
@@ -17,7 +17,7 @@
 
 struct usage_exchange::state
 {
-    state(peer::datagram_settings settings, std::uint64_t incarnation, usage_parts context,
+    state(peer::datagram_settings settings, std::uint64_t incarnation, usage_context context,
           std::function<std::vector<policy::member>()> members, clock_source time,
           metrics_registry &metrics, journal &events)
         : self(settings.self), port(settings.address.port), incarnation(incarnation),
@@ -36,13 +36,13 @@
     void sendCounts(bool sendsAll, bool isLast);
     void sendTime(const std::vector<policy::member> &all);
     bool receive(std::uint64_t sender, std::string_view payload);
-    usage_news updateOf(told_usage localUsage, bool isLast) const;
+    usage_update updateOf(incarnation_usage localUsage, bool isLast) const;
     std::vector<endpoint> addressesOf(const std::vector<const policy::member *> &some) const;
 
     const instance_id self;
     const std::uint16_t port;
     const std::uint64_t incarnation;
-    const usage_parts context;
+    const usage_context context;
     const std::function<std::vector<policy::member>()> members;
     const clock_source clock;
     gauge &clocks;
@@ -64,15 +64,15 @@
     return found;
 }
 
-usage_news usage_exchange::state::updateOf(told_usage localUsage, bool isLast) const
+usage_update usage_exchange::state::updateOf(incarnation_usage localUsage, bool isLast) const
 {
-    return {clock.wall(), context.time.heard(), isLast, std::move(localUsage)};
+    return {clock.wall(), context.fleetClock.directEstimate(), isLast, std::move(localUsage)};
 }
 
 mono_time usage_exchange::state::sendUpdates()
 {
     const std::vector<policy::member> all = members();
-    const auto chosen = policy::ownersOf(all, replicasKey, config::usageKeepers);
+    const auto chosen = policy::ownersOf(all, replicasKey, config::usageReplicas);
     std::vector<endpoint> present = addressesOf(chosen);
     isReplica = std::ranges::any_of(chosen,
                                     [this](const policy::member *one) { return one->id == self; });
@@ -83,22 +83,22 @@
     // Sent even if nothing was counted: it marks all counts as sent and carries the time.
     loop.send(replicas, encode(updateOf({incarnation, 0, {}}, false)));
     sendTime(all);
-    const window_number now = windowAt(context.time.now().at, context.window);
-    context.ledger.forgetBefore(now - std::min(now, config::usageWindowsKept));
-    clocks.set(context.time.heard().clocks);
-    return clock.mono() + config::usageTellTime;
+    const window_number now = windowAt(context.fleetClock.now().at, context.windowLength);
+    context.table.forgetBefore(now - std::min(now, config::usageWindowsKept));
+    clocks.set(context.fleetClock.directEstimate().clocks);
+    return clock.mono() + config::usageUpdateInterval;
 }
 
 void usage_exchange::state::sendCounts(bool sendsAll, bool isLast)
 {
-    for (told_usage &part : context.ledger.collect(sendsAll))
+    for (incarnation_usage &part : context.table.collect(sendsAll))
         loop.send(replicas, encode(updateOf(std::move(part), isLast)));
 }
 
 void usage_exchange::state::sendTime(const std::vector<policy::member> &all)
 {
     const mono_time now = clock.mono();
-    if (!isReplica || now - timeSentAt < config::clockTellTime)
+    if (!isReplica || now - timeSentAt < config::clockUpdateInterval)
         return;
     timeSentAt = now;
     std::vector<const policy::member *> others;
@@ -110,26 +110,26 @@
 
 bool usage_exchange::state::receive(std::uint64_t sender, std::string_view payload)
 {
-    const auto read = decodeUsageNews(payload);
+    const auto read = decodeUsageUpdate(payload);
     if (!succeeded(read))
         return false;
-    const usage_news &update = valueOf(read);
-    context.time.noteClock(sender, update.sentAt);
-    context.time.noteEstimate(sender, update.estimate);
-    const wall_time now = context.time.now().at;
-    const window_number present = windowAt(now, context.window);
+    const usage_update &update = valueOf(read);
+    context.fleetClock.recordClock(sender, update.sentAt);
+    context.fleetClock.recordEstimate(sender, update.estimate);
+    const wall_time now = context.fleetClock.now().at;
+    const window_number present = windowAt(now, context.windowLength);
     const bool isLate = update.usage.window + config::usageWindowsKept < present;
     const bool isEarly = update.usage.window > present + 1;
     if (!update.usage.counts.empty() && !isLate && !isEarly)
-        context.ledger.take(update.usage);
+        context.table.merge(update.usage);
     // The update without counts is sent after the updates with counts.
     if (update.usage.counts.empty() || update.isLast)
-        context.ledger.noteTold(update.usage.incarnation, now, update.isLast);
+        context.table.recordReceivedUpTo(update.usage.incarnation, now, update.isLast);
     return true;
 }
 
 usage_exchange::usage_exchange(peer::datagram_settings settings, std::uint64_t incarnation,
-                               usage_parts context,
+                               usage_context context,
                                std::function<std::vector<policy::member>()> members,
                                clock_source clock, metrics_registry &metrics, journal &events)
     : inner(std::make_unique<state>(std::move(settings), incarnation, context, std::move(members),
--- a/src/duties/usage_news.cpp
+++ b/src/duties/usage_update.cpp
@@ -1,4 +1,4 @@
-#include "duties/usage_news.h"
+#include "duties/usage_update.h"
 
 #include "peer/codec.h"
 #include "poplarspool/config.h"
@@ -34,7 +34,7 @@
     codec.small(update.isLast);
     codec.fixed(update.usage.incarnation);
     codec.small(update.usage.window);
-    codec.list(update.usage.counts, config::maxToldCounts, minCountBytes,
+    codec.list(update.usage.counts, config::maxCountsPerUpdate, minCountBytes,
                [](Codec &each, auto &item) {
                    each.text(item.first.text, config::maxNameBytes);
                    each.small(item.second);
@@ -43,16 +43,16 @@
 
 } // namespace
 
-result<std::string> encode(const usage_news &update)
+result<std::string> encode(const usage_update &update)
 {
-    return peer::encoded([&update](peer::encoder &out) { describe(out, update); });
+    return peer::tryEncode([&update](peer::encoder &out) { describe(out, update); });
 }
 
-result<usage_news> decodeUsageNews(std::string_view payload)
+result<usage_update> decodeUsageUpdate(std::string_view payload)
 {
     try {
         peer::decoder in(payload);
-        usage_news update;
+        usage_update update;
         describe(in, update);
         in.finish();
         return update;
--- a/src/duties/usage_news.h
+++ b/src/duties/usage_update.h
@@ -10,18 +10,18 @@
 namespace poplarspool::duties {
 
 /// Usage counts and time that instances send to each other.
-struct usage_news
+struct usage_update
 {
     wall_time sentAt{}; ///< By the sender's wall clock.
     fleet_time estimate; ///< Of the sender, from the clocks it receives.
     bool isLast = false; ///< The sender is stopping and has sent all its counts.
-    told_usage usage; ///< Names the sender's incarnation, even without counts.
+    incarnation_usage usage; ///< Names the sender's incarnation, even without counts.
 
-    bool operator==(const usage_news &) const = default;
+    bool operator==(const usage_update &) const = default;
 };
 
 /// @returns TooLarge if a size limit is exceeded.
-result<std::string> encode(const usage_news &update);
-result<usage_news> decodeUsageNews(std::string_view payload);
+result<std::string> encode(const usage_update &update);
+result<usage_update> decodeUsageUpdate(std::string_view payload);
 
 } // namespace poplarspool::duties
--- a/src/gateway/caller_limits.cpp
+++ b/src/gateway/caller_limits.cpp
@@ -7,15 +7,15 @@
 
 namespace poplarspool::gateway {
 
-http_limits callerLimitsOf(const caller_bounds &bounds)
+http_limits callerLimitsOf(const caller_request_limits &bounds)
 {
     http_limits limits = defaultHttpLimits();
     limits.headerBytes = bounds.headerBytes;
     limits.bodyBytes = bounds.bodyBytes;
-    limits.readTime = std::max(bounds.headerTime, config::requestReadTime);
+    limits.readTimeout = std::max(bounds.headerTimeout, config::requestReadTimeout);
     // Callers reuse connections that have been idle for nearly the whole limit. Closing them
     // exactly at the limit would close some of them under a request.
-    limits.keepAliveTime = bounds.idleTime + config::idleMargin;
+    limits.keepAliveTimeout = bounds.idleTimeout + config::idleMargin;
     return limits;
 }
 
--- a/src/gateway/catalogue.cpp
+++ b/src/gateway/catalogue.cpp
@@ -18,13 +18,13 @@
     return "none";
 }
 
-bool saysTheSame(const runner &one, runner other)
+bool equalExceptWrites(const runner &one, runner other)
 {
     other.writes = one.writes;
     return one == other;
 }
 
-service_id drawService(const route &chosen, std::uint64_t draw)
+service_id pickServiceByWeight(const route &chosen, std::uint64_t draw)
 {
     const std::uint64_t total = std::accumulate(
             chosen.services.begin(), chosen.services.end(), std::uint64_t{0},
--- a/src/gateway/catalogue_keeper.cpp
+++ b/src/gateway/catalogue_updater.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/gateway/catalogue_keeper.h"
+#include "poplarspool/gateway/catalogue_updater.h"
 
 #include "poplarspool/gateway/limits.h"
 #include "poplarspool/gateway/route_index.h"
@@ -8,13 +8,13 @@
 
 namespace poplarspool::gateway {
 
-catalogue_keeper::catalogue_keeper(catalogue_hub &publisher, milliseconds settleTime,
-                                   clock_source clock, journal &events)
+catalogue_updater::catalogue_updater(catalogue_publisher &publisher, milliseconds settleTime,
+                                     clock_source clock, journal &events)
     : publisher(publisher), settleTime(settleTime), clock(std::move(clock)), events(events)
 { }
 
 /// Versions only increase: a delayed answer must not restore routes that have been replaced since.
-void catalogue_keeper::setTable(route_table table)
+void catalogue_updater::setTable(route_table table)
 {
     const std::uint64_t version = table.version;
     const std::size_t routes = table.routes.size();
@@ -25,7 +25,7 @@
         return;
     bool isTaken = false;
     const auto shared = std::make_shared<const route_table>(std::move(table));
-    const auto index = std::make_shared<const route_index>(indexOf(*shared));
+    const auto index = std::make_shared<const route_index>(buildRouteIndex(*shared));
     publisher.update([&](catalogue &next) {
         if (!isNewer(next))
             return false;
@@ -39,12 +39,12 @@
                     {{"version", std::to_string(version)}, {"routes", std::to_string(routes)}});
 }
 
-std::shared_ptr<const route_table> catalogue_keeper::table() const
+std::shared_ptr<const route_table> catalogue_updater::table() const
 {
     return publisher.current()->table;
 }
 
-void catalogue_keeper::confirmTable(mono_time at)
+void catalogue_updater::confirmTable(mono_time at)
 {
     publisher.update([at](catalogue &next) {
         next.tableConfirmedAt = at;
@@ -52,7 +52,7 @@
     });
 }
 
-void catalogue_keeper::confirmRunners(mono_time at, store_version version)
+void catalogue_updater::confirmRunners(mono_time at, store_version version)
 {
     publisher.update([at, version](catalogue &next) {
         next.runnersConfirmedAt = at;
@@ -67,14 +67,14 @@
 /// recovery. The grace period applies only to entries that are missing right after the recovery: a
 /// runner that is removed later is shutting down, and must get no requests after the time allowed
 /// for updates to arrive.
-bool catalogue_keeper::isInGracePeriod() const
+bool catalogue_updater::isInGracePeriod() const
 {
     const mono_time now = clock.mono();
     return recoveredAt != mono_time{} && now - recoveredAt < config::entryLapseTime
             && now < graceEndsAt;
 }
 
-void catalogue_keeper::noteStoreLost(mono_time askedAt)
+void catalogue_updater::recordStoreFailure(mono_time askedAt)
 {
     if (failingSince == mono_time{})
         failingSince = clock.mono();
@@ -86,21 +86,21 @@
 /// a grace period counted from that moment let it send to them for longer than updates may be
 /// delayed. Partitions and outages end after the last failed call was sent, so the time is counted
 /// from there.
-void catalogue_keeper::noteStoreAnswer()
+void catalogue_updater::recordStoreAnswer()
 {
     if (failingSince == mono_time{})
         return;
     const mono_time now = clock.mono();
-    if (now - failingSince >= config::storeOutageTime)
+    if (now - failingSince >= config::storeOutageThreshold)
         startGracePeriod(lastFailureSentAt);
     failingSince = {};
 }
 
-void catalogue_keeper::startGracePeriod(mono_time outageSeenAt)
+void catalogue_updater::startGracePeriod(mono_time outageSeenAt)
 {
     recoveredAt = clock.mono();
-    graceEndsAt = std::min(recoveredAt + config::entryReturnTime,
-                           outageSeenAt + settleTime - config::forgivenMargin);
+    graceEndsAt = std::min(recoveredAt + config::entryReturnGracePeriod,
+                           outageSeenAt + settleTime - config::gracePeriodMargin);
     events.emit("lapses_forgiven",
                 {{"lost_ms",
                   failingSince == mono_time{} ? "" : millisecondsText(recoveredAt - failingSince)},
@@ -110,7 +110,7 @@
 
 /// Runners that registered after the snapshot was made are missing in it although they are alive.
 /// They write their entries again, like those whose entries have expired.
-void catalogue_keeper::noteOlderCopy(mono_time lastSeenAt)
+void catalogue_updater::recordStoreRollback(mono_time lastSeenAt)
 {
     startGracePeriod(std::max(lastFailureSentAt, lastSeenAt));
     failingSince = {};
@@ -121,14 +121,14 @@
 /// The markers may arrive before the list that they refer to. An instance that has observed the
 /// store rollback itself ignores them: entries that it has accepted since must not be rejected
 /// again.
-void catalogue_keeper::doubt(const std::vector<entry_mark> &received)
+void catalogue_updater::applyOutdatedMarkers(const std::vector<outdated_entry_marker> &received)
 {
     if (hasSeenRollback || received.empty())
         return;
-    rollbackFilter.doubt(received, clock.mono());
+    rollbackFilter.addMarkers(received, clock.mono());
     publisher.update([&](catalogue &next) {
         bool isChanged = false;
-        for (const entry_mark &marker : received) {
+        for (const outdated_entry_marker &marker : received) {
             const auto found = next.runners.find(marker.id);
             if (found == next.runners.end() || !rollbackFilter.isOutdated(*found->second))
                 continue;
@@ -141,7 +141,7 @@
     });
 }
 
-void catalogue_keeper::handleRemoval(catalogue &next, const runner_id &id)
+void catalogue_updater::handleRemoval(catalogue &next, const runner_id &id)
 {
     const auto found = next.runners.find(id);
     rollbackFilter.forget(id);
@@ -151,28 +151,28 @@
     if (!isInGracePeriod() || found->second->isDraining)
         return removeRunner(next, id);
     runner kept = *found->second;
-    kept.keptUntil = graceEndsAt;
+    kept.retainedUntil = graceEndsAt;
     found->second = std::make_shared<const runner>(std::move(kept));
     missing.insert(id);
     events.emit("runner_missing",
                 {{"runner", id.text}, {"kept_ms", millisecondsText(graceEndsAt - clock.mono())}});
 }
 
-void catalogue_keeper::removeRunner(catalogue &next, const runner_id &id)
+void catalogue_updater::removeRunner(catalogue &next, const runner_id &id)
 {
     const auto found = next.runners.find(id);
     if (found == next.runners.end())
         return;
     events.emit("runner_gone", {{"runner", id.text}, {"address", textOf(found->second->address)}});
-    rollbackFilter.noteGone(*found->second, clock.mono());
+    rollbackFilter.recordRemoval(*found->second, clock.mono());
     next.runners.erase(found);
 }
 
-void catalogue_keeper::setRunners(const std::vector<runner> &listed)
+void catalogue_updater::setRunners(const std::vector<runner> &listed)
 {
     publisher.update([&](catalogue &next) {
         if (std::exchange(isSnapshotNext, false))
-            rollbackFilter.setCopy(next.runners, listed, clock.mono());
+            rollbackFilter.applySnapshot(next.runners, listed, clock.mono());
         std::set<runner_id> present;
         for (const runner &entry : listed) {
             present.insert(entry.id);
@@ -196,7 +196,7 @@
                  {"outdated", std::to_string(rollbackFilter.countOutdated())}});
 }
 
-void catalogue_keeper::putRunner(catalogue &next, const runner &entry)
+void catalogue_updater::putRunner(catalogue &next, const runner &entry)
 {
     if (rollbackFilter.isOutdated(entry))
         return;
@@ -210,11 +210,11 @@
                  {"address", textOf(entry.address)},
                  {"stage", std::string(nameOf(entry.stage))},
                  {"draining", entry.isDraining ? "yes" : "no"},
-                 {"born", std::to_string(entry.bornMs)},
+                 {"born", std::to_string(entry.startedAtMs)},
                  {"writes", std::to_string(entry.writes)}});
 }
 
-void catalogue_keeper::takeChanges(const std::vector<runner_change> &changes)
+void catalogue_updater::applyChanges(const std::vector<runner_change> &changes)
 {
     publisher.update([&](catalogue &next) {
         for (const runner_change &change : changes) {
@@ -227,9 +227,9 @@
     });
 }
 
-void catalogue_keeper::settle()
+void catalogue_updater::applyTimeouts()
 {
-    const std::vector<runner> accepted = rollbackFilter.takeOverdue(clock.mono());
+    const std::vector<runner> accepted = rollbackFilter.takeTimedOut(clock.mono());
     if (!accepted.empty()) {
         publisher.update([&](catalogue &next) {
             for (const runner &entry : accepted)
--- a/src/gateway/suspect_book.cpp
+++ b/src/gateway/crash_table.cpp
@@ -1,4 +1,4 @@
-#include "gateway/suspect_book.h"
+#include "gateway/crash_table.h"
 
 #include "poplarspool/base/hash.h"
 #include "poplarspool/gateway/limits.h"
@@ -9,17 +9,19 @@
 
 namespace {
 
-std::size_t countedEnds(const suspect &one)
+std::size_t countedEnds(const crash_record &one)
 {
-    return static_cast<std::size_t>(std::ranges::count_if(
-            one.lives, [&](const ended_life &each) { return each.endedMs > one.servedMs; }));
+    return static_cast<std::size_t>(
+            std::ranges::count_if(one.incarnations, [&](const ended_incarnation &each) {
+                return each.endedAtMs > one.servedAtMs;
+            }));
 }
 
-std::int64_t lastEndOf(const suspect &one)
+std::int64_t lastEndOf(const crash_record &one)
 {
     std::int64_t last = 0;
-    for (const ended_life &each : one.lives)
-        last = std::max(last, each.endedMs);
+    for (const ended_incarnation &each : one.incarnations)
+        last = std::max(last, each.endedAtMs);
     return last;
 }
 
@@ -27,52 +29,54 @@
 /// sent three times in the first day.
 milliseconds quarantineTime(std::size_t count)
 {
-    milliseconds time = config::quarantineTimeFirst;
-    for (std::size_t more = config::quarantineLives; more < count; ++more)
-        time = std::min<milliseconds>(time * config::quarantineGrowth, config::quarantineTimeMost);
+    milliseconds time = config::initialQuarantineTime;
+    for (std::size_t more = config::quarantineIncarnations; more < count; ++more)
+        time = std::min<milliseconds>(time * config::quarantineGrowth, config::maxQuarantineTime);
     return time;
 }
 
-void addIncarnation(std::vector<ended_life> &incarnations, const ended_life &one)
+void addIncarnation(std::vector<ended_incarnation> &incarnations, const ended_incarnation &one)
 {
-    const auto place = std::ranges::lower_bound(incarnations, one.life, {}, &ended_life::life);
-    if (place != incarnations.end() && place->life == one.life)
-        place->endedMs = std::max(place->endedMs, one.endedMs);
+    const auto place = std::ranges::lower_bound(incarnations, one.incarnationKey, {},
+                                                &ended_incarnation::incarnationKey);
+    if (place != incarnations.end() && place->incarnationKey == one.incarnationKey)
+        place->endedAtMs = std::max(place->endedAtMs, one.endedAtMs);
     else
         incarnations.insert(place, one);
-    if (incarnations.size() > config::maxSuspectLives)
-        incarnations.erase(std::ranges::min_element(incarnations, {}, &ended_life::endedMs));
+    if (incarnations.size() > config::maxCrashIncarnations)
+        incarnations.erase(
+                std::ranges::min_element(incarnations, {}, &ended_incarnation::endedAtMs));
 }
 
 } // namespace
 
-std::uint64_t lifeKeyOf(const runner &target)
+std::uint64_t incarnationKeyOf(const runner &target)
 {
-    return hashOf(target.id.text, target.bornMs);
+    return hashOf(target.id.text, target.startedAtMs);
 }
 
-suspect joined(const suspect &a, const suspect &b)
+crash_record merged(const crash_record &a, const crash_record &b)
 {
-    suspect both = a;
-    both.servedMs = std::max(a.servedMs, b.servedMs);
-    for (const ended_life &each : b.lives)
-        addIncarnation(both.lives, each);
+    crash_record both = a;
+    both.servedAtMs = std::max(a.servedAtMs, b.servedAtMs);
+    for (const ended_incarnation &each : b.incarnations)
+        addIncarnation(both.incarnations, each);
     return both;
 }
 
 /// @attention The caller must hold `guard`.
-suspect &suspect_book::recordOf(std::uint64_t digest)
+crash_record &crash_table::recordOf(std::uint64_t digest)
 {
-    suspect &entry = records[digest];
+    crash_record &entry = records[digest];
     entry.digest = digest;
     return entry;
 }
 
 /// Evicts the records with the fewest counted ends, the oldest first.
 /// @attention The caller must hold `guard`.
-void suspect_book::evictExcess()
+void crash_table::evictExcess()
 {
-    while (records.size() > config::maxSuspects) {
+    while (records.size() > config::maxCrashRecords) {
         const auto fewest = std::ranges::min_element(records, {}, [](const auto &entry) {
             return std::pair(countedEnds(entry.second), lastEndOf(entry.second));
         });
@@ -82,9 +86,9 @@
 
 /// Recomputes which requests are in quarantine.
 /// @attention The caller must hold `guard`.
-void suspect_book::reassess()
+void crash_table::reassess()
 {
-    std::vector<std::pair<std::size_t, const suspect *>> order;
+    std::vector<std::pair<std::size_t, const crash_record *>> order;
     order.reserve(records.size());
     for (const auto &[digest, entry] : records)
         order.emplace_back(countedEnds(entry), &entry);
@@ -98,20 +102,20 @@
         if (count == 0)
             break;
         std::size_t unattributed = 0;
-        for (const ended_life &each : one->lives) {
-            const auto found = attributed.find(each.life);
+        for (const ended_incarnation &each : one->incarnations) {
+            const auto found = attributed.find(each.incarnationKey);
             const bool isAttributed = found != attributed.end() && found->second > count;
-            unattributed += each.endedMs > one->servedMs && !isAttributed ? 1 : 0;
+            unattributed += each.endedAtMs > one->servedAtMs && !isAttributed ? 1 : 0;
         }
         const auto previous = before->find(one->digest);
         const bool wasQuarantined = previous != before->end() && previous->second.untilMs > 0;
-        const bool isCause = unattributed >= config::quarantineLives;
+        const bool isCause = unattributed >= config::quarantineIncarnations;
         assessment assessed{count, 0};
-        if (isCause || (wasQuarantined && count >= config::quarantineLives))
+        if (isCause || (wasQuarantined && count >= config::quarantineIncarnations))
             assessed.untilMs = lastEndOf(*one) + quarantineTime(count).count();
         if (isCause) {
-            for (const ended_life &each : one->lives)
-                attributed.emplace(each.life, count);
+            for (const ended_incarnation &each : one->incarnations)
+                attributed.emplace(each.incarnationKey, count);
         }
         next.emplace(one->digest, assessed);
     }
@@ -121,25 +125,25 @@
     });
 }
 
-bool suspect_book::noteEnded(std::uint64_t digest, const ended_life &ended)
+bool crash_table::recordEnd(std::uint64_t digest, const ended_incarnation &ended)
 {
-    return join({suspect{digest, {ended}, 0}});
+    return merge({crash_record{digest, {ended}, 0}});
 }
 
-bool suspect_book::noteServed(std::uint64_t digest, std::int64_t nowMs)
+bool crash_table::recordServed(std::uint64_t digest, std::int64_t nowMs)
 {
-    if (countLives(digest) == 0)
+    if (countIncarnations(digest) == 0)
         return false;
-    return join({suspect{digest, {}, nowMs}});
+    return merge({crash_record{digest, {}, nowMs}});
 }
 
-bool suspect_book::join(const std::vector<suspect> &received)
+bool crash_table::merge(const std::vector<crash_record> &received)
 {
     const std::lock_guard lock(guard);
     bool isNew = false;
-    for (const suspect &one : received) {
-        suspect &entry = recordOf(one.digest);
-        suspect next = joined(entry, one);
+    for (const crash_record &one : received) {
+        crash_record &entry = recordOf(one.digest);
+        crash_record next = merged(entry, one);
         isNew = isNew || next != entry;
         entry = std::move(next);
     }
@@ -150,7 +154,7 @@
     return isNew;
 }
 
-std::optional<quarantine> suspect_book::quarantineOf(std::uint64_t digest, std::int64_t nowMs) const
+std::optional<quarantine> crash_table::quarantineOf(std::uint64_t digest, std::int64_t nowMs) const
 {
     const auto now = assessments.current();
     const auto found = now->find(digest);
@@ -159,47 +163,47 @@
     return quarantine{found->second.incarnations, milliseconds(found->second.untilMs - nowMs)};
 }
 
-std::size_t suspect_book::countLives(std::uint64_t digest) const
+std::size_t crash_table::countIncarnations(std::uint64_t digest) const
 {
     const auto now = assessments.current();
     const auto found = now->find(digest);
     return found == now->end() ? 0 : found->second.incarnations;
 }
 
-bool suspect_book::hasEnded(std::uint64_t incarnationKey) const
+bool crash_table::hasEnded(std::uint64_t incarnationKey) const
 {
     const std::lock_guard lock(guard);
     return std::ranges::any_of(records, [incarnationKey](const auto &entry) {
-        return std::ranges::binary_search(entry.second.lives, incarnationKey, {},
-                                          &ended_life::life);
+        return std::ranges::binary_search(entry.second.incarnations, incarnationKey, {},
+                                          &ended_incarnation::incarnationKey);
     });
 }
 
-std::vector<suspect> suspect_book::lasting() const
+std::vector<crash_record> crash_table::persistentRecords() const
 {
     const std::lock_guard lock(guard);
-    std::vector<suspect> persistent;
+    std::vector<crash_record> persistent;
     for (const auto &[digest, entry] : records) {
-        if (entry.lives.size() >= config::storedLives)
+        if (entry.incarnations.size() >= config::minStoredIncarnations)
             persistent.push_back(entry);
     }
-    std::ranges::stable_sort(persistent, std::ranges::greater{}, [](const suspect &one) {
+    std::ranges::stable_sort(persistent, std::ranges::greater{}, [](const crash_record &one) {
         return std::pair(countedEnds(one), lastEndOf(one));
     });
-    if (persistent.size() > config::maxStoredSuspects)
-        persistent.resize(config::maxStoredSuspects);
-    std::ranges::sort(persistent, {}, &suspect::digest);
+    if (persistent.size() > config::maxStoredCrashRecords)
+        persistent.resize(config::maxStoredCrashRecords);
+    std::ranges::sort(persistent, {}, &crash_record::digest);
     return persistent;
 }
 
-std::optional<suspect> suspect_book::find(std::uint64_t digest) const
+std::optional<crash_record> crash_table::find(std::uint64_t digest) const
 {
     const std::lock_guard lock(guard);
     const auto found = records.find(digest);
     return found == records.end() ? std::nullopt : std::optional(found->second);
 }
 
-std::uint64_t suspect_book::markAt(std::int64_t nowMs) const
+std::uint64_t crash_table::fingerprintAt(std::int64_t nowMs) const
 {
     std::uint64_t fingerprint = 0;
     const auto now = assessments.current();
@@ -207,7 +211,7 @@
         if (assessed.untilMs > nowMs)
             fingerprint ^= digest;
     }
-    constexpr std::uint64_t maxValue = (std::uint64_t{1} << config::suspectMarkBits) - 1;
+    constexpr std::uint64_t maxValue = (std::uint64_t{1} << config::quarantineMarkBits) - 1;
     return fingerprint == 0 ? 0 : fingerprint % maxValue + 1;
 }
 
--- a/src/gateway/suspect_book.h
+++ b/src/gateway/crash_table.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "poplarspool/base/published.h"
-#include "poplarspool/gateway/suspects.h"
+#include "poplarspool/gateway/crash_records.h"
 
 #include <map>
 #include <mutex>
@@ -14,8 +14,8 @@
 /// State of a request that must not be sent to any runner.
 struct quarantine
 {
-    std::size_t lives = 0; ///< Runner incarnations that ended while executing it.
-    milliseconds left{0}; ///< Time until it may be sent again.
+    std::size_t incarnations = 0; ///< Runner incarnations that ended while executing it.
+    milliseconds remaining{0}; ///< Time until it may be sent again.
 
     bool operator==(const quarantine &) const = default;
 };
@@ -27,35 +27,35 @@
 /// count against other requests with fewer recorded ends. Requests with the same recorded ends are
 /// quarantined together: if one excused the other, the cause could be released and go on crashing
 /// runners. A quarantine is lifted only when the request completes or when its time is over.
-class suspect_book
+class crash_table
 {
 public:
     /// Records that a runner ended while it executed the request.
     /// @returns Whether this was not known yet.
-    bool noteEnded(std::uint64_t digest, const ended_life &ended);
+    bool recordEnd(std::uint64_t digest, const ended_incarnation &ended);
     /// Records that the request completed.
     /// @returns Whether this cleared recorded ends.
-    bool noteServed(std::uint64_t digest, std::int64_t nowMs);
+    bool recordServed(std::uint64_t digest, std::int64_t nowMs);
     /// Merges records received from other instances or read from the store.
     /// @returns Whether they contained anything new.
-    bool join(const std::vector<suspect> &received);
+    bool merge(const std::vector<crash_record> &received);
 
     // Called for each request; lock-free.
 
     /// @returns Empty if the request may be sent.
     std::optional<quarantine> quarantineOf(std::uint64_t digest, std::int64_t nowMs) const;
     /// @returns The number of ended incarnations that count against the request.
-    std::size_t countLives(std::uint64_t digest) const;
+    std::size_t countIncarnations(std::uint64_t digest) const;
 
     bool hasEnded(std::uint64_t incarnationKey) const;
     /// @returns The records to persist in the store, so that after all instances were killed a few
     ///          more ends suffice to quarantine a request.
-    std::vector<suspect> lasting() const;
-    std::optional<suspect> find(std::uint64_t digest) const;
+    std::vector<crash_record> persistentRecords() const;
+    std::optional<crash_record> find(std::uint64_t digest) const;
     /// @returns A fingerprint of the set of requests in quarantine, equal for equal sets; 0 if
     /// there
-    ///          are none. It has config::suspectMarkBits bits.
-    std::uint64_t markAt(std::int64_t nowMs) const;
+    ///          are none. It has config::quarantineMarkBits bits.
+    std::uint64_t fingerprintAt(std::int64_t nowMs) const;
 
 private:
     struct assessment
@@ -65,12 +65,12 @@
     };
     using assessment_map = std::unordered_map<std::uint64_t, assessment>;
 
-    suspect &recordOf(std::uint64_t digest);
+    crash_record &recordOf(std::uint64_t digest);
     void evictExcess();
     void reassess();
 
     mutable std::mutex guard;
-    std::map<std::uint64_t, suspect> records; ///< By request digest.
+    std::map<std::uint64_t, crash_record> records; ///< By request digest.
     published<assessment_map> assessments{assessment_map{}};
 };
 
--- a/src/gateway/suspect_news.cpp
+++ b/src/gateway/crash_update.cpp
@@ -1,4 +1,4 @@
-#include "gateway/suspect_news.h"
+#include "gateway/crash_update.h"
 
 #include "gateway/envelope.h"
 #include "peer/codec.h"
@@ -20,29 +20,29 @@
 template <class Codec, class Incarnation, class Digests>
 void serializeEnd(Codec &codec, Incarnation &ended, Digests &digests)
 {
-    codec.fixed(ended.life);
-    codec.fixed(ended.endedMs);
+    codec.fixed(ended.incarnationKey);
+    codec.fixed(ended.endedAtMs);
     codec.list(digests, maxDigestsPerRumor, digestBytes,
                [](Codec &each, auto &digest) { each.fixed(digest); });
 }
 
-std::vector<suspect> decodeEnd(peer::decoder &in)
+std::vector<crash_record> decodeEnd(peer::decoder &in)
 {
-    ended_life ended;
+    ended_incarnation ended;
     std::vector<std::uint64_t> digests;
     serializeEnd(in, ended, digests);
-    std::vector<suspect> received;
+    std::vector<crash_record> received;
     received.reserve(digests.size());
     for (const std::uint64_t digest : digests)
         received.push_back({digest, {ended}, 0});
     return received;
 }
 
-std::vector<suspect> decodeServed(peer::decoder &in)
+std::vector<crash_record> decodeServed(peer::decoder &in)
 {
-    suspect received;
+    crash_record received;
     in.fixed(received.digest);
-    in.fixed(received.servedMs);
+    in.fixed(received.servedAtMs);
     return {received};
 }
 
@@ -56,33 +56,34 @@
         const auto begin = report.digests.begin() + static_cast<std::ptrdiff_t>(first);
         const std::vector<std::uint64_t> part(begin, begin + static_cast<std::ptrdiff_t>(count));
         auto payload =
-                peer::encoded([&](peer::encoder &out) { serializeEnd(out, report.life, part); });
+                peer::tryEncode([&](peer::encoder &out) { serializeEnd(out, report.ended, part); });
         // The count is the version: a report with more requests replaces the earlier rumor.
         if (succeeded(payload))
-            rumors.push_back({std::string(endedPrefix) + digestText(report.life.life) + "/"
-                                      + std::to_string(first) + "/" + digestText(hashOf(self.text)),
+            rumors.push_back({std::string(endedPrefix) + digestText(report.ended.incarnationKey)
+                                      + "/" + std::to_string(first) + "/"
+                                      + digestText(hashOf(self.text)),
                               count, std::move(valueOf(payload))});
     }
     return rumors;
 }
 
-peer::rumor servedRumor(std::uint64_t digest, std::int64_t servedMs)
+peer::rumor servedRumor(std::uint64_t digest, std::int64_t servedAtMs)
 {
     peer::encoder out;
     out.fixed(digest);
-    out.fixed(servedMs);
-    return {std::string(servedPrefix) + digestText(digest), static_cast<std::uint64_t>(servedMs),
+    out.fixed(servedAtMs);
+    return {std::string(servedPrefix) + digestText(digest), static_cast<std::uint64_t>(servedAtMs),
             out.take()};
 }
 
-result<std::vector<suspect>> suspectsIn(const peer::rumor &rumor)
+result<std::vector<crash_record>> decodeCrashRecords(const peer::rumor &rumor)
 {
     const bool isEnd = rumor.key.starts_with(endedPrefix);
     if (!isEnd && !rumor.key.starts_with(servedPrefix))
-        return std::vector<suspect>{};
+        return std::vector<crash_record>{};
     try {
         peer::decoder in(rumor.payload);
-        std::vector<suspect> received = isEnd ? decodeEnd(in) : decodeServed(in);
+        std::vector<crash_record> received = isEnd ? decodeEnd(in) : decodeServed(in);
         in.finish();
         return received;
     } catch (const std::exception &) {
--- a/src/gateway/suspect_news.h
+++ b/src/gateway/crash_update.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "poplarspool/gateway/suspects.h"
+#include "poplarspool/gateway/crash_records.h"
 #include "poplarspool/peer/gossip.h"
 
 #include <vector>
@@ -13,17 +13,17 @@
 /// instance.
 struct end_report
 {
-    ended_life life;
+    ended_incarnation ended;
     std::vector<std::uint64_t> digests;
 };
 
 /// @returns The report, split into as many rumors as the size limit requires.
 std::vector<peer::rumor> rumorsOf(const instance_id &self, const end_report &report);
 /// @returns A rumor that the request has completed.
-/// @param servedMs Unix time in ms.
-peer::rumor servedRumor(std::uint64_t digest, std::int64_t servedMs);
+/// @param servedAtMs Unix time in ms.
+peer::rumor servedRumor(std::uint64_t digest, std::int64_t servedAtMs);
 
 /// @returns The records in the rumor; empty if it is of another kind, Broken if it is malformed.
-result<std::vector<suspect>> suspectsIn(const peer::rumor &rumor);
+result<std::vector<crash_record>> decodeCrashRecords(const peer::rumor &rumor);
 
 } // namespace poplarspool::gateway
--- a/src/gateway/engine_time.cpp
+++ b/src/gateway/engine_time.cpp
@@ -1,5 +1,5 @@
 #include "poplarspool/gateway/limits.h"
-#include "poplarspool/gateway/placing.h"
+#include "poplarspool/gateway/placement.h"
 
 #include <algorithm>
 #include <cmath>
@@ -25,7 +25,7 @@
 
 } // namespace
 
-double readingTimeMs(engine_stage stage, std::uint32_t promptTokens, std::uint32_t cached)
+double prefillTimeMs(engine_stage stage, std::uint32_t promptTokens, std::uint32_t cached)
 {
     const double cachedTokens = std::min(cached, promptTokens);
     const double tokensLeft = promptTokens - cachedTokens;
@@ -41,17 +41,17 @@
 /// expected if another instance's prompts came before them or if a cache entry was evicted, and
 /// would distort a mean. With this quantile, four in five of the requests that are expected to be
 /// just on time are on time.
-engine_pace learnPace(const engine_pace &pace, double expectedMs, double tookMs)
+engine_pace updatePace(const engine_pace &pace, double expectedMs, double tookMs)
 {
     engine_pace next = pace;
-    const bool isSlower = tookMs > expectedMs + pace.firstMs;
+    const bool isSlower = tookMs > expectedMs + pace.firstTokenMs;
     const double step =
-            isSlower ? 1 + config::paceStep * config::onTimeOdds : 1 / (1 + config::paceStep);
-    if (expectedMs > config::tellingReadMs)
-        next.scale =
-                std::clamp(pace.scale * step, 1 / config::mostPaceScale, config::mostPaceScale);
+            isSlower ? 1 + config::paceStep * config::slowPromptWeight : 1 / (1 + config::paceStep);
+    if (expectedMs > config::minPaceSampleMs)
+        next.scale = std::clamp(pace.scale * step, 1 / config::maxPaceScale, config::maxPaceScale);
     else
-        next.firstMs = std::clamp(pace.firstMs * step, config::leastFirstMs, config::mostFirstMs);
+        next.firstTokenMs = std::clamp(pace.firstTokenMs * step, config::minFirstTokenMs,
+                                       config::maxFirstTokenMs);
     return next;
 }
 
--- a/src/gateway/envelope.cpp
+++ b/src/gateway/envelope.cpp
@@ -74,9 +74,9 @@
 bool isReplaced(std::string_view name, const dialect &names, const send_extras &extras)
 {
     return equalsIgnoringCase(name, names.timeLimitMs)
-            || (!extras.lastEvent.empty() && equalsIgnoringCase(name, names.lastEvent))
+            || (!extras.lastEventId.empty() && equalsIgnoringCase(name, names.lastEventId))
             || (extras.hidesKey && equalsIgnoringCase(name, names.key))
-            || containsName(names.reserved, name);
+            || containsName(names.reservedHeaders, name);
 }
 
 void appendExtras(std::string &text, const dialect &names, const send_extras &extras)
@@ -85,8 +85,8 @@
     appendHeader(text, names.expectedRunner, extras.runner);
     if (extras.priority)
         appendHeader(text, names.priority, std::to_string(*extras.priority));
-    if (!extras.lastEvent.empty())
-        appendHeader(text, names.lastEvent, extras.lastEvent);
+    if (!extras.lastEventId.empty())
+        appendHeader(text, names.lastEventId, extras.lastEventId);
     if (!extras.kvSource.empty())
         appendHeader(text, names.kvSource, extras.kvSource);
     if (!extras.kvFetch.empty())
@@ -103,7 +103,7 @@
 {
     envelope read;
     read.id = headerOf(request.headers, names.requestId);
-    read.lastEvent = headerOf(request.headers, names.lastEvent);
+    read.lastEventId = headerOf(request.headers, names.lastEventId);
     const auto limit = numberOf<std::int64_t>(headerOf(request.headers, names.timeLimitMs));
     if (limit && *limit >= 0)
         read.timeLimit = milliseconds(*limit);
@@ -155,7 +155,7 @@
     return text.append(headEnd).append(request.body);
 }
 
-http_headers passedReplyHeaders(const http_headers &headers)
+http_headers forwardedReplyHeaders(const http_headers &headers)
 {
     const std::vector<std::string> ownNames = connectionNames(headers);
     http_headers passed;
--- a/src/gateway/envelope.h
+++ b/src/gateway/envelope.h
@@ -26,7 +26,7 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t outputTokens = 0; ///< Maximum.
     std::vector<prompt_part> prompt;
-    std::string lastEvent;
+    std::string lastEventId;
 
     bool operator==(const envelope &) const = default;
 };
@@ -51,7 +51,7 @@
     std::string runner;
     milliseconds timeLeft{0};
     std::optional<std::uint32_t> priority;
-    std::string lastEvent; ///< Empty: as the caller sent it.
+    std::string lastEventId; ///< Empty: as the caller sent it.
     std::string kvSource;
     std::string kvFetch;
     bool isPrefillOnly = false;
@@ -65,6 +65,6 @@
                               const send_extras &extras);
 
 /// @returns The headers of a runner's reply that are passed on to the caller.
-http_headers passedReplyHeaders(const http_headers &headers);
+http_headers forwardedReplyHeaders(const http_headers &headers);
 
 } // namespace poplarspool::gateway
--- a/src/gateway/fleet_keeper.cpp
+++ b/src/gateway/fleet_scaler.cpp
@@ -1,4 +1,4 @@
-#include "gateway/fleet_keeper.h"
+#include "gateway/fleet_scaler.h"
 
 #include "poplarspool/duties/limits.h"
 #include "poplarspool/scaling/limits.h"
@@ -7,20 +7,20 @@
 
 namespace poplarspool::gateway {
 
-fleet_keeper::fleet_keeper(fleet_tools given, duties::lease_store store, instance_id self,
-                           milliseconds leaseBound)
+fleet_scaler::fleet_scaler(fleet_scaler_dependencies given, duties::lease_store store,
+                           instance_id self, milliseconds leaseBound)
     : tools(std::move(given)),
       lease(std::move(store), std::move(self), leaseBound, tools.clock, tools.events),
       given(tools.metrics.counterOf("poplarspool_fleet_orders_total{end=\"taken\"}")),
       refused(tools.metrics.counterOf("poplarspool_fleet_orders_total{end=\"refused\"}")),
-      thread("fleet", config::fleetLookTime, stepFaultsOf(tools.events, tools.metrics),
-             [this] { look(); })
+      thread("fleet", config::fleetInterval, stepFailureReporterOf(tools.events, tools.metrics),
+             [this] { runOnce(); })
 { }
 
 /// The initial size of the fleet is the one to maintain; later sizes are the result of orders and
 /// losses. While a fleet starts, its runners register one after the other, so the size is final
 /// only once it has not grown for a while.
-void fleet_keeper::updateSizesSettled(const catalogue &known)
+void fleet_scaler::updateSizesSettled(const catalogue &known)
 {
     const mono_time now = tools.clock.mono();
     const auto regular = static_cast<std::size_t>(std::ranges::count_if(
@@ -34,22 +34,22 @@
 }
 
 /// @returns Whether the orders placed by previous lease holders are known.
-bool fleet_keeper::readCheckpoint()
+bool fleet_scaler::readCheckpoint()
 {
     if (isCheckpointRead)
         return true;
-    const auto present = lease.findFree();
+    const auto present = lease.readIfAvailable();
     if (!present)
         return false;
-    const auto note = scaling::decodeFleetNote(present->note);
+    const auto note = scaling::decodeFleetCheckpoint(present->checkpoint);
     if (!note && present->version.revision != 0)
         tools.events.emit("fleet_note_unreadable", {{"holder", present->holder.text}});
     if (note) {
         const mono_time now = tools.clock.mono();
-        for (const scaling::given_order &one : note->given)
+        for (const scaling::issued_order &one : note->issued)
             capacities[{one.service, one.order.zone, one.order.isSpot}] = {
                     .ordered = one.order.wanted, .orderedAt = now};
-        for (const scaling::given_order &one : note->sizes)
+        for (const scaling::issued_order &one : note->sizes)
             sizes[{one.service, one.order.zone}] = one.order.wanted;
         areSizesSettled = !sizes.empty();
     }
@@ -57,9 +57,9 @@
     return true;
 }
 
-void fleet_keeper::look()
+void fleet_scaler::runOnce()
 {
-    const auto known = tools.hub.current();
+    const auto known = tools.publisher.current();
     if (!known->table || !known->areRunnersKnown || !tools.isOwner()) {
         isCheckpointRead = areSizesSettled = false;
         capacities.clear();
@@ -71,30 +71,31 @@
     if (!std::ranges::any_of(known->table->services, canScale) || now < nextAttemptAt)
         return;
     if (!readCheckpoint()) {
-        nextAttemptAt = now + config::dutyTryPause;
+        nextAttemptAt = now + config::dutyRetryInterval;
         return;
     }
     updateSizesSettled(*known);
-    const std::vector<scaling::given_order> orders = planAll(*known);
+    const std::vector<scaling::issued_order> orders = planAll(*known);
     if (orders.empty())
         return;
-    nextAttemptAt = now + config::dutyTryPause;
-    const auto present = lease.findFree();
+    nextAttemptAt = now + config::dutyRetryInterval;
+    const auto present = lease.readIfAvailable();
     if (!present)
         return;
-    const auto term = lease.take(*present, scaling::encode(checkpointWith(orders)));
+    const auto term = lease.acquire(*present, scaling::encode(checkpointWith(orders)));
     if (!term)
         return;
-    for (const scaling::given_order &one : orders)
+    for (const scaling::issued_order &one : orders)
         placeOrder(one, *term);
 }
 
-std::vector<scaling::zone_fleet> fleet_keeper::zonesOf(const catalogue &known, const service &one)
+std::vector<scaling::zone_fleet> fleet_scaler::zonesOf(const catalogue &known, const service &one)
 {
     std::map<zone_id, scaling::zone_fleet> zones;
     for (const auto &entry : known.runners) {
         const runner &target = *entry.second;
-        if (target.service != one.id || target.isDraining || target.keptUntil != mono_time::max())
+        if (target.service != one.id || target.isDraining
+            || target.retainedUntil != mono_time::max())
             continue;
         scaling::zone_fleet &zone = zones[target.zone];
         ++(target.isSpot ? zone.spot : zone.regular);
@@ -115,7 +116,7 @@
         const capacity_state &spot = capacities[{one.id.text, id, true}];
         zone.regularOrdered = capacities[{one.id.text, id, false}].ordered;
         zone.spotOrdered = spot.ordered;
-        zone.isSpotDry = tools.clock.mono() < spot.noCapacityUntil;
+        zone.isSpotUnavailable = tools.clock.mono() < spot.noCapacityUntil;
         found.push_back(zone);
     }
     return found;
@@ -123,11 +124,11 @@
 
 /// Discards orders whose runners are missing, so that they are ordered again: the order was lost,
 /// or the runners were reclaimed.
-void fleet_keeper::expireUnfilledOrders(const scaling::fleet_traits &traits,
+void fleet_scaler::expireUnfilledOrders(const scaling::fleet_traits &traits,
                                         const std::string &service, const scaling::zone_fleet &zone)
 {
     const mono_time now = tools.clock.mono();
-    const milliseconds timeout = traits.bootTime + config::fleetPatience;
+    const milliseconds timeout = traits.bootTime + config::fleetOrderTimeout;
     for (const bool isSpot : {false, true}) {
         capacity_state &state = capacities[{service, zone.zone, isSpot}];
         const std::uint32_t present = isSpot ? zone.spot : zone.regular;
@@ -140,9 +141,9 @@
     }
 }
 
-std::vector<scaling::given_order> fleet_keeper::planAll(const catalogue &known)
+std::vector<scaling::issued_order> fleet_scaler::planAll(const catalogue &known)
 {
-    std::vector<scaling::given_order> orders;
+    std::vector<scaling::issued_order> orders;
     for (const service &one : known.table->services) {
         if (!one.scaling)
             continue;
@@ -155,16 +156,16 @@
 
 /// Includes the orders that are about to be placed: the next lease holder must not assume that less
 /// was ordered.
-scaling::fleet_note
-fleet_keeper::checkpointWith(const std::vector<scaling::given_order> &orders) const
+scaling::fleet_checkpoint
+fleet_scaler::checkpointWith(const std::vector<scaling::issued_order> &orders) const
 {
     auto all = capacities;
-    for (const scaling::given_order &one : orders)
+    for (const scaling::issued_order &one : orders)
         all[{one.service, one.order.zone, one.order.isSpot}].ordered = one.order.wanted;
-    scaling::fleet_note note;
+    scaling::fleet_checkpoint note;
     for (const auto &[about, state] : all) {
         if (state.ordered)
-            note.given.push_back(
+            note.issued.push_back(
                     {std::get<0>(about), {std::get<1>(about), std::get<2>(about), *state.ordered}});
     }
     for (const auto &[place, size] : sizes)
@@ -172,15 +173,15 @@
     return note;
 }
 
-void fleet_keeper::placeOrder(const scaling::given_order &order, const duties::lease_term &term)
+void fleet_scaler::placeOrder(const scaling::issued_order &order, const duties::lease_term &term)
 {
-    const auto taken = tools.sink.give(order, term);
+    const auto taken = tools.sink.placeOrder(order, term);
     capacity_state &state = capacities[{order.service, order.order.zone, order.order.isSpot}];
     const mono_time now = tools.clock.mono();
     if (succeeded(taken))
         state = {.ordered = order.order.wanted, .orderedAt = now};
     else if (errorOf(taken).code == error_code::Conflict)
-        state.noCapacityUntil = now + config::fleetDryTime;
+        state.noCapacityUntil = now + config::capacityBackoffTime;
     (succeeded(taken) ? given : refused).add();
     tools.events.emit("fleet_order",
                       {{"service", order.service},
--- a/src/gateway/fleet_keeper.h
+++ b/src/gateway/fleet_scaler.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "poplarspool/base/look_thread.h"
 #include "poplarspool/base/metrics.h"
+#include "poplarspool/base/periodic_thread.h"
 #include "poplarspool/duties/lease.h"
 #include "poplarspool/gateway/catalogue.h"
 #include "poplarspool/gateway/fleet_sink.h"
@@ -13,9 +13,9 @@
 namespace poplarspool::gateway {
 
 /// What the fleet scaler needs from its instance.
-struct fleet_tools
+struct fleet_scaler_dependencies
 {
-    const catalogue_hub &hub;
+    const catalogue_publisher &publisher;
     const fleet_sink sink;
     const clock_source clock;
     journal &events;
@@ -27,10 +27,10 @@
 
 /// Periodically plans the runners of all scalable services and orders them from the platform, on a
 /// thread of its own.
-class fleet_keeper
+class fleet_scaler
 {
 public:
-    fleet_keeper(fleet_tools tools, duties::lease_store store, instance_id self,
+    fleet_scaler(fleet_scaler_dependencies tools, duties::lease_store store, instance_id self,
                  milliseconds leaseBound);
 
     void start() { thread.start(); }
@@ -39,7 +39,7 @@
 
     /// Runs one iteration: plans, and places the resulting orders. Called by the own thread and by
     /// tests.
-    void look();
+    void runOnce();
 
 private:
     /// Service, zone, and whether it is spot capacity.
@@ -57,13 +57,14 @@
     void updateSizesSettled(const catalogue &known);
     bool readCheckpoint();
     std::vector<scaling::zone_fleet> zonesOf(const catalogue &known, const service &one);
-    std::vector<scaling::given_order> planAll(const catalogue &known);
+    std::vector<scaling::issued_order> planAll(const catalogue &known);
     void expireUnfilledOrders(const scaling::fleet_traits &traits, const std::string &service,
                               const scaling::zone_fleet &zone);
-    void placeOrder(const scaling::given_order &order, const duties::lease_term &term);
-    scaling::fleet_note checkpointWith(const std::vector<scaling::given_order> &orders) const;
+    void placeOrder(const scaling::issued_order &order, const duties::lease_term &term);
+    scaling::fleet_checkpoint
+    checkpointWith(const std::vector<scaling::issued_order> &orders) const;
 
-    const fleet_tools tools;
+    const fleet_scaler_dependencies tools;
     duties::duty_lease lease;
     counter &given;
     counter &refused;
@@ -75,7 +76,7 @@
     std::size_t maxRegularSeen = 0;
     mono_time changedAt{}; ///< When the maximum number of regular runners last grew.
     mono_time nextAttemptAt{};
-    look_thread thread; ///< Declared last: stops before the members it uses are destroyed.
+    periodic_thread thread; ///< Declared last: stops before the members it uses are destroyed.
 };
 
 } // namespace poplarspool::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -3,9 +3,9 @@
 #include "base/connection_pool.h"
 #include "base/socket.h"
 #include "gateway/caller_limits.h"
-#include "gateway/fleet_keeper.h"
-#include "gateway/request_relay.h"
-#include "gateway/stage_keeper.h"
+#include "gateway/fleet_scaler.h"
+#include "gateway/request_proxy.h"
+#include "gateway/stage_manager.h"
 #include "poplarspool/base/hash.h"
 #include "poplarspool/gateway/limits.h"
 #include "poplarspool/peer/gossip.h"
@@ -27,11 +27,11 @@
     made.self.zone = settings.zone;
     made.self.callerAddress = settings.callerAddress;
     made.self.peerAddress = settings.peerAddress;
-    made.self.life = lifeOf(clock);
+    made.self.incarnation = incarnationOf(clock);
     made.key = peerKeyOf(settings);
-    made.roundTime = config::gatewayGossipTime;
-    made.suspectTime = config::gatewaySuspectTime;
-    made.deadTime = config::deadTime;
+    made.roundInterval = config::gatewayGossipInterval;
+    made.probeTimeout = config::gatewaySuspectTime;
+    made.suspicionTimeout = config::suspicionTimeout;
     made.fanout = config::gossipFanout;
     made.bytesPerSecond = config::gossipBytesPerSecond;
     return made;
@@ -54,9 +54,9 @@
     { }
 
     const std::uint64_t incarnationId = hashOf(randomHex128());
-    duties::usage_ledger table{incarnationId};
+    duties::usage_table table{incarnationId};
     duties::fleet_clock time;
-    const duties::usage_parts parts;
+    const duties::usage_context parts;
 };
 
 } // namespace
@@ -66,90 +66,96 @@
     state(gateway_settings given, dialect dialectNames, platform_links links, clock_source time,
           metrics_registry &registry, journal &eventLog)
         : settings(std::move(given)), names(std::move(dialectNames)), clock(std::move(time)),
-          events(eventLog), keeper(hub, settings.settleTime, clock, eventLog), ledger(clock),
-          retries({settings.retryShare, settings.retryExtra}),
-          connections(config::maxIdleRunnerConnections, config::runnerConnectTime, registry),
-          metrics(registry), suspects(suspectTools(), std::move(links.suspects), settings.instance,
-                                      clock, registry, eventLog),
-          parts{names,
-                hub,
-                ledger,
-                retries,
-                connections,
-                metrics,
-                events,
-                clock,
-                settings.zone,
-                leavesAt,
-                suspects,
-                hashOf(peerKeyOf(settings)),
-                hasDuty(settings, usageDuty) ? &usage.parts : nullptr,
-                settings.isRevokeStrict ? settings.revokeTime : milliseconds::max()},
+          events(eventLog), catalogueUpdater(publisher, settings.settleTime, clock, eventLog),
+          runnerTable(clock), retries({settings.retryShare, settings.retryExtra}),
+          connections(config::maxIdleRunnerConnections, config::runnerConnectTimeout, registry),
+          metrics(registry), quarantineManager(quarantineTools(), std::move(links.crashRecords),
+                                               settings.instance, clock, registry, eventLog),
+          proxyContext{names,
+                       publisher,
+                       runnerTable,
+                       retries,
+                       connections,
+                       metrics,
+                       events,
+                       clock,
+                       settings.zone,
+                       leavesAt,
+                       quarantineManager,
+                       hashOf(peerKeyOf(settings)),
+                       hasDuty(settings, usageDuty) ? &usage.parts : nullptr,
+                       settings.isRevokeStrict ? settings.revokeTime : milliseconds::max()},
           members(gossipSettingsOf(settings, clock),
-                  {{}, [this](const peer::rumor &news) { suspects.take(news); }}, clock, registry,
-                  eventLog),
-          loads(
-                  {settings.instance, lifeOf(clock), settings.loadAddress, peerKeyOf(settings)},
-                  [this](peer::news_audience audience) { return ledger.collectNews(audience); },
-                  [this](std::uint64_t sender, const peer::load_news &news) {
-                      ledger.takeNews(sender, news);
+                  {{}, [this](const peer::rumor &news) { quarantineManager.onRumor(news); }}, clock,
+                  registry, eventLog),
+          loadExchange(
+                  {settings.instance, incarnationOf(clock), settings.loadAddress,
+                   peerKeyOf(settings)},
+                  [this](peer::update_recipients audience) {
+                      return runnerTable.collectUpdate(audience);
+                  },
+                  [this](std::uint64_t sender, const peer::load_update &news) {
+                      runnerTable.applyUpdate(sender, news);
                   },
                   clock, registry, eventLog),
-          callers(
+          callerServer(
                   "callers", settings.callerAddress, defaultHttpLimits(),
                   [this](const http_request &request, http_sink &caller) {
-                      return relay(request, caller);
+                      return forward(request, caller);
                   },
                   registry, &eventLog),
-          stages({hub, ledger, connections, names, clock, eventLog,
-                  registry.counterOf("poplarspool_gateway_stage_orders_total"),
-                  stepFaultsOf(eventLog, registry), [this] { return owns(stagesRole); }},
-                 std::move(links.stages), settings.instance, settings.leaseBound)
+          stageManager({publisher, runnerTable, connections, names, clock, eventLog,
+                        registry.counterOf("poplarspool_gateway_stage_orders_total"),
+                        stepFailureReporterOf(eventLog, registry),
+                        [this] { return owns(stagesRole); }},
+                       std::move(links.stageLeases), settings.instance, settings.leaseBound)
     {
         if (hasDuty(settings, usageDuty))
-            addUsage(std::move(links.usage), std::move(links.usageSink), registry);
-        if (hasDuty(settings, fleetDuty) && settings.ordersSpot)
-            fleet.emplace(fleet_tools{hub, std::move(links.fleetSink), clock, eventLog, registry,
-                                      [this] { return owns(fleetRole); }},
-                          std::move(links.fleet), settings.instance, settings.leaseBound);
+            addUsage(std::move(links.usageLeases), std::move(links.usageSink), registry);
+        if (hasDuty(settings, fleetDuty) && settings.usesSpotRunners)
+            fleetScaler.emplace(fleet_scaler_dependencies{publisher, std::move(links.fleetSink),
+                                                          clock, eventLog, registry,
+                                                          [this] { return owns(fleetRole); }},
+                                std::move(links.fleetLeases), settings.instance,
+                                settings.leaseBound);
     }
 
     /// The manager's thread sends to other members through `members`, which is destroyed before
     /// it.
-    ~state() { suspects.stop(); }
+    ~state() { quarantineManager.stop(); }
     state(const state &) = delete;
     state &operator=(const state &) = delete;
 
     bool owns(std::string_view role) const;
     void addUsage(duties::lease_store leases, duties::usage_sink sink, metrics_registry &registry);
-    suspect_tools suspectTools();
-    std::optional<http_reply> relay(const http_request &request, http_sink &caller);
-    void followTable();
+    quarantine_dependencies quarantineTools();
+    std::optional<http_reply> forward(const http_request &request, http_sink &caller);
+    void applyCallerLimits();
 
     const gateway_settings settings;
     const milliseconds leaveTime{static_cast<std::int64_t>(settings.leaveSeconds * 1000)};
     const dialect names;
     const clock_source clock;
     journal &events;
-    catalogue_hub hub{catalogue{}};
-    catalogue_keeper keeper;
-    runner_ledger ledger;
+    catalogue_publisher publisher{catalogue{}};
+    catalogue_updater catalogueUpdater;
+    runner_table runnerTable;
     retry_budgets retries;
     connection_pool connections;
-    relay_metrics metrics;
+    proxy_metrics metrics;
     usage_count usage{clock, durationOf(settings.usageWindowSeconds)};
-    suspect_keeper suspects;
+    quarantine_manager quarantineManager;
     std::atomic<std::int64_t> leavesAt{INT64_MAX};
     std::atomic<bool> isLeaving{false};
     std::atomic<std::uint64_t> limitsVersion{0};
-    const relay_parts parts;
+    const proxy_context proxyContext;
     peer::gossip members;
-    peer::load_exchange loads;
-    http_server callers;
-    stage_keeper stages;
-    std::optional<duties::usage_exchange> usageNews; ///< None: usage is not reported.
-    std::optional<duties::usage_keeper> usageKeeper;
-    std::optional<fleet_keeper> fleet; ///< None: runners are not ordered.
+    peer::load_exchange loadExchange;
+    http_server callerServer;
+    stage_manager stageManager;
+    std::optional<duties::usage_exchange> usageExchange; ///< None: usage is not reported.
+    std::optional<duties::usage_reporter> usageReporter;
+    std::optional<fleet_scaler> fleetScaler; ///< None: runners are not ordered.
     mono_time leftAt{};
 };
 
@@ -163,26 +169,27 @@
 void gateway::state::addUsage(duties::lease_store leases, duties::usage_sink sink,
                               metrics_registry &registry)
 {
-    usageNews.emplace(
-            peer::datagram_settings{settings.instance, lifeOf(clock), usageAddressOf(settings),
-                                    peerKeyOf(settings)},
+    usageExchange.emplace(
+            peer::datagram_settings{settings.instance, incarnationOf(clock),
+                                    usageAddressOf(settings), peerKeyOf(settings)},
             usage.incarnationId, usage.parts, [this] { return members.members(); }, clock, registry,
             events);
-    usageKeeper.emplace(duties::usage_tools{usage.parts, durationOf(settings.usageLateSeconds),
-                                            std::move(sink), clock, events, registry,
-                                            [this] { return owns(usageRole); }},
-                        std::move(leases), settings.instance, settings.leaseBound);
+    usageReporter.emplace(
+            duties::usage_reporter_dependencies{usage.parts, durationOf(settings.usageLateSeconds),
+                                                std::move(sink), clock, events, registry,
+                                                [this] { return owns(usageRole); }},
+            std::move(leases), settings.instance, settings.leaseBound);
 }
 
-suspect_tools gateway::state::suspectTools()
+quarantine_dependencies gateway::state::quarantineTools()
 {
-    suspect_tools made;
-    made.isRefused = [](const endpoint &to) {
-        return isRefused(to, socket_clock::now() + config::endedCheckTime);
+    quarantine_dependencies made;
+    made.isConnectionRefused = [](const endpoint &to) {
+        return isConnectionRefused(to, socket_clock::now() + config::endedCheckTimeout);
     };
-    made.spread = [this](peer::rumor news) { members.spread(std::move(news)); };
-    made.setMark = [this](std::uint64_t mark) { members.setApplied(mark, clock.mono()); };
-    made.marks = [this] {
+    made.spreadRumor = [this](peer::rumor news) { members.spread(std::move(news)); };
+    made.setFingerprint = [this](std::uint64_t mark) { members.setApplied(mark, clock.mono()); };
+    made.fingerprints = [this] {
         std::vector<std::uint64_t> marks;
         for (const policy::member &one : members.members()) {
             if (one.id != settings.instance)
@@ -190,24 +197,24 @@
         }
         return marks;
     };
-    made.confirmedAt = [this] { return hub.current()->runnersConfirmedAt; };
+    made.storeConfirmedAt = [this] { return publisher.current()->runnersConfirmedAt; };
     return made;
 }
 
-std::optional<http_reply> gateway::state::relay(const http_request &request, http_sink &caller)
+std::optional<http_reply> gateway::state::forward(const http_request &request, http_sink &caller)
 {
-    followTable();
-    return request_relay(parts, request, caller).run();
+    applyCallerLimits();
+    return request_proxy(proxyContext, request, caller).run();
 }
 
 /// Applies the callers' limits, which are part of the routes' configuration.
-void gateway::state::followTable()
+void gateway::state::applyCallerLimits()
 {
-    const auto now = hub.current();
+    const auto now = publisher.current();
     if (!now->table || limitsVersion.exchange(now->table->version) == now->table->version)
         return;
-    callers.setLimits(callerLimitsOf(now->table->bounds));
-    ledger.forgetAllBut(now->runners);
+    callerServer.setLimits(callerLimitsOf(now->table->callerLimits));
+    runnerTable.removeUnlisted(now->runners);
 }
 
 gateway::gateway(gateway_settings settings, dialect names, platform_links links, clock_source clock,
@@ -223,31 +230,31 @@
     const auto gossipStarted = inner->members.start();
     if (!succeeded(gossipStarted))
         return errorOf(gossipStarted);
-    const auto exchangeStarted = inner->loads.start();
+    const auto exchangeStarted = inner->loadExchange.start();
     if (!succeeded(exchangeStarted))
         return errorOf(exchangeStarted);
-    const auto serverStarted = inner->callers.start();
+    const auto serverStarted = inner->callerServer.start();
     if (!succeeded(serverStarted))
         return errorOf(serverStarted);
-    if (inner->usageNews) {
-        const auto usageStarted = inner->usageNews->start();
+    if (inner->usageExchange) {
+        const auto usageStarted = inner->usageExchange->start();
         if (!succeeded(usageStarted))
             return errorOf(usageStarted);
-        inner->usageKeeper->start();
+        inner->usageReporter->start();
     }
-    if (inner->fleet)
-        inner->fleet->start();
-    inner->stages.start();
-    inner->suspects.start();
+    if (inner->fleetScaler)
+        inner->fleetScaler->start();
+    inner->stageManager.start();
+    inner->quarantineManager.start();
     return unit{};
 }
 
-catalogue_keeper &gateway::keeper()
+catalogue_updater &gateway::catalogueUpdater()
 {
-    return inner->keeper;
+    return inner->catalogueUpdater;
 }
 
-void gateway::setListed(const std::vector<listed_gateway> &listed)
+void gateway::setInstances(const std::vector<listed_gateway> &listed)
 {
     std::vector<endpoint> contacts;
     std::vector<endpoint> near;
@@ -259,18 +266,18 @@
         (one.zone == inner->settings.zone ? near : far).push_back(one.loadAddress);
     }
     inner->members.setContacts(std::move(contacts));
-    inner->loads.setPeers(std::move(near), std::move(far));
+    inner->loadExchange.setPeers(std::move(near), std::move(far));
     inner->retries.setInstances(std::max(listed.size(), inner->members.members().size()));
 }
 
-void gateway::noteOlderCopy()
+void gateway::recordStoreRollback()
 {
-    inner->suspects.restore();
+    inner->quarantineManager.recordStoreRollback();
 }
 
 bool gateway::isReady() const
 {
-    const auto now = inner->hub.current();
+    const auto now = inner->publisher.current();
     return now->table && now->areRunnersKnown && !inner->isLeaving.load();
 }
 
@@ -287,7 +294,7 @@
         if (one.zone == callerZone)
             near.push_back(one.callerAddress);
     }
-    return near.size() >= config::enoughNearAddresses ? near : all;
+    return near.size() >= config::minZoneAddresses ? near : all;
 }
 
 void gateway::leave()
@@ -299,13 +306,13 @@
     inner->members.setLeaving();
     // The threads are joined only in finish(): with a slow store, waiting here would delay the
     // announcement to callers.
-    inner->stages.requestStop();
-    if (inner->usageKeeper)
-        inner->usageKeeper->requestStop();
-    if (inner->fleet)
-        inner->fleet->requestStop();
-    inner->suspects.leave();
-    inner->callers.announceEnd();
+    inner->stageManager.requestStop();
+    if (inner->usageReporter)
+        inner->usageReporter->requestStop();
+    if (inner->fleetScaler)
+        inner->fleetScaler->requestStop();
+    inner->quarantineManager.stopStoreAccess();
+    inner->callerServer.announceShutdown();
     inner->events.emit("leaving", {{"time_ms", std::to_string(inner->leaveTime.count())}});
 }
 
@@ -314,19 +321,19 @@
 void gateway::finish()
 {
     const auto keep = std::chrono::duration_cast<milliseconds>(inner->settings.addressKeepTime)
-            + config::lastCallersTime;
+            + config::lateCallerTime;
     std::this_thread::sleep_for(std::min(keep, inner->leaveTime / 3));
-    inner->callers.stop();
-    inner->stages.stop();
-    if (inner->fleet)
-        inner->fleet->stop();
-    if (inner->usageNews) {
-        inner->usageKeeper->stop();
-        inner->usageNews->stop();
+    inner->callerServer.stop();
+    inner->stageManager.stop();
+    if (inner->fleetScaler)
+        inner->fleetScaler->stop();
+    if (inner->usageExchange) {
+        inner->usageReporter->stop();
+        inner->usageExchange->stop();
     }
-    inner->suspects.stop();
+    inner->quarantineManager.stop();
     inner->connections.stop();
-    inner->loads.stop();
+    inner->loadExchange.stop();
     inner->members.stop();
 }
 
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -7,9 +7,9 @@
     return "poplarspool-gateway:" + textOf(settings.storeAddress);
 }
 
-incarnation lifeOf(const clock_source &clock)
+incarnation_number incarnationOf(const clock_source &clock)
 {
-    return static_cast<incarnation>(clock.wall().time_since_epoch().count());
+    return static_cast<incarnation_number>(clock.wall().time_since_epoch().count());
 }
 
 } // namespace poplarspool::gateway
--- a/src/gateway/placing.cpp
+++ b/src/gateway/placement.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/gateway/placing.h"
+#include "poplarspool/gateway/placement.h"
 
 #include "poplarspool/base/hash.h"
 #include "poplarspool/gateway/limits.h"
@@ -10,11 +10,11 @@
 
 namespace {
 
-using candidate_list = std::vector<const place_candidate *>;
+using candidate_list = std::vector<const placement_candidate *>;
 
-bool isEjected(const place_candidate &one, mono_time now)
+bool isEjected(const placement_candidate &one, mono_time now)
 {
-    return one.load.setAsideUntil > now;
+    return one.load.ejectedUntil > now;
 }
 
 /// An engine without a stage does the work of all stages.
@@ -26,31 +26,32 @@
 
 /// Runners that may take the request. Ejected ones are included only if no other is left or if so
 /// many are ejected that the rest would be overloaded.
-candidate_list eligibleCandidates(const place_wish &query,
-                                  std::span<const place_candidate> candidates, engine_stage stage)
+candidate_list eligibleCandidates(const placement_query &query,
+                                  std::span<const placement_candidate> candidates,
+                                  engine_stage stage)
 {
     candidate_list all;
     candidate_list good;
-    for (const place_candidate &one : candidates) {
+    for (const placement_candidate &one : candidates) {
         if (one.target->service != query.service || one.target->isDraining || one.isTried
-            || one.isMisdirected || one.target->keptUntil <= query.now
+            || one.isMisdirected || one.target->retainedUntil <= query.now
             || !serves(*one.target, stage))
             continue;
         all.push_back(&one);
         if (!isEjected(one, query.now))
             good.push_back(&one);
     }
-    const auto least = static_cast<double>(all.size()) * config::leastOpenShare;
+    const auto least = static_cast<double>(all.size()) * config::minEligibleShare;
     return static_cast<double>(good.size()) >= least && !good.empty() ? good : all;
 }
 
 /// Uniformly distributed in [0, 1), and different for each pair of request and runner.
-double tieBreak(const place_wish &query, const runner &target)
+double tieBreak(const placement_query &query, const runner &target)
 {
-    return unitOf(hashOf(target.id.text, query.draw));
+    return toUnitInterval(hashOf(target.id.text, query.draw));
 }
 
-double serviceCost(const place_wish &query, const place_candidate &one)
+double serviceCost(const placement_query &query, const placement_candidate &one)
 {
     const auto slots = static_cast<double>(std::max(one.target->slots, 1U));
     const double zoneCost = one.target->zone == query.zone ? 0 : config::serviceCrossZoneCost;
@@ -59,14 +60,14 @@
             + config::tieBreakCost * tieBreak(query, *one.target);
 }
 
-std::variant<placement, no_place> chooseService(const place_wish &query,
-                                                std::span<const place_candidate> candidates)
+std::variant<placement, no_placement> chooseService(const placement_query &query,
+                                                    std::span<const placement_candidate> candidates)
 {
     const candidate_list open = eligibleCandidates(query, candidates, engine_stage::None);
     if (open.empty())
-        return no_place{};
+        return no_placement{};
     const auto best = std::ranges::min_element(
-            open, {}, [&](const place_candidate *one) { return serviceCost(query, *one); });
+            open, {}, [&](const placement_candidate *one) { return serviceCost(query, *one); });
     placement chosen;
     chosen.serving = (*best)->target;
     return chosen;
@@ -74,11 +75,12 @@
 
 /// The runner that all instances choose independently to prefill shared parts that no runner has
 /// cached: two runners that prefill them at the same time would do the work twice.
-const place_candidate *preferredEngineOf(const candidate_list &open, std::uint64_t key)
+const placement_candidate *preferredEngineOf(const candidate_list &open, std::uint64_t key)
 {
-    const auto preferred = std::ranges::max_element(open, {}, [key](const place_candidate *one) {
-        return hashOf(one->target->id.text, key);
-    });
+    const auto preferred =
+            std::ranges::max_element(open, {}, [key](const placement_candidate *one) {
+                return hashOf(one->target->id.text, key);
+            });
     return key == 0 || preferred == open.end() ? nullptr : *preferred;
 }
 
@@ -86,15 +88,15 @@
 /// engine, they would choose the same one, and its queue would be the longest before the update
 /// arrives. So each request considers a few randomly sampled engines and the preferred engine of
 /// its shared parts.
-candidate_list sampledCandidates(const place_wish &query, candidate_list engines)
+candidate_list sampledCandidates(const placement_query &query, candidate_list engines)
 {
-    if (std::ssize(engines) <= config::drawnEngines)
+    if (std::ssize(engines) <= config::sampledEngines)
         return engines;
-    const place_candidate *preferred = preferredEngineOf(engines, query.affinityKey);
+    const placement_candidate *preferred = preferredEngineOf(engines, query.affinityKey);
     std::ranges::partial_sort(
-            engines, engines.begin() + config::drawnEngines, {},
-            [&query](const place_candidate *one) { return tieBreak(query, *one->target); });
-    engines.resize(config::drawnEngines);
+            engines, engines.begin() + config::sampledEngines, {},
+            [&query](const placement_candidate *one) { return tieBreak(query, *one->target); });
+    engines.resize(config::sampledEngines);
     if (preferred != nullptr && std::ranges::find(engines, preferred) == engines.end())
         engines.push_back(preferred);
     return engines;
@@ -103,14 +105,14 @@
 /// The engine that has prefilled most of this prompt's beginning; null if none has. An engine that
 /// has only queued the prompt has nothing to copy yet: the requesting engine would have to prefill
 /// it in full.
-const place_candidate *cacheHolderOf(const place_wish &query,
-                                     std::span<const place_candidate> candidates)
+const placement_candidate *cacheHolderOf(const placement_query &query,
+                                         std::span<const placement_candidate> candidates)
 {
-    const place_candidate *holder = nullptr;
-    for (const place_candidate &one : candidates) {
-        const bool isUsable = one.target->service == query.service && one.readTokens > 0
+    const placement_candidate *holder = nullptr;
+    for (const placement_candidate &one : candidates) {
+        const bool isUsable = one.target->service == query.service && one.copyableTokens > 0
                 && !isEjected(one, query.now);
-        if (isUsable && (holder == nullptr || one.readTokens > holder->readTokens))
+        if (isUsable && (holder == nullptr || one.copyableTokens > holder->copyableTokens))
             holder = &one;
     }
     return holder;
@@ -119,8 +121,8 @@
 /// One way to prefill the prompt.
 struct prefill_option
 {
-    const place_candidate *at = nullptr;
-    const place_candidate *copyFrom = nullptr;
+    const placement_candidate *at = nullptr;
+    const placement_candidate *copyFrom = nullptr;
     double ownMs = 0; ///< For this prompt.
     double costMs = std::numeric_limits<double>::infinity(); ///< Including all penalties.
     double aheadMs = 0; ///< For the prompts before it.
@@ -130,39 +132,39 @@
 /// Inputs that all ways share.
 struct prefill_inputs
 {
-    const place_wish &query;
+    const placement_query &query;
     send_class urgency;
-    const place_candidate *holder;
-    const place_candidate *preferred;
+    const placement_candidate *holder;
+    const placement_candidate *preferred;
 };
 
-prefill_option prefillOptionAt(const prefill_inputs &inputs, const place_candidate &at,
-                               const place_candidate *copyFrom)
+prefill_option prefillOptionAt(const prefill_inputs &inputs, const placement_candidate &at,
+                               const placement_candidate *copyFrom)
 {
-    const place_wish &query = inputs.query;
+    const placement_query &query = inputs.query;
     const double slowness = std::max(at.load.slowness, 1.0);
     std::uint32_t cached = at.cachedTokens;
     prefill_option made;
     made.at = &at;
     double copyMs = 0;
     if (copyFrom != nullptr) {
-        copyMs = transferTimeMs(*query.engine, copyFrom->readTokens - cached);
-        cached = copyFrom->readTokens;
+        copyMs = transferTimeMs(*query.engine, copyFrom->copyableTokens - cached);
+        cached = copyFrom->copyableTokens;
         made.copyFrom = copyFrom;
         made.costMs = config::kvCopyCostMs;
     } else {
         made.costMs = 0;
     }
     // The copy occupies the engine as well.
-    made.ownMs = readingTimeMs(at.target->stage, query.promptTokens, cached) * at.load.pace.scale
+    made.ownMs = prefillTimeMs(at.target->stage, query.promptTokens, cached) * at.load.pace.scale
                     * slowness
             + copyMs;
-    const double aheadMs =
-            at.load.readingMs + (inputs.urgency == send_class::Later ? at.load.laterMs : 0);
+    const double aheadMs = at.load.urgentPrefillMs
+            + (inputs.urgency == send_class::Later ? at.load.lowPriorityPrefillMs : 0);
     made.aheadMs = aheadMs * slowness;
-    made.startMs = made.aheadMs + made.ownMs + at.load.pace.firstMs;
+    made.startMs = made.aheadMs + made.ownMs + at.load.pace.firstTokenMs;
     const bool isColdElsewhere = cached < query.sharedTokens && inputs.preferred != &at;
-    made.costMs += made.startMs + (isColdElsewhere ? config::coldElsewhereMs : 0)
+    made.costMs += made.startMs + (isColdElsewhere ? config::coldCachePenaltyMs : 0)
             + (at.target->zone == query.zone ? 0 : config::engineCrossZoneMs)
             + config::tieBreakCost * tieBreak(query, *at.target);
     return made;
@@ -176,9 +178,9 @@
         if (other.costMs < best.costMs)
             best = other;
     };
-    for (const place_candidate *one : engines) {
+    for (const placement_candidate *one : engines) {
         keepBetter(prefillOptionAt(inputs, *one, nullptr));
-        if (inputs.holder != nullptr && inputs.holder->readTokens > one->cachedTokens)
+        if (inputs.holder != nullptr && inputs.holder->copyableTokens > one->cachedTokens)
             keepBetter(prefillOptionAt(inputs, *one, inputs.holder));
     }
     return best;
@@ -186,29 +188,31 @@
 
 /// Time until a slot of the engine is free for a request of that class. An engine whose batch is
 /// full starts no request, however fast it prefills.
-double slotWaitMs(const place_wish &query, const place_candidate &one, send_class urgency)
+double slotWaitMs(const placement_query &query, const placement_candidate &one, send_class urgency)
 {
     const double batch = std::max(query.engine->batch, 1U);
     const runner_load &load = one.load;
-    const double ahead = load.open - (urgency == send_class::Urgent ? load.waitingLater : 0.0);
+    const double ahead =
+            load.open - (urgency == send_class::Urgent ? load.lowPriorityWaiting : 0.0);
     return std::max(0.0, ahead + 1 - batch) * load.runMs / batch;
 }
 
 /// Delay of a request's events by the requests that already run on the engine. Prompts that wait
 /// for prefill there don't count: requests that were prefilled elsewhere are admitted before them.
-double decodeLoadMs(const place_wish &query, const place_candidate &one, send_class urgency)
+double decodeLoadMs(const placement_query &query, const placement_candidate &one,
+                    send_class urgency)
 {
     return (config::decodeCostMsPerRequest * one.load.open + slotWaitMs(query, one, urgency))
             * std::max(one.load.slowness, 1.0);
 }
 
-const place_candidate *leastLoadedDecoder(const place_wish &query, const candidate_list &open,
-                                          send_class urgency)
+const placement_candidate *leastLoadedDecoder(const placement_query &query,
+                                              const candidate_list &open, send_class urgency)
 {
-    const auto least = std::ranges::min_element(open, {}, [&](const place_candidate *one) {
+    const auto least = std::ranges::min_element(open, {}, [&](const placement_candidate *one) {
         const double savedMs =
                 transferTimeMs(*query.engine, std::min(one->cachedTokens, query.promptTokens));
-        const bool isCrossing = query.isRead && one->target->zone != query.readerZone;
+        const bool isCrossing = query.isPrefilled && one->target->zone != query.prefillZone;
         // Between zones a transfer takes twice as long and costs more.
         const double crossingMs = isCrossing
                 ? transferTimeMs(*query.engine, query.promptTokens) + config::engineCrossZoneMs
@@ -224,32 +228,33 @@
 {
     candidate_list decoders;
     candidate_list prefillers; ///< May prefill the prompt first.
-    const place_candidate *holder;
+    const placement_candidate *holder;
 };
 
 /// An engine prefills one prompt at a time and starts no request before that prompt is done. If
 /// there are prefill engines, an engine that runs requests prefills at most what takes as long as
 /// a handoff: with longer prompts, requests that were prefilled elsewhere waited up to 1.7 s for
 /// their first event.
-bool mayPrefillOn(const place_wish &query, const place_candidate &one,
+bool mayPrefillOn(const placement_query &query, const placement_candidate &one,
                   const eligible_engines &engines)
 {
     const std::uint32_t cached = std::min(one.cachedTokens, query.promptTokens);
-    return engines.prefillers.empty() || query.promptTokens - cached < config::handOverLeastTokens;
+    return engines.prefillers.empty()
+            || query.promptTokens - cached < config::prefillHandoffMinTokens;
 }
 
 /// The cheapest way to serve a request of that class, over all engines and handoffs.
-placement cheapestPlacement(const place_wish &query, const eligible_engines &engines,
+placement cheapestPlacement(const placement_query &query, const eligible_engines &engines,
                             send_class urgency)
 {
     placement chosen;
     chosen.urgency = urgency;
     prefill_option best;
-    const place_candidate *serving = engines.decoders.front();
+    const placement_candidate *serving = engines.decoders.front();
     double bestCost = std::numeric_limits<double>::infinity();
     const prefill_inputs direct{query, urgency, engines.holder,
                                 preferredEngineOf(engines.decoders, query.affinityKey)};
-    for (const place_candidate *one : engines.decoders) {
+    for (const placement_candidate *one : engines.decoders) {
         if (!mayPrefillOn(query, *one, engines))
             continue;
         const prefill_option here = bestPrefillOption(direct, {one});
@@ -261,12 +266,13 @@
         }
     }
     if (!engines.prefillers.empty()) {
-        const place_candidate *at = leastLoadedDecoder(query, engines.decoders, urgency);
+        const placement_candidate *at = leastLoadedDecoder(query, engines.decoders, urgency);
         const prefill_inputs handoff{query, urgency, engines.holder,
                                      preferredEngineOf(engines.prefillers, query.affinityKey)};
         const prefill_option there = bestPrefillOption(handoff, engines.prefillers);
         const double transferMs = transferTimeMs(*query.engine, query.promptTokens);
-        if (there.costMs + transferMs + decodeLoadMs(query, *at, urgency) + config::handOverCostMs
+        if (there.costMs + transferMs + decodeLoadMs(query, *at, urgency)
+                    + config::prefillHandoffCostMs
             < bestCost) {
             best = there;
             best.startMs += transferMs;
@@ -274,11 +280,11 @@
             chosen.prefill = there.at->target;
         }
     }
-    chosen.cacheHolder = best.copyFrom != nullptr ? best.copyFrom->target : nullptr;
+    chosen.cacheSource = best.copyFrom != nullptr ? best.copyFrom->target : nullptr;
     chosen.serving = serving->target;
     chosen.slotWaitMs = slotWaitMs(query, *serving, urgency);
-    chosen.waitingThere = serving->load.waiting + serving->load.waitingLater;
-    chosen.readingMs = best.ownMs;
+    chosen.waitingThere = serving->load.urgentWaiting + serving->load.lowPriorityWaiting;
+    chosen.prefillMs = best.ownMs;
     chosen.aheadMs = best.aheadMs;
     chosen.expectedStartMs = best.startMs + chosen.slotWaitMs;
     return chosen;
@@ -286,7 +292,7 @@
 
 /// Only the work before a request counts: a prompt that takes long by itself is not refused if no
 /// other request waits.
-bool canStartSoon(const place_wish &query, const placement &later)
+bool canStartSoon(const placement_query &query, const placement &later)
 {
     const double room = std::max(1.0, config::laterRoomShare * query.engine->batch);
     const double waitMs = later.aheadMs + later.slotWaitMs;
@@ -304,21 +310,21 @@
 /// answers (mean worth 0.414 with it and 0.419 without, over ten days of a deployment in overload;
 /// the difference is noise), but their callers learn at once when to come back, and not only after
 /// some engines have refused them.
-std::variant<placement, no_place> chooseEngine(const place_wish &query,
-                                               std::span<const place_candidate> candidates)
+std::variant<placement, no_placement> chooseEngine(const placement_query &query,
+                                                   std::span<const placement_candidate> candidates)
 {
     eligible_engines engines;
     engines.decoders =
             sampledCandidates(query, eligibleCandidates(query, candidates, engine_stage::Decode));
     if (engines.decoders.empty())
-        return no_place{};
-    if (query.isRead) {
+        return no_placement{};
+    if (query.isPrefilled) {
         placement chosen;
         chosen.serving = leastLoadedDecoder(query, engines.decoders, send_class::Urgent)->target;
         return chosen;
     }
     engines.holder = cacheHolderOf(query, candidates);
-    if (query.mayHandOver && query.promptTokens >= config::handOverLeastTokens)
+    if (query.mayHandOff && query.promptTokens >= config::prefillHandoffMinTokens)
         engines.prefillers = sampledCandidates(
                 query, eligibleCandidates(query, candidates, engine_stage::Prefill));
     placement urgent = cheapestPlacement(query, engines, send_class::Urgent);
@@ -327,12 +333,12 @@
     placement later = cheapestPlacement(query, engines, send_class::Later);
     if (query.hasBegun || canStartSoon(query, later))
         return later;
-    return no_place{false, std::max(urgent.expectedStartMs - query.objectiveLeftMs, 1.0)};
+    return no_placement{false, std::max(urgent.expectedStartMs - query.objectiveLeftMs, 1.0)};
 }
 
-bool hasTriedAny(const place_wish &query, std::span<const place_candidate> candidates)
+bool hasTriedAny(const placement_query &query, std::span<const placement_candidate> candidates)
 {
-    return std::ranges::any_of(candidates, [&](const place_candidate &one) {
+    return std::ranges::any_of(candidates, [&](const placement_candidate &one) {
         return one.isTried && one.target->service == query.service && !one.target->isDraining;
     });
 }
@@ -344,12 +350,12 @@
     return urgency == send_class::Urgent ? "urgent" : "later";
 }
 
-std::variant<placement, no_place> choosePlace(const place_wish &query,
-                                              std::span<const place_candidate> candidates)
+std::variant<placement, no_placement>
+choosePlacement(const placement_query &query, std::span<const placement_candidate> candidates)
 {
     auto chosen = query.engine ? chooseEngine(query, candidates) : chooseService(query, candidates);
-    if (auto *none = std::get_if<no_place>(&chosen))
-        none->areAllTried = none->roomInMs == 0 && hasTriedAny(query, candidates);
+    if (auto *none = std::get_if<no_placement>(&chosen))
+        none->areAllTried = none->retryInMs == 0 && hasTriedAny(query, candidates);
     return chosen;
 }
 
--- a/src/gateway/suspect_keeper.cpp
+++ b/src/gateway/quarantine_manager.cpp
@@ -1,4 +1,4 @@
-#include "gateway/suspect_keeper.h"
+#include "gateway/quarantine_manager.h"
 
 #include "gateway/envelope.h"
 #include "poplarspool/base/hash.h"
@@ -11,30 +11,31 @@
 
 namespace poplarspool::gateway {
 
-suspect_keeper::suspect_keeper(suspect_tools tools, suspect_store store, instance_id self,
-                               clock_source clock, metrics_registry &metrics, journal &events)
+quarantine_manager::quarantine_manager(quarantine_dependencies tools, crash_record_store store,
+                                       instance_id self, clock_source clock,
+                                       metrics_registry &metrics, journal &events)
     : tools(std::move(tools)), store(std::move(store)), self(std::move(self)),
       clock(std::move(clock)), events(events),
       endsSeen(metrics.counterOf("poplarspool_gateway_runner_ends_total"))
 { }
 
-suspect_keeper::~suspect_keeper()
+quarantine_manager::~quarantine_manager()
 {
     stop();
 }
 
-void suspect_keeper::start()
+void quarantine_manager::start()
 {
-    thread = startNamed("suspects", [this] { run(); });
+    thread = startNamedThread("suspects", [this] { run(); });
 }
 
-void suspect_keeper::leave()
+void quarantine_manager::stopStoreAccess()
 {
     const std::lock_guard lock(guard);
     isLeaving = true;
 }
 
-void suspect_keeper::stop()
+void quarantine_manager::stop()
 {
     {
         const std::lock_guard lock(guard);
@@ -45,36 +46,36 @@
         thread.join();
 }
 
-std::int64_t suspect_keeper::nowMs() const
+std::int64_t quarantine_manager::nowMs() const
 {
     return clock.wall().time_since_epoch().count();
 }
 
-std::optional<quarantine> suspect_keeper::quarantineOf(std::uint64_t digest) const
+std::optional<quarantine> quarantine_manager::quarantineOf(std::uint64_t digest) const
 {
     return table.quarantineOf(digest, nowMs());
 }
 
 /// An incomplete response alone doesn't show that the runner has ended: connections are reset, and
 /// runners may abort responses. Refused connections do show it.
-void suspect_keeper::noteBroken(std::uint64_t digest, const runner &target)
+void quarantine_manager::recordConnectionLost(std::uint64_t digest, const runner &target)
 {
-    if (table.hasEnded(lifeKeyOf(target)) || tools.isRefused(target.address))
+    if (table.hasEnded(incarnationKeyOf(target)) || tools.isConnectionRefused(target.address))
         countEnd(digest, target);
     else
-        noteDoubt(digest, target);
+        recordUnconfirmed(digest, target);
 }
 
-void suspect_keeper::noteDoubt(std::uint64_t digest, const runner &target)
+void quarantine_manager::recordUnconfirmed(std::uint64_t digest, const runner &target)
 {
     const std::lock_guard lock(guard);
-    if (unconfirmed.size() < config::maxSuspectDoubts)
+    if (unconfirmed.size() < config::maxUnconfirmedEnds)
         unconfirmed.push_back({digest, target, clock.mono()});
 }
 
 /// The refusal of the connection may have been lost, or another instance may have observed the end
 /// of the runner meanwhile.
-void suspect_keeper::resolveUnconfirmed()
+void quarantine_manager::resolveUnconfirmed()
 {
     std::vector<unconfirmed_end> toCheck;
     {
@@ -84,45 +85,45 @@
     std::map<std::uint64_t, bool> hasEnded;
     std::vector<unconfirmed_end> remaining;
     for (unconfirmed_end &each : toCheck) {
-        const std::uint64_t key = lifeKeyOf(each.target);
+        const std::uint64_t key = incarnationKeyOf(each.target);
         const auto [known, isNew] = hasEnded.try_emplace(key, false);
         if (isNew)
-            known->second = table.hasEnded(key) || tools.isRefused(each.target.address);
+            known->second = table.hasEnded(key) || tools.isConnectionRefused(each.target.address);
         if (known->second)
             countEnd(each.digest, each.target);
-        else if (clock.mono() - each.seenAt < config::suspectDoubtTime)
+        else if (clock.mono() - each.seenAt < config::unconfirmedEndTime)
             remaining.push_back(std::move(each));
     }
     const std::lock_guard lock(guard);
     std::ranges::move(remaining, std::back_inserter(unconfirmed));
 }
 
-void suspect_keeper::countEnd(std::uint64_t digest, const runner &target)
+void quarantine_manager::countEnd(std::uint64_t digest, const runner &target)
 {
-    const std::uint64_t key = lifeKeyOf(target);
-    const ended_life ended{key, nowMs()};
-    if (!table.noteEnded(digest, ended))
+    const std::uint64_t key = incarnationKeyOf(target);
+    const ended_incarnation ended{key, nowMs()};
+    if (!table.recordEnd(digest, ended))
         return;
     endsSeen.add();
     events.emit("ended_under_request",
                 {{"digest", digestText(digest)},
                  {"runner", target.id.text},
-                 {"born", std::to_string(target.bornMs)},
-                 {"lives", std::to_string(table.countLives(digest))}});
+                 {"born", std::to_string(target.startedAtMs)},
+                 {"lives", std::to_string(table.countIncarnations(digest))}});
     logQuarantine(digest);
     const std::lock_guard lock(guard);
     end_report &report = pending[key].report;
-    report.life = ended;
+    report.ended = ended;
     report.digests.push_back(digest);
     ownDigests.insert(digest);
     hasWork = true;
     changed.notify_all();
 }
 
-void suspect_keeper::noteServed(std::uint64_t digest)
+void quarantine_manager::recordServed(std::uint64_t digest)
 {
     const std::int64_t now = nowMs();
-    if (!table.noteServed(digest, now))
+    if (!table.recordServed(digest, now))
         return;
     events.emit("request_cleared", {{"digest", digestText(digest)}});
     const std::lock_guard lock(guard);
@@ -132,55 +133,56 @@
     changed.notify_all();
 }
 
-void suspect_keeper::take(const peer::rumor &rumor)
+void quarantine_manager::onRumor(const peer::rumor &rumor)
 {
-    const auto received = suspectsIn(rumor);
+    const auto received = decodeCrashRecords(rumor);
     if (!succeeded(received)) {
         events.emit("rumor_ignored",
                     {{"code", std::string(nameOf(errorOf(received).code))}, {"key", rumor.key}});
         return;
     }
-    if (valueOf(received).empty() || !table.join(valueOf(received)))
+    if (valueOf(received).empty() || !table.merge(valueOf(received)))
         return;
-    for (const suspect &one : valueOf(received))
+    for (const crash_record &one : valueOf(received))
         logQuarantine(one.digest);
     const std::lock_guard lock(guard);
     hasWork = true;
     changed.notify_all();
 }
 
-void suspect_keeper::restore()
+void quarantine_manager::recordStoreRollback()
 {
     const std::lock_guard lock(guard);
     isRollbackNew = true;
 }
 
-void suspect_keeper::logQuarantine(std::uint64_t digest) const
+void quarantine_manager::logQuarantine(std::uint64_t digest) const
 {
     const auto active = quarantineOf(digest);
     const auto entry = table.find(digest);
     if (!active || !entry)
         return;
     std::string lives;
-    for (const ended_life &each : entry->lives)
-        lives += (lives.empty() ? "" : ",") + digestText(each.life);
+    for (const ended_incarnation &each : entry->incarnations)
+        lives += (lives.empty() ? "" : ",") + digestText(each.incarnationKey);
     events.emit("request_quarantined",
                 {{"digest", digestText(digest)},
                  {"lives", lives},
-                 {"for_ms", std::to_string(active->left.count())}});
+                 {"for_ms", std::to_string(active->remaining.count())}});
 }
 
-void suspect_keeper::run()
+void quarantine_manager::run()
 {
     std::unique_lock lock(guard);
     while (!isStopping) {
         lock.unlock();
         runOnce();
         lock.lock();
-        changed.wait_for(lock, config::suspectLookTime, [this] { return isStopping || hasWork; });
+        changed.wait_for(lock, config::quarantineInterval,
+                         [this] { return isStopping || hasWork; });
         // All requests on a runner observe its end within a few milliseconds; collect them.
         if (hasWork)
-            changed.wait_for(lock, config::suspectGatherTime, [this] { return isStopping; });
+            changed.wait_for(lock, config::crashUpdateBatchTime, [this] { return isStopping; });
         hasWork = false;
     }
     lock.unlock();
@@ -189,14 +191,15 @@
 
 /// @returns A delay of less than a second that differs between instances, for actions that all
 /// would otherwise take at once.
-milliseconds suspect_keeper::jitter() const
+milliseconds quarantine_manager::jitter() const
 {
-    const double share = unitOf(hashOf(self.text));
-    return milliseconds(std::llround(share * static_cast<double>(config::enterSpreadTime.count())));
+    const double share = toUnitInterval(hashOf(self.text));
+    return milliseconds(
+            std::llround(share * static_cast<double>(config::registrationSpreadTime.count())));
 }
 
 /// All instances learn of a store rollback at once, so their reads and writes are spread over time.
-void suspect_keeper::handleStoreRollback()
+void quarantine_manager::handleStoreRollback()
 {
     {
         const std::lock_guard lock(guard);
@@ -209,21 +212,21 @@
     readInterval = jitter();
 }
 
-void suspect_keeper::runOnce()
+void quarantine_manager::runOnce()
 {
     handleStoreRollback();
     resolveUnconfirmed();
     sendPending();
-    const std::uint64_t fingerprint = table.markAt(nowMs());
-    tools.setMark(fingerprint);
+    const std::uint64_t fingerprint = table.fingerprintAt(nowMs());
+    tools.setFingerprint(fingerprint);
     if (fingerprint != lastFingerprint)
-        readInterval = config::suspectReadPauseFirst;
+        readInterval = config::initialCrashReadPause;
     lastFingerprint = fingerprint;
     bool mayAskStore = false;
     {
         const std::lock_guard lock(guard);
         mayAskStore = !isLeaving;
-        if (ownDigests.size() > config::maxSuspects)
+        if (ownDigests.size() > config::maxCrashRecords)
             std::erase_if(ownDigests, [this](std::uint64_t digest) { return !table.find(digest); });
     }
     if (mayAskStore) {
@@ -234,7 +237,7 @@
     lastRunAt = clock.mono();
 }
 
-void suspect_keeper::sendPending()
+void quarantine_manager::sendPending()
 {
     std::vector<end_report> reports;
     std::vector<peer::rumor> rumors;
@@ -244,9 +247,9 @@
             if (std::exchange(each.sentDigests, each.report.digests.size()) < each.sentDigests)
                 reports.push_back(each.report);
         }
-        const std::int64_t oldest = nowMs() - config::suspectReportTime.count();
+        const std::int64_t oldest = nowMs() - config::crashRumorMergeTime.count();
         std::erase_if(pending, [oldest](const auto &entry) {
-            return entry.second.report.life.endedMs < oldest;
+            return entry.second.report.ended.endedAtMs < oldest;
         });
         rumors = std::exchange(outgoing, {});
     }
@@ -255,24 +258,24 @@
             rumors.push_back(std::move(one));
     }
     for (peer::rumor &one : rumors)
-        tools.spread(std::move(one));
+        tools.spreadRumor(std::move(one));
 }
 
 /// @returns Whether this instance was suspended or partitioned until now. It may have missed rumors
 /// that were sent meanwhile.
-bool suspect_keeper::hasReconnected()
+bool quarantine_manager::hasReconnected()
 {
     const mono_time now = clock.mono();
     const bool wasSuspended = lastRunAt != mono_time{}
-            && now - lastRunAt > config::suspectLookTime + config::suspectSuspended;
-    const bool isPartitioned = now - tools.confirmedAt() > config::suspectCutOff;
+            && now - lastRunAt > config::quarantineInterval + config::quarantineSuspendedTime;
+    const bool isPartitioned = now - tools.storeConfirmedAt() > config::quarantineCutOffTime;
     const bool isBack = std::exchange(wasPartitioned, isPartitioned) && !isPartitioned;
     return wasSuspended || isBack;
 }
 
 /// An instance may have missed rumors if it has just started, was suspended or partitioned, or if
 /// another instance has a different quarantine.
-bool suspect_keeper::shouldReadStore()
+bool quarantine_manager::shouldReadStore()
 {
     const mono_time now = clock.mono();
     if (hasReconnected())
@@ -285,9 +288,9 @@
 }
 
 /// @returns Whether the quarantine of another instance has differed from the own one for a while.
-bool suspect_keeper::hasOtherFingerprint()
+bool quarantine_manager::hasOtherFingerprint()
 {
-    const auto others = tools.marks();
+    const auto others = tools.fingerprints();
     const bool differs = std::ranges::any_of(others, [this](std::uint64_t fingerprint) {
         return fingerprint != 0 && fingerprint != lastFingerprint;
     });
@@ -298,53 +301,53 @@
     const mono_time now = clock.mono();
     if (differsSince == mono_time{})
         differsSince = now;
-    return now - differsSince >= config::suspectDifferTime;
+    return now - differsSince >= config::quarantineMarkDifferTime;
 }
 
-void suspect_keeper::readStore()
+void quarantine_manager::readStore()
 {
     readAt = clock.mono();
-    readInterval = std::clamp(readInterval * 2, config::suspectReadPauseFirst,
-                              config::suspectReadPauseMost);
+    readInterval =
+            std::clamp(readInterval * 2, config::initialCrashReadPause, config::maxCrashReadPause);
     auto found = store.read();
     if (!succeeded(found))
         return; // The watches have logged the store failure.
     stored = std::move(valueOf(found));
-    if (!table.join(stored->suspects))
+    if (!table.merge(stored->records))
         return;
-    for (const suspect &one : stored->suspects)
+    for (const crash_record &one : stored->records)
         logQuarantine(one.digest);
-    lastFingerprint = table.markAt(nowMs());
-    tools.setMark(lastFingerprint);
+    lastFingerprint = table.fingerprintAt(nowMs());
+    tools.setFingerprint(lastFingerprint);
 }
 
 /// Only instances that have observed an end themselves write it, so that not all write at once.
-bool suspect_keeper::isOwnRecordMissingIn(const suspect_list &list)
+bool quarantine_manager::isOwnRecordMissingIn(const crash_record_list &list)
 {
     const std::lock_guard lock(guard);
-    for (const suspect &one : table.lasting()) {
+    for (const crash_record &one : table.persistentRecords()) {
         if (!rewritesAll && !ownDigests.contains(one.digest))
             continue;
-        const auto found = std::ranges::find(list.suspects, one.digest, &suspect::digest);
-        if (found == list.suspects.end() || joined(*found, one) != *found)
+        const auto found = std::ranges::find(list.records, one.digest, &crash_record::digest);
+        if (found == list.records.end() || merged(*found, one) != *found)
             return true;
     }
     return false;
 }
 
-void suspect_keeper::writeStore()
+void quarantine_manager::writeStore()
 {
     if (!stored)
         return;
     if (isOwnRecordMissingIn(*stored)) {
         // Other instances may have written meanwhile.
         readStore();
-        suspect_list next = *stored;
-        next.suspects = table.lasting();
-        if (next.suspects != stored->suspects) {
+        crash_record_list next = *stored;
+        next.records = table.persistentRecords();
+        if (next.records != stored->records) {
             const auto written = store.write(next);
             events.emit("suspects_stored",
-                        {{"count", std::to_string(next.suspects.size())},
+                        {{"count", std::to_string(next.records.size())},
                          {"fault", succeeded(written) ? "" : errorOf(written).message}});
             if (!succeeded(written)) {
                 stored.reset();
@@ -353,7 +356,7 @@
             }
             // `stored` keeps the previous version: the list is read again before the next write,
             // which needs the revision created by this one.
-            stored->suspects = std::move(next.suspects);
+            stored->records = std::move(next.records);
         }
     }
     rewritesAll = false;
--- a/src/gateway/suspect_keeper.h
+++ b/src/gateway/quarantine_manager.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "gateway/suspect_book.h"
-#include "gateway/suspect_news.h"
+#include "gateway/crash_table.h"
+#include "gateway/crash_update.h"
 #include "poplarspool/base/journal.h"
 #include "poplarspool/base/metrics.h"
 
@@ -15,20 +15,20 @@
 namespace poplarspool::gateway {
 
 /// What the quarantine manager needs from its instance.
-struct suspect_tools
+struct quarantine_dependencies
 {
     /// @returns Whether the host of the address refuses connections: no process listens there any
     /// more.
-    std::function<bool(const endpoint &)> isRefused;
+    std::function<bool(const endpoint &)> isConnectionRefused;
     /// Sends a rumor to the other instances by gossip.
-    std::function<void(peer::rumor)> spread;
+    std::function<void(peer::rumor)> spreadRumor;
     /// Sets the fingerprint of this instance's quarantine that its heartbeats send.
-    std::function<void(std::uint64_t)> setMark;
+    std::function<void(std::uint64_t)> setFingerprint;
     /// @returns The fingerprints last received from the other instances; 0 for an empty quarantine.
-    std::function<std::vector<std::uint64_t>()> marks;
+    std::function<std::vector<std::uint64_t>()> fingerprints;
     /// @returns When this instance last received a confirmation from the store, directly or through
     ///          another instance.
-    std::function<mono_time()> confirmedAt;
+    std::function<mono_time()> storeConfirmedAt;
 };
 
 /// Collects during which requests runners ended, from this instance's own tries, from rumors of
@@ -36,17 +36,17 @@
 /// ends are also persisted in the store, for instances that start later, were partitioned, or were
 /// all killed at once. An instance detects that it lacks records by comparing fingerprints with the
 /// others.
-class suspect_keeper
+class quarantine_manager
 {
 public:
-    suspect_keeper(suspect_tools tools, suspect_store store, instance_id self, clock_source clock,
-                   metrics_registry &metrics, journal &events);
-    ~suspect_keeper();
+    quarantine_manager(quarantine_dependencies tools, crash_record_store store, instance_id self,
+                       clock_source clock, metrics_registry &metrics, journal &events);
+    ~quarantine_manager();
 
     void start();
     /// Stops all access to the store, so that the shutdown doesn't wait for a slow one. Ends are
     /// still sent to other instances.
-    void leave();
+    void stopStoreAccess();
     void stop();
 
     // Called while handling requests.
@@ -54,19 +54,22 @@
     /// @returns Empty if the request may be sent.
     std::optional<quarantine> quarantineOf(std::uint64_t digest) const;
     /// @returns The number of ended incarnations that count against the request.
-    std::size_t countLives(std::uint64_t digest) const { return table.countLives(digest); }
+    std::size_t countIncarnations(std::uint64_t digest) const
+    {
+        return table.countIncarnations(digest);
+    }
     /// Records that the connection was lost before the response was complete. Counts against the
     /// request if the runner has ended.
-    void noteBroken(std::uint64_t digest, const runner &target);
+    void recordConnectionLost(std::uint64_t digest, const runner &target);
     /// Records an incomplete response where the connection doesn't show whether the runner has
     /// ended; this is checked later.
-    void noteDoubt(std::uint64_t digest, const runner &target);
-    void noteServed(std::uint64_t digest);
+    void recordUnconfirmed(std::uint64_t digest, const runner &target);
+    void recordServed(std::uint64_t digest);
 
     /// Applies a rumor of another instance; ignores other kinds of rumors.
-    void take(const peer::rumor &rumor);
+    void onRumor(const peer::rumor &rumor);
     /// To be called after a store rollback: records that were written to the store may be lost.
-    void restore();
+    void recordStoreRollback();
 
 private:
     /// A report is kept for some time, so that requests recorded later for the same end are added
@@ -98,16 +101,16 @@
     bool hasReconnected();
     void readStore();
     void writeStore();
-    bool isOwnRecordMissingIn(const suspect_list &list);
+    bool isOwnRecordMissingIn(const crash_record_list &list);
     void logQuarantine(std::uint64_t digest) const;
 
-    const suspect_tools tools;
-    const suspect_store store;
+    const quarantine_dependencies tools;
+    const crash_record_store store;
     const instance_id self;
     const clock_source clock;
     journal &events;
     counter &endsSeen;
-    suspect_book table;
+    crash_table table;
     std::mutex guard;
     std::condition_variable changed;
     bool isStopping = false;
@@ -121,7 +124,7 @@
     std::thread thread;
 
     // Only accessed by the thread.
-    std::optional<suspect_list> stored; ///< The list as last read or written.
+    std::optional<crash_record_list> stored; ///< The list as last read or written.
     bool rewritesAll = false; ///< Also rewrites records that only other instances observed.
     std::uint64_t lastFingerprint = 0;
     mono_time lastRunAt{};
--- a/src/gateway/told_changes.cpp
+++ b/src/gateway/relayed_changes.cpp
@@ -1,7 +1,7 @@
 #include "peer/codec.h"
 #include "poplarspool/base/hash.h"
 #include "poplarspool/config.h"
-#include "poplarspool/gateway/catalogue_keeper.h"
+#include "poplarspool/gateway/catalogue_updater.h"
 
 #include <algorithm>
 #include <optional>
@@ -53,7 +53,7 @@
     codec.small(entry.isDraining);
     codec.small(entry.stage);
     codec.small(entry.isSpot);
-    codec.small(entry.bornMs);
+    codec.small(entry.startedAtMs);
     codec.small(entry.writes);
 }
 
@@ -63,13 +63,13 @@
     codec.text(one.name, config::maxNameBytes);
     codec.text(one.host, config::maxNameBytes);
     codec.text(one.pathPrefix, maxPathBytes);
-    codec.small(one.isUnplaced);
-    codec.small(one.isAnonymous);
+    codec.small(one.hasInvalidMatch);
+    codec.small(one.allowsAnonymous);
     codec.small(one.isStream);
     codec.small(one.isResumable);
-    codec.small(one.repeats);
+    codec.small(one.retryPolicy);
     serializeTime(codec, one.timeLimit);
-    serializeTime(codec, one.objective);
+    serializeTime(codec, one.latencyObjective);
     codec.small(one.rank);
     codec.small(one.maxRunners);
     codec.list(one.services, maxItems, minServiceBytes, [](Codec &each, auto &part) {
@@ -90,8 +90,8 @@
 template <class Codec, class Traits>
 void serializeScaling(Codec &codec, Traits &traits)
 {
-    codec.small(traits.least);
-    codec.small(traits.most);
+    codec.small(traits.minRunners);
+    codec.small(traits.maxRunners);
     serializeTime(codec, traits.bootTime);
     codec.fixed(traits.spotPrice);
 }
@@ -136,8 +136,8 @@
 {
     codec.small(bounds.headerBytes);
     codec.small(bounds.bodyBytes);
-    serializeTime(codec, bounds.headerTime);
-    serializeTime(codec, bounds.idleTime);
+    serializeTime(codec, bounds.headerTimeout);
+    serializeTime(codec, bounds.idleTimeout);
 }
 
 /// Part of the delta: a run of routes, services or workspaces of the previous table, or a single
@@ -185,9 +185,9 @@
     std::uint64_t hash = hashOf(one.pathPrefix, hashOf(one.host, hashOf(one.name)));
     for (const weighted_service &part : one.services)
         hash = hashOf(part.service.text, hash + part.weight);
-    for (const auto number : {one.timeLimit.count(), one.objective.count(), std::int64_t{one.rank},
-                              std::int64_t{one.maxRunners}, std::int64_t{one.isUnplaced},
-                              std::int64_t{one.isAnonymous}})
+    for (const auto number : {one.timeLimit.count(), one.latencyObjective.count(),
+                              std::int64_t{one.rank}, std::int64_t{one.maxRunners},
+                              std::int64_t{one.hasInvalidMatch}, std::int64_t{one.allowsAnonymous}})
         hash = hash * 31 + static_cast<std::uint64_t>(number);
     return hash;
 }
@@ -266,7 +266,7 @@
 bool areValidRetryPolicies(const std::vector<route> &routes)
 {
     return std::ranges::all_of(
-            routes, [](const route &one) { return one.repeats <= repeat_rule::AtMostOnce; });
+            routes, [](const route &one) { return one.retryPolicy <= retry_policy::AtMostOnce; });
 }
 
 error malformed(const std::string &what)
@@ -278,7 +278,7 @@
 
 result<std::string> encode(const runner_change &change)
 {
-    return peer::encoded([&](peer::encoder &out) {
+    return peer::tryEncode([&](peer::encoder &out) {
         out.text(change.id.text, config::maxNameBytes);
         out.small(change.entry.has_value());
         if (change.entry)
@@ -317,13 +317,13 @@
     if (table.routes.size() > maxRelayedRoutes || table.services.size() > maxRelayedServices
         || table.workspaces.size() > maxRelayedWorkspaces)
         return notRun(error_code::TooLarge, "too many routes, services or workspaces to relay");
-    return peer::encoded([&](peer::encoder &out) {
+    return peer::tryEncode([&](peer::encoder &out) {
         out.small(tableFormat);
         out.small(before.version);
         out.small(table.version);
-        serializeLimits(out, table.bounds);
+        serializeLimits(out, table.callerLimits);
         out.small(table.needsKeys);
-        out.small(table.hasUnreadKeys);
+        out.small(table.hasUnreadableKeys);
         const auto services = deltaParts(table.services, before.services);
         const auto routes = deltaParts(table.routes, before.routes);
         const auto workspaces = deltaParts(table.workspaces, before.workspaces);
@@ -346,9 +346,9 @@
         route_table table;
         in.small(base);
         in.small(table.version);
-        serializeLimits(in, table.bounds);
+        serializeLimits(in, table.callerLimits);
         in.small(table.needsKeys);
-        in.small(table.hasUnreadKeys);
+        in.small(table.hasUnreadableKeys);
         if (table.version <= before.version)
             return before;
         if (base != before.version)
--- a/src/gateway/request_relay.h
+++ b/src/gateway/request_proxy.h
@@ -3,10 +3,10 @@
 #include "base/connection_pool.h"
 #include "gateway/envelope.h"
 #include "gateway/event_splitter.h"
+#include "gateway/quarantine_manager.h"
 #include "gateway/retry_budgets.h"
 #include "gateway/runner_call.h"
-#include "gateway/runner_ledger.h"
-#include "gateway/suspect_keeper.h"
+#include "gateway/runner_table.h"
 #include "poplarspool/base/journal.h"
 #include "poplarspool/base/metrics.h"
 #include "poplarspool/duties/usage_exchange.h"
@@ -16,9 +16,9 @@
 
 namespace poplarspool::gateway {
 
-struct relay_metrics
+struct proxy_metrics
 {
-    explicit relay_metrics(metrics_registry &registry);
+    explicit proxy_metrics(metrics_registry &registry);
 
     counter &requests;
     counter &whole; ///< The caller got a runner's complete answer.
@@ -31,34 +31,34 @@
     counter &retries;
     counter &resumes;
     counter &foreignReplies;
-    counter &handOvers;
+    counter &prefillHandoffs;
     counter &kvCopies;
-    latency &firstByte;
+    latency_histogram &firstByte;
 };
 
 /// Status with which a runner says that the request is for another runner or for another stage.
 inline constexpr int misdirectedStatus = 421;
 
 /// State that all requests share.
-struct relay_parts
+struct proxy_context
 {
     const dialect &names;
-    const catalogue_hub &hub;
-    runner_ledger &ledger;
+    const catalogue_publisher &publisher;
+    runner_table &runnerTable;
     retry_budgets &retries;
     connection_pool &connections;
-    relay_metrics &metrics;
+    proxy_metrics &metrics;
     journal &events;
     const clock_source clock;
     const zone_id zone;
     /// Time at which this instance ends, in nanoseconds of clock.mono; requests' time limits are
     /// cut to it.
-    const std::atomic<std::int64_t> &leavesAt;
-    suspect_keeper &suspects;
+    const std::atomic<std::int64_t> &leavesAtNs;
+    quarantine_manager &quarantineManager;
     /// Seed of requests' digests; the same on all instances of the fleet.
     const std::uint64_t digestSeed = 0;
     /// Counts the requests of workspaces as they start to run; null: usage is not counted.
-    const duties::usage_parts *usage = nullptr;
+    const duties::usage_context *usage = nullptr;
     /// Maximum age of the last confirmed configuration at which its keys are accepted.
     const milliseconds keyTrustTime = milliseconds::max();
 };
@@ -67,10 +67,10 @@
 /// retried where the route allows that, and a stream is resumed on another runner after its last
 /// complete event. In all cases the caller gets a complete answer, a refusal that guarantees that
 /// the request has not run, or a visibly broken answer.
-class request_relay
+class request_proxy
 {
 public:
-    request_relay(const relay_parts &parts, const http_request &request, http_sink &caller);
+    request_proxy(const proxy_context &parts, const http_request &request, http_sink &caller);
 
     /// @returns The complete reply if nothing has been written to the caller yet.
     std::optional<http_reply> run();
@@ -90,20 +90,20 @@
     {
         const placement &place;
         const std::string &kvSource; ///< Where the prompt's KV cache is kept; empty: nowhere.
-        runner_ledger::open_send &record;
+        runner_table::open_send &record;
         socket_deadline deadline;
     };
 
     // request_proxy.cpp: decisions.
     std::optional<http_reply> serve();
-    std::optional<http_reply> pickRoute();
-    std::optional<http_reply> pickWorkspace();
+    std::optional<http_reply> selectRoute();
+    std::optional<http_reply> selectWorkspace();
     bool isQuarantined();
     /// @param prefillEngine The engine that has prefilled the prompt; null: none yet.
-    std::optional<placement> findPlace(const runner *prefillEngine);
+    std::optional<placement> findPlacement(const runner *prefillEngine);
     bool mayTryAgain(try_end end) const;
     bool isCallerGone() const;
-    std::optional<http_reply> leaveOff();
+    std::optional<http_reply> abandon();
     std::optional<http_reply> finish();
     http_reply refusal(int status, error_code code, std::string_view reason,
                        milliseconds retryAfter);
@@ -114,9 +114,9 @@
     void logSend(std::string_view kind, std::vector<event_field> fields) const;
 
     // prefill_handoff.cpp: an engine that only prefills the prompt.
-    std::optional<std::string> readPrompt(const placement &place);
-    std::optional<http_reply> askPrefill(const placement &place, runner_ledger::open_send &record);
-    void freeHandle(const runner &prefillEngine, const std::string &handle);
+    std::optional<std::string> runPrefill(const placement &place);
+    std::optional<http_reply> sendPrefill(const placement &place, runner_table::open_send &record);
+    void freeHandleRequest(const runner &prefillEngine, const std::string &handle);
 
     // runner_try.cpp: one send and its answer.
     try_end tryAt(const placement &place, const std::string &kvSource);
@@ -131,47 +131,48 @@
     try_end passLarge(runner_call &call, const reply_head &head, std::string buffered,
                       sending &current);
     bool beginReply(const reply_head &head);
-    try_end endOfFault(runner_call &call, call_fault fault, sending &current);
-    void noteBroken(const runner &target, call_fault fault);
-    try_end noteServed(sending &current, try_end end);
+    try_end handleFault(runner_call &call, call_fault fault, sending &current);
+    void recordBrokenReply(const runner &target, call_fault fault);
+    try_end recordServed(sending &current, try_end end);
     void keepConnection(runner_call &call, const reply_head &head, const endpoint &to);
     /// The headers that every send of the request adds.
     send_extras extrasTo(const runner &target) const;
     send_extras extrasFor(const sending &current) const;
     socket_deadline deadlineIn(milliseconds time) const;
     std::uint32_t priorityOf(send_class urgency) const;
-    void noteFirstByte(sending &current);
-    void noteBegun() const;
+    void recordFirstByte(sending &current);
+    void recordUsage() const;
 
-    const relay_parts &parts;
+    const proxy_context &context;
     const http_request &request;
     http_sink &caller;
-    const envelope read;
+    const envelope metadata;
     const std::uint64_t digest; ///< Shared by all attempts of the same request.
     const mono_time arrivedAt;
 
-    std::shared_ptr<const catalogue> known;
-    const route *chosen = nullptr;
+    std::shared_ptr<const catalogue> view;
+    const route *selectedRoute = nullptr;
     /// Of the key; null: the request has no valid one.
     const workspaces::workspace *owner = nullptr;
     service_id service;
     const engine_traits *engine = nullptr;
     mono_time endsAt{};
 
-    std::shared_ptr<const catalogue> chosenBy; ///< The view that the last runner was chosen from.
+    std::shared_ptr<const catalogue>
+            placementView; ///< The view that the last runner was chosen from.
     mono_time chosenAt{};
     mono_time sentAt{}; ///< Before the first byte of the last send; 0: not sent yet.
     std::uint32_t sends = 0; ///< Tries, including those that reached no runner.
     /// Sends of which at least one byte was sent: these count in the retry budget.
     std::uint32_t arrivals = 0;
-    std::uint32_t runs = 0; ///< Sends that may have run.
+    std::uint32_t possibleRuns = 0; ///< Sends that may have run.
     std::vector<runner_id> tried;
-    bool isHandOverLost = false; ///< A handoff has failed: the next try prefills where it runs.
-    std::optional<http_reply> held; ///< A runner's complete answer.
+    bool hasHandoffFailed = false; ///< A handoff has failed: the next try prefills where it runs.
+    std::optional<http_reply> bufferedReply; ///< A runner's complete answer.
     bool hasBegun = false; ///< Bytes of an answer were passed on to the caller.
-    std::optional<std::uint64_t> lastEvent; ///< Last event passed on.
-    std::optional<quarantine> kept; ///< Set once the request is quarantined.
-    milliseconds comeBackIn; ///< Retry-After of a refusal.
+    std::optional<std::uint64_t> lastEventId; ///< Last event passed on.
+    std::optional<quarantine> activeQuarantine; ///< Set once the request is quarantined.
+    milliseconds retryAfterTime; ///< Retry-After of a refusal.
     std::string lastRunner;
     std::string lastFault;
     mono_time firstByteAt{};
--- a/src/gateway/retry_budgets.cpp
+++ b/src/gateway/retry_budgets.cpp
@@ -27,9 +27,9 @@
     if (!budget) {
         // With a burst below one, no retry could ever be saved up.
         const double part = bounds.extra / static_cast<double>(instances);
-        const double burst = std::max(config::retryBudgetUse * part, 1.0);
-        budget = std::make_unique<policy::retry_budget>(config::retryBudgetUse * bounds.share,
-                                                        burst);
+        const double burst = std::max(config::retryBudgetUsableShare * part, 1.0);
+        budget = std::make_unique<policy::retry_budget>(
+                config::retryBudgetUsableShare * bounds.share, burst);
     }
     return *budget;
 }
@@ -52,10 +52,10 @@
     return budgetOf(service).hasRoom();
 }
 
-void retry_budgets::takeAnyway(const service_id &service)
+void retry_budgets::takeUnconditionally(const service_id &service)
 {
     const std::lock_guard lock(guard);
-    budgetOf(service).takeAnyway();
+    budgetOf(service).takeUnconditionally();
 }
 
 } // namespace poplarspool::gateway
--- a/src/gateway/retry_budgets.h
+++ b/src/gateway/retry_budgets.h
@@ -33,7 +33,7 @@
     /// @returns Whether a send may be made that may turn out to be an extra one.
     bool hasRoom(const service_id &service);
     /// Deducts a send that has turned out to be an extra one.
-    void takeAnyway(const service_id &service);
+    void takeUnconditionally(const service_id &service);
 
 private:
     policy::retry_budget &budgetOf(const service_id &service);
--- a/src/gateway/route_index.cpp
+++ b/src/gateway/route_index.cpp
@@ -42,15 +42,15 @@
 
     void add(const route &one, std::uint32_t position)
     {
-        if (one.isUnplaced) {
-            built.unplaced = built.unplaced.value_or(position);
+        if (one.hasInvalidMatch) {
+            built.firstInvalidRoute = built.firstInvalidRoute.value_or(position);
             return;
         }
         auto [host, isNew] = built.hosts.try_emplace(one.host);
         if (isNew)
             host->second.root.number = count++;
         if (isUnaligned(one.pathPrefix)) {
-            host->second.odd.push_back(position);
+            host->second.unalignedRoutes.push_back(position);
             return;
         }
         path_node &end = nodeOf(host->second.root, one.pathPrefix);
@@ -63,7 +63,7 @@
     {
         path_node *node = &root;
         forEachSegment(prefix, [&](std::string_view segment) {
-            auto [child, isNew] = built.steps.try_emplace({node->number, std::string(segment)});
+            auto [child, isNew] = built.segments.try_emplace({node->number, std::string(segment)});
             if (isNew)
                 child->second.number = count++;
             node = &child->second;
@@ -84,8 +84,8 @@
     std::optional<std::uint32_t> deepest = root.route;
     std::uint32_t node = root.number;
     forEachSegment(path, [&](std::string_view segment) {
-        const auto child = index.steps.find(path_step_view{node, segment});
-        if (child == index.steps.end())
+        const auto child = index.segments.find(path_segment_view{node, segment});
+        if (child == index.segments.end())
             return false;
         node = child->second.number;
         if (child->second.route)
@@ -115,32 +115,32 @@
     return equalsIgnoringCase(left, right);
 }
 
-std::size_t path_step_hash::operator()(const path_step &segment) const
+std::size_t path_segment_hash::operator()(const path_segment &segment) const
 {
-    return hashOf(segment.word, segment.from);
+    return hashOf(segment.text, segment.parent);
 }
 
-std::size_t path_step_hash::operator()(const path_step_view &segment) const
+std::size_t path_segment_hash::operator()(const path_segment_view &segment) const
 {
-    return hashOf(segment.word, segment.from);
+    return hashOf(segment.text, segment.parent);
 }
 
-bool path_step_equal::operator()(const path_step &left, const path_step &right) const
+bool path_segment_equal::operator()(const path_segment &left, const path_segment &right) const
 {
     return left == right;
 }
 
-bool path_step_equal::operator()(const path_step_view &left, const path_step &right) const
+bool path_segment_equal::operator()(const path_segment_view &left, const path_segment &right) const
 {
-    return left.from == right.from && left.word == right.word;
+    return left.parent == right.parent && left.text == right.text;
 }
 
-bool path_step_equal::operator()(const path_step &left, const path_step_view &right) const
+bool path_segment_equal::operator()(const path_segment &left, const path_segment_view &right) const
 {
     return (*this)(right, left);
 }
 
-route_index indexOf(const route_table &table)
+route_index buildRouteIndex(const route_table &table)
 {
     route_index built;
     index_builder builder(built);
@@ -161,7 +161,7 @@
     const std::string_view plainPath = path.substr(0, path.find('?'));
     const auto deepest = deepestRoute(index, hostRoutes->second.root, plainPath);
     const route *best = deepest ? &table.routes[*deepest] : nullptr;
-    for (const std::uint32_t position : hostRoutes->second.odd) {
+    for (const std::uint32_t position : hostRoutes->second.unalignedRoutes) {
         const route &one = table.routes[position];
         if (plainPath.starts_with(one.pathPrefix)
             && (best == nullptr || one.pathPrefix.size() > best->pathPrefix.size()))
@@ -176,7 +176,8 @@
                        std::string_view path)
 {
     const route *matching = findMatchingRoute(table, index, host, path);
-    return matching == nullptr && index.unplaced ? &table.routes[*index.unplaced] : matching;
+    return matching == nullptr && index.firstInvalidRoute ? &table.routes[*index.firstInvalidRoute]
+                                                          : matching;
 }
 
 } // namespace poplarspool::gateway
--- a/src/gateway/runner_control.cpp
+++ b/src/gateway/runner_control.cpp
@@ -43,7 +43,7 @@
 result<whole_reply> callOn(descriptor connection, const std::string &name, std::string_view request,
                            socket_deadline deadline, const std::function<bool()> &check)
 {
-    noticeSilence(connection.get(), config::runnerSilence);
+    enableDeadPeerDetection(connection.get(), config::runnerSilenceTimeout);
     runner_call call(std::move(connection), -1);
     if (check && !check())
         return notRun(error_code::TimedOut,
@@ -60,7 +60,7 @@
         return failureOf(name, *failed, verdict::MayHaveRun);
     }
     const auto &arrived = std::get<reply_head>(head);
-    body_piece rest = call.readRest(deadline, config::maxHeldAnswerBytes);
+    body_piece rest = call.readRest(deadline, config::maxBufferedReplyBytes);
     if (!rest.isLast) {
         call.abort();
         return failureOf(name, rest.fault, verdict::MayHaveRun);
@@ -73,12 +73,12 @@
     return whole;
 }
 
-result<http_reply> askRunner(connection_pool &connections, const dialect &names,
-                             const runner &target, const http_request &request,
-                             milliseconds timeout, const std::function<bool()> &check)
+result<http_reply> callRunner(connection_pool &connections, const dialect &names,
+                              const runner &target, const http_request &request,
+                              milliseconds timeout, const std::function<bool()> &check)
 {
     const socket_deadline deadline = socket_clock::now() + timeout;
-    auto connection = connections.take(target.address, deadline, -1);
+    auto connection = connections.acquire(target.address, deadline, -1);
     if (!succeeded(connection))
         return errorOf(connection);
     send_extras extras;
@@ -92,7 +92,7 @@
     whole_reply &whole = valueOf(answered);
     const milliseconds idleTime = idleTimeOf(whole.reply.headers);
     if (whole.connection.isOpen() && idleTime > milliseconds::zero())
-        connections.keep(target.address, std::move(whole.connection), idleTime);
+        connections.release(target.address, std::move(whole.connection), idleTime);
     return std::move(whole.reply);
 }
 
--- a/src/gateway/runner_control.h
+++ b/src/gateway/runner_control.h
@@ -12,9 +12,9 @@
 ///              it returns false, nothing is sent.
 /// @returns The whole reply. The verdict of an error is NotRun if no byte was sent.
 /// @attention A failed call resets its connection: bytes still queued are never sent.
-result<http_reply> askRunner(connection_pool &connections, const dialect &names,
-                             const runner &target, const http_request &request,
-                             milliseconds timeout, const std::function<bool()> &check = {});
+result<http_reply> callRunner(connection_pool &connections, const dialect &names,
+                              const runner &target, const http_request &request,
+                              milliseconds timeout, const std::function<bool()> &check = {});
 
 struct whole_reply
 {
--- a/src/gateway/runner_ledger.h
+++ b/src/gateway/runner_table.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/envelope.h"
-#include "poplarspool/gateway/placing.h"
+#include "poplarspool/gateway/placement.h"
 #include "poplarspool/peer/load_exchange.h"
 
 #include <array>
@@ -15,7 +15,7 @@
 namespace poplarspool::gateway {
 
 /// Outcome of a send, as far as it says something about the runner.
-enum class send_end {
+enum class send_outcome {
     Served,
     Refused, ///< It reported that it has not run the request: full, or shutting down.
     Misdirected, ///< Another runner has this address by now.
@@ -25,10 +25,10 @@
 };
 
 /// This instance's open requests at each runner, and the recent outcomes there.
-class runner_ledger
+class runner_table
 {
 public:
-    explicit runner_ledger(clock_source clock);
+    explicit runner_table(clock_source clock);
 
     /// An open send. Ends when it goes out of scope.
     class open_send
@@ -36,7 +36,7 @@
     public:
         /// @param prefillMs Prefill time that the runner needs for the prompt; 0 if it is already
         ///                  prefilled.
-        open_send(runner_ledger &ledger, const runner_id &target, double prefillMs,
+        open_send(runner_table &ledger, const runner_id &target, double prefillMs,
                   send_class urgency);
         open_send(const open_send &) = delete;
         open_send &operator=(const open_send &) = delete;
@@ -44,23 +44,23 @@
 
         /// Called when the runner has begun to answer.
         /// @returns Whether this is the first such call.
-        bool noteStart();
+        bool recordStart();
         bool hasStarted() const { return startedAt != mono_time{}; }
-        void noteEnd(send_end how) { end = how; }
+        void recordEnd(send_outcome how) { end = how; }
         /// Sets the expected duration of a send that includes a prefill and finds a free slot: the
         /// pace of engines is learnt from it.
         /// @param workMs Prefill time of its prompt and those before it.
-        void noteExpected(const service_id &service, engine_stage stage, double workMs);
+        void recordExpected(const service_id &service, engine_stage stage, double workMs);
         /// The request runs there until its answer is complete; otherwise the runner only prefills
         /// its prompt.
-        void noteRuns() { isRun = true; }
+        void markRunning() { isRun = true; }
 
     private:
-        friend class runner_ledger;
+        friend class runner_table;
 
-        runner_ledger &ledger;
+        runner_table &ledger;
         const std::uint32_t target;
-        const double readingMs;
+        const double prefillMs;
         const send_class urgency;
         const mono_time sentAt;
         bool isRun = false;
@@ -68,32 +68,32 @@
         engine_stage stage = engine_stage::None;
         double expectedMs = 0; ///< 0: the pace is not learnt from this send.
         mono_time startedAt{}; ///< Zero: it has not started.
-        send_end end = send_end::Unknown;
+        send_outcome end = send_outcome::Unknown;
     };
 
     /// @param engine Of the service; null for plain ones.
     /// @param tried Runners that the request was sent to without success.
-    std::vector<place_candidate> candidatesOf(const catalogue &known, const service_id &service,
-                                              const engine_traits *engine,
-                                              const std::vector<prompt_part> &prompt,
-                                              const std::vector<runner_id> &tried);
+    std::vector<placement_candidate> candidatesOf(const catalogue &known, const service_id &service,
+                                                  const engine_traits *engine,
+                                                  const std::vector<prompt_part> &prompt,
+                                                  const std::vector<runner_id> &tried);
 
     /// Called when the runner says that it is not the one that its entry describes, or not of that
     /// stage.
-    void noteMisdirected(const std::shared_ptr<const runner> &target);
+    void recordMisdirected(const std::shared_ptr<const runner> &target);
 
     /// Called before the runner prefills this prompt, which then stays in its cache.
-    void noteCached(const runner_id &target, const std::vector<prompt_part> &prompt);
+    void recordCached(const runner_id &target, const std::vector<prompt_part> &prompt);
     /// Called when the runner has prefilled it: other engines can copy it from then on.
-    void noteRead(const runner_id &target, const std::vector<prompt_part> &prompt);
+    void recordPrefilled(const runner_id &target, const std::vector<prompt_part> &prompt);
 
     /// @returns The load update for the other instances.
-    peer::load_news collectNews(peer::news_audience audience);
+    peer::load_update collectUpdate(peer::update_recipients audience);
     /// Applies another instance's load update.
-    void takeNews(std::uint64_t sender, const peer::load_news &news);
+    void applyUpdate(std::uint64_t sender, const peer::load_update &news);
 
     /// Removes runners that are no longer listed and have no open requests.
-    void forgetAllBut(const runner_map &listed);
+    void removeUnlisted(const runner_map &listed);
 
 private:
     struct cached_part
@@ -106,10 +106,10 @@
     struct waiting_work
     {
         std::uint32_t count = 0;
-        double readingMs = 0;
+        double prefillMs = 0;
 
         void add(std::uint32_t more, double moreMs);
-        void takeOff(std::uint32_t less, double lessMs);
+        void subtract(std::uint32_t less, double lessMs);
     };
 
     /// Open requests at one runner, of this instance or of all others.
@@ -121,23 +121,23 @@
 
         waiting_work &of(send_class urgency);
         void add(const peer::runner_work &update);
-        void takeOff(const peer::runner_work &update);
+        void subtract(const peer::runner_work &update);
     };
 
-    struct record
+    struct runner_record
     {
-        std::uint64_t bornMs = 0; ///< Of the incarnation that this record describes.
+        std::uint64_t startedAtMs = 0; ///< Of the incarnation that this record describes.
         work_sum own;
-        work_sum elsewhere; ///< Sum of the other instances' latest updates.
+        work_sum others; ///< Sum of the other instances' latest updates.
         std::uint32_t failuresInRow = 0;
         runner misdirected; ///< The entry that it has denied last.
         mono_time misdirectedUntil{};
         std::deque<bool> outcomes; ///< Of the last sends; true: failed.
-        mono_time setAsideUntil{};
+        mono_time ejectedUntil{};
         double runMs = 0; ///< Moving mean from the first byte to the end.
         double meanStartMs = 0; ///< Moving mean of the time to the first byte.
         std::uint32_t starts = 0;
-        mono_time startedAt{}; ///< Time of the last recorded start.
+        mono_time lastStartAt{}; ///< Time of the last recorded start.
         /// Tokens added to its cache so far, by all instances as far as known.
         std::uint64_t tokensIn = 0;
         std::uint64_t ownTokensIn = 0; ///< Of these, by this instance.
@@ -146,44 +146,47 @@
         /// By the low 32 bits of the chain's hash.
         std::unordered_map<std::uint32_t, cached_part> cached;
         /// How often its load is still sent although no request is open: against lost datagrams.
-        std::array<std::uint32_t, peer::newsAudiences> tellsLeft{};
+        std::array<std::uint32_t, peer::updateRecipientGroups> sendsLeft{};
 
         bool holds(std::uint32_t chain) const;
-        void beginLife(std::uint64_t newStartMs);
+        void beginIncarnation(std::uint64_t newStartMs);
         void use(std::uint32_t chain, std::uint32_t tokens, bool isRead);
     };
 
     struct peer_record
     {
-        mono_time heardAt{};
+        mono_time receivedAt{};
         std::chrono::nanoseconds interval{0}; ///< Between its last two updates.
         std::unordered_map<std::uint32_t, peer::runner_work> work; ///< By runner.
     };
 
-    struct cached_news
+    struct cached_update
     {
-        peer::cached_chain chain;
+        peer::cached_prefix chain;
         std::uint32_t repeatsLeft = 0;
     };
 
     void opened(const open_send &sent);
     void started(const open_send &sent);
     void ended(const open_send &sent);
-    void noteOutcome(record &entry, send_end how, mono_time now);
-    static void noteCachedTokens(const record &entry, const std::vector<prompt_part> &prompt,
-                                 place_candidate &into);
-    record &useParts(const runner_id &target, const std::vector<prompt_part> &prompt, bool isRead);
-    void tellCached(std::uint32_t runner, const std::vector<prompt_part> &prompt, bool isRead);
-    void takeOff(const peer_record &update);
-    void dropSilentPeers(mono_time now);
-    void judgeSlowness(std::vector<place_candidate> &candidates, mono_time now);
+    void recordOutcome(runner_record &entry, send_outcome how, mono_time now);
+    static void countCachedTokens(const runner_record &entry,
+                                  const std::vector<prompt_part> &prompt,
+                                  placement_candidate &into);
+    runner_record &useParts(const runner_id &target, const std::vector<prompt_part> &prompt,
+                            bool isRead);
+    void queueCachedUpdate(std::uint32_t runner, const std::vector<prompt_part> &prompt,
+                           bool isRead);
+    void subtract(const peer_record &update);
+    void expireSilentPeers(mono_time now);
+    void estimateSlowness(std::vector<placement_candidate> &candidates, mono_time now);
 
     const clock_source clock;
     std::mutex guard;
-    std::unordered_map<std::uint32_t, record> records; ///< By runner.
+    std::unordered_map<std::uint32_t, runner_record> records; ///< By runner.
     std::map<service_id, std::map<engine_stage, engine_pace>> paces;
     std::unordered_map<std::uint64_t, peer_record> peers; ///< By sender.
-    std::array<std::deque<cached_news>, peer::newsAudiences> news;
+    std::array<std::deque<cached_update>, peer::updateRecipientGroups> pendingUpdates;
 };
 
 } // namespace poplarspool::gateway
--- a/src/gateway/stage_keeper.cpp
+++ b/src/gateway/stage_manager.cpp
@@ -1,4 +1,4 @@
-#include "gateway/stage_keeper.h"
+#include "gateway/stage_manager.h"
 
 #include "gateway/runner_control.h"
 #include "poplarspool/gateway/limits.h"
@@ -7,16 +7,16 @@
 
 namespace poplarspool::gateway {
 
-stage_keeper::stage_keeper(stage_tools tools, duties::lease_store store, instance_id self,
-                           milliseconds leaseBound)
+stage_manager::stage_manager(stage_manager_dependencies tools, duties::lease_store store,
+                             instance_id self, milliseconds leaseBound)
     : tools(std::move(tools)), self(std::move(self)),
       lease(std::move(store), this->self, leaseBound, this->tools.clock, this->tools.events),
-      thread("stages", config::stageLookTime, this->tools.faults, [this] { look(); })
+      thread("stages", config::stageInterval, this->tools.faults, [this] { runOnce(); })
 { }
 
 /// While a fleet starts, its runners register one after the other, and a split of the first few
 /// would differ from that of all. Draining runners are not counted.
-bool stage_keeper::isFleetSettled(const catalogue &known)
+bool stage_manager::isFleetSettled(const catalogue &known)
 {
     const mono_time now = tools.clock.mono();
     const auto serving = static_cast<std::size_t>(std::ranges::count_if(
@@ -28,9 +28,9 @@
     return now - changedAt >= config::stageSettleTime;
 }
 
-void stage_keeper::look()
+void stage_manager::runOnce()
 {
-    const auto known = tools.hub.current();
+    const auto known = tools.publisher.current();
     const bool isSettled = isFleetSettled(*known);
     if (!known->table || !known->areRunnersKnown || !tools.isOwner()) {
         planStates.clear();
@@ -47,26 +47,26 @@
 
 /// An order is complete when the engine's entry has the ordered stage, or when the engine has
 /// restarted. An order that was lost is discarded after a timeout, so that it can be sent again.
-void stage_keeper::forgetSettledOrders(const catalogue &known)
+void stage_manager::forgetSettledOrders(const catalogue &known)
 {
     const mono_time now = tools.clock.mono();
     std::erase_if(pendingOrders, [&](const auto &entry) {
         const auto found = known.runners.find(entry.first);
         return found == known.runners.end() || found->second->stage == entry.second.wanted
-                || found->second->bornMs != entry.second.startedAtMs
-                || now - entry.second.orderedAt >= config::stageOrderTime;
+                || found->second->startedAtMs != entry.second.startedAtMs
+                || now - entry.second.orderedAt >= config::stageOrderTimeout;
     });
 }
 
-std::vector<stage_engine> stage_keeper::enginesOf(const catalogue &known, const service &engines)
+std::vector<stage_engine> stage_manager::enginesOf(const catalogue &known, const service &engines)
 {
     std::vector<stage_engine> found;
     const mono_time now = tools.clock.mono();
-    for (const place_candidate &one :
+    for (const placement_candidate &one :
          tools.ledger.candidatesOf(known, engines.id, &*engines.engine, {}, {})) {
         const runner &target = *one.target;
         // An engine without a stage does all work and refuses orders to change stage.
-        if (target.isDraining || target.keptUntil <= now || target.stage == engine_stage::None)
+        if (target.isDraining || target.retainedUntil <= now || target.stage == engine_stage::None)
             continue;
         stage_engine seen{target.id, target.zone, target.stage, one.load.open, false};
         const auto order = pendingOrders.find(target.id);
@@ -79,15 +79,15 @@
     return found;
 }
 
-void stage_keeper::planService(const catalogue &known, const service &engines)
+void stage_manager::planService(const catalogue &known, const service &engines)
 {
     const std::vector<stage_engine> seen = enginesOf(known, engines);
-    stage_memory &state = planStates[engines.id];
-    state = noteRunning(state, seen, tools.clock.mono());
+    stage_plan_state &state = planStates[engines.id];
+    state = updateMeanRunning(state, seen, tools.clock.mono());
     const std::vector<stage_change> changes = dueChanges(seen, *engines.engine, state);
     if (changes.empty())
         return;
-    const auto term = lease.tryTake();
+    const auto term = lease.tryAcquire();
     if (!term)
         return;
     for (const stage_change &change : changes)
@@ -97,8 +97,8 @@
 /// Orders may be executed long after they were sent, also after newer ones. Each contains the
 /// number of orders that the engine had taken when it was last queried; the engine drops a delayed
 /// order because that number has changed since.
-void stage_keeper::placeOrder(const catalogue &known, const stage_change &change,
-                              const duties::lease_term &term)
+void stage_manager::placeOrder(const catalogue &known, const stage_change &change,
+                               const duties::lease_term &term)
 {
     const auto found = known.runners.find(change.engine);
     if (found == known.runners.end())
@@ -108,13 +108,13 @@
     const auto timeLeft = [&] {
         const auto left =
                 std::chrono::duration_cast<milliseconds>(term.endsAt - tools.clock.mono());
-        return std::min(left, config::stageCallTime);
+        return std::min(left, config::stageCallTimeout);
     };
     if (timeLeft() <= milliseconds::zero())
         return;
-    const auto report =
-            askRunner(tools.connections, tools.names, target, tools.names.askReport(), timeLeft());
-    const auto state = succeeded(report) ? tools.names.readReport(valueOf(report).body)
+    const auto report = callRunner(tools.connections, tools.names, target,
+                                   tools.names.reportRequest(), timeLeft());
+    const auto state = succeeded(report) ? tools.names.parseReport(valueOf(report).body)
                                          : std::optional<engine_report>();
     if (!state || state->isChanging || timeLeft() <= milliseconds::zero()) {
         tools.events.emit("stage_order_skipped",
@@ -127,9 +127,9 @@
     }
     const engine_order wanted{change.wanted, self, term.fence, state->ordersTaken};
     // Recorded before it is sent: even if the call fails, the engine may have taken the order.
-    pendingOrders[target.id] = {change.wanted, tools.clock.mono(), target.bornMs};
-    const auto reply = askRunner(tools.connections, tools.names, target,
-                                 tools.names.orderStage(wanted), timeLeft(), isInTerm);
+    pendingOrders[target.id] = {change.wanted, tools.clock.mono(), target.startedAtMs};
+    const auto reply = callRunner(tools.connections, tools.names, target,
+                                  tools.names.stageOrderRequest(wanted), timeLeft(), isInTerm);
     const bool isNotGiven = !succeeded(reply) && errorOf(reply).ran == verdict::NotRun;
     if (isNotGiven)
         pendingOrders.erase(target.id);
--- a/src/gateway/stage_keeper.h
+++ b/src/gateway/stage_manager.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "base/connection_pool.h"
-#include "gateway/runner_ledger.h"
-#include "poplarspool/base/look_thread.h"
+#include "gateway/runner_table.h"
+#include "poplarspool/base/periodic_thread.h"
 #include "poplarspool/duties/lease.h"
 #include "poplarspool/gateway/catalogue.h"
 #include "poplarspool/gateway/dialect.h"
@@ -13,16 +13,16 @@
 namespace poplarspool::gateway {
 
 /// What the stage manager needs from its instance.
-struct stage_tools
+struct stage_manager_dependencies
 {
-    const catalogue_hub &hub;
-    runner_ledger &ledger;
+    const catalogue_publisher &publisher;
+    runner_table &ledger;
     connection_pool &connections;
     const dialect &names;
     const clock_source clock;
     journal &events;
     counter &orders;
-    const step_faults faults;
+    const step_failure_reporter faults;
     /// Whether this instance is responsible for planning. Two instances may briefly both be; the
     /// lease ensures that only one of them acts.
     std::function<bool()> isOwner;
@@ -30,11 +30,11 @@
 
 /// Periodically plans the stages of all engines and orders engines to change stage, on a thread of
 /// its own.
-class stage_keeper
+class stage_manager
 {
 public:
-    stage_keeper(stage_tools tools, duties::lease_store store, instance_id self,
-                 milliseconds leaseBound);
+    stage_manager(stage_manager_dependencies tools, duties::lease_store store, instance_id self,
+                  milliseconds leaseBound);
 
     void start() { thread.start(); }
     void requestStop() { thread.requestStop(); }
@@ -42,7 +42,7 @@
 
     /// Runs one iteration: plans, and sends the resulting orders. Called by the own thread and by
     /// tests.
-    void look();
+    void runOnce();
 
 private:
     /// An order that the engine has taken, or may have taken.
@@ -60,14 +60,14 @@
     void placeOrder(const catalogue &known, const stage_change &change,
                     const duties::lease_term &term);
 
-    const stage_tools tools;
+    const stage_manager_dependencies tools;
     const instance_id self;
     duties::duty_lease lease;
     std::map<runner_id, pending_order> pendingOrders;
-    std::map<service_id, stage_memory> planStates;
+    std::map<service_id, stage_plan_state> planStates;
     std::size_t servingCount = 0;
     mono_time changedAt{}; ///< When the number of runners in service last changed.
-    look_thread thread; ///< Declared last: stops before the members it uses are destroyed.
+    periodic_thread thread; ///< Declared last: stops before the members it uses are destroyed.
 };
 
 } // namespace poplarspool::gateway
--- a/src/gateway/stage_plan.cpp
+++ b/src/gateway/stage_plan.cpp
@@ -26,7 +26,7 @@
     const double share = traits.batch >= config::largeBatch ? config::decodeShareLargeBatch
                                                             : config::decodeShareSmallBatch;
     const auto byShare = static_cast<std::uint32_t>(std::ceil(share * double(engines)));
-    return std::max(byShare, config::decodersAtLeast);
+    return std::max(byShare, config::minDecoders);
 }
 
 /// Selects the engine of that stage whose change costs least: from the zone with the most engines
@@ -49,7 +49,8 @@
         if (!isCandidate(one) || one.isChanging)
             continue;
         const bool isBetter = best == nullptr || remaining[one.zone] > remaining[best->zone]
-                || (remaining[one.zone] == remaining[best->zone] && one.open < best->open);
+                || (remaining[one.zone] == remaining[best->zone]
+                    && one.openRequests < best->openRequests);
         if (isBetter)
             best = &one;
     }
@@ -68,17 +69,17 @@
 
 } // namespace
 
-stage_memory noteRunning(const stage_memory &state, std::span<const stage_engine> engines,
-                         mono_time now)
+stage_plan_state updateMeanRunning(const stage_plan_state &state,
+                                   std::span<const stage_engine> engines, mono_time now)
 {
     double running = 0;
     for (const stage_engine &one : engines)
-        running += one.stage == engine_stage::Decode ? one.open : 0;
-    if (state.lookedAt == mono_time{})
+        running += one.stage == engine_stage::Decode ? one.openRequests : 0;
+    if (state.updatedAt == mono_time{})
         return {running, now, {}};
-    const double passed = std::chrono::duration<double>(now - state.lookedAt).count();
+    const double passed = std::chrono::duration<double>(now - state.updatedAt).count();
     const double newest = 1 - std::exp(-passed / config::runningMeanSeconds);
-    return {state.meanRunning + newest * (running - state.meanRunning), now, state.unevenSince};
+    return {state.meanRunning + newest * (running - state.meanRunning), now, state.imbalancedSince};
 }
 
 /// Prefill engines process prompts more than twice as fast as decode engines, and a prompt that is
@@ -89,22 +90,21 @@
 {
     const auto total = static_cast<std::uint32_t>(engines);
     const std::uint32_t minCount = minDecoders(engines, traits);
-    const auto minPrefill =
-            static_cast<std::uint32_t>(std::ceil(config::prefillShareLeast * total));
+    const auto minPrefill = static_cast<std::uint32_t>(std::ceil(config::minPrefillShare * total));
     const std::uint32_t maxCount = std::max(total - std::min(total, minPrefill), minCount);
     const double needed = meanRunning / maxUnqueuedRequests(traits);
     if (needed > decodersNow)
         return std::clamp(static_cast<std::uint32_t>(std::ceil(needed)), minCount, maxCount);
     // An engine returns to prefill only if the others can take over its load with some headroom.
-    const auto kept = static_cast<std::uint32_t>(std::ceil(needed / config::decodeGiveBackShare));
+    const auto kept = static_cast<std::uint32_t>(std::ceil(needed / config::decodeReturnShare));
     return std::clamp(std::min(decodersNow, kept), minCount, maxCount);
 }
 
 std::vector<stage_change> planStages(std::span<const stage_engine> engines,
-                                     const engine_traits &traits, const stage_memory &state)
+                                     const engine_traits &traits, const stage_plan_state &state)
 {
     std::vector<stage_change> changes;
-    if (engines.size() < config::stagedEnginesAtLeast)
+    if (engines.size() < config::minStagedEngines)
         return changes;
     const std::uint32_t decoders = countOf(engines, engine_stage::Decode);
     const std::uint32_t wanted =
@@ -126,21 +126,21 @@
 /// at once would be reverted as soon as it is complete, and both take engines out of service when
 /// they are scarce. While no requests are running, changes cost nothing and are due at once.
 std::vector<stage_change> dueChanges(std::span<const stage_engine> engines,
-                                     const engine_traits &traits, stage_memory &state)
+                                     const engine_traits &traits, stage_plan_state &state)
 {
     std::vector<stage_change> planned = planStages(engines, traits, state);
     if (planned.empty()) {
-        state.unevenSince = {};
+        state.imbalancedSince = {};
         return planned;
     }
-    if (state.unevenSince == mono_time{})
-        state.unevenSince = state.lookedAt;
-    if (state.meanRunning < config::restRunning)
+    if (state.imbalancedSince == mono_time{})
+        state.imbalancedSince = state.updatedAt;
+    if (state.meanRunning < config::idleRunningThreshold)
         return planned;
     const milliseconds delay = planned.front().wanted == engine_stage::Decode
-            ? config::stagePatience
-            : config::stageGiveBackPatience;
-    const bool isDue = state.lookedAt - state.unevenSince >= delay;
+            ? config::stageChangeDelay
+            : config::stageReturnDelay;
+    const bool isDue = state.updatedAt - state.imbalancedSince >= delay;
     planned.resize(isDue ? std::min(planned.size(), allowedChanges(engines)) : 0);
     return planned;
 }
--- a/src/node/answers.cpp
+++ b/src/node/answers.cpp
@@ -70,7 +70,7 @@
 
 } // namespace
 
-struct answer_book::state
+struct answer_table::state
 {
     using entries = std::list<entry>;
 
@@ -92,14 +92,14 @@
     std::size_t bytes = 0;
 };
 
-answer_book::state::entries::iterator answer_book::state::add(const std::string &name)
+answer_table::state::entries::iterator answer_table::state::add(const std::string &name)
 {
     entries &unknown = listOf(answer_state::Unknown);
     unknown.push_back({name, {}, {}, 0});
     return byName.emplace(name, std::prev(unknown.end())).first->second;
 }
 
-void answer_book::state::set(entries::iterator at, peer::answer_reply answer)
+void answer_table::state::set(entries::iterator at, peer::answer_reply answer)
 {
     entries &from = listOf(at->answer.state);
     entries &to = listOf(answer.state);
@@ -110,15 +110,15 @@
     bytes += at->bytes;
 }
 
-void answer_book::state::drop(entries::iterator at)
+void answer_table::state::drop(entries::iterator at)
 {
     bytes -= at->bytes;
     byName.erase(at->name);
     listOf(at->answer.state).erase(at);
 }
 
-void answer_book::state::record(const std::string &key, const std::string &nonce,
-                                peer::answer_reply answer)
+void answer_table::state::record(const std::string &key, const std::string &nonce,
+                                 peer::answer_reply answer)
 {
     const std::lock_guard guard(lock);
     const std::string name = nameOf(key, nonce);
@@ -137,12 +137,12 @@
 /// get "may have run", which is true), then the record that an attempt was lost (an unknown attempt
 /// is reported in the same way), and last the record that an attempt was never dispatched, because
 /// that record frees the key. Running attempts are never evicted.
-void answer_book::state::evictOverLimit()
+void answer_table::state::evictOverLimit()
 {
     entries &done = listOf(answer_state::Done);
     entries &lost = listOf(answer_state::Lost);
     entries &notDispatched = listOf(answer_state::NotDispatched);
-    while (bytes > config::maxAnswerBookBytes) {
+    while (bytes > config::maxAnswerTableBytes) {
         if (!done.empty())
             set(done.begin(), {answer_state::Lost, 0, {}, {}, {}});
         else if (!lost.empty())
@@ -154,34 +154,35 @@
     }
 }
 
-answer_book::answer_book(clock_source clock) : inner(std::make_unique<state>(std::move(clock))) { }
+answer_table::answer_table(clock_source clock)
+    : inner(std::make_unique<state>(std::move(clock))) { }
 
-answer_book::~answer_book() = default;
+answer_table::~answer_table() = default;
 
-void answer_book::onRunning(const std::string &key, const std::string &nonce)
+void answer_table::onRunning(const std::string &key, const std::string &nonce)
 {
     inner->record(key, nonce, {answer_state::Running, 0, {}, {}, {}});
 }
 
-void answer_book::onNotDispatched(const std::string &key, const std::string &nonce)
+void answer_table::onNotDispatched(const std::string &key, const std::string &nonce)
 {
     inner->record(key, nonce, {answer_state::NotDispatched, 0, {}, {}, {}});
 }
 
-void answer_book::onDone(const std::string &key, const std::string &nonce, const http_reply &reply)
+void answer_table::onDone(const std::string &key, const std::string &nonce, const http_reply &reply)
 {
     peer::answer_reply answer = answerOf(reply);
-    if (bytesOf(answer) > config::maxKeptAnswerBytes)
+    if (bytesOf(answer) > config::maxStoredAnswerBytes)
         return onLost(key, nonce);
     inner->record(key, nonce, std::move(answer));
 }
 
-void answer_book::onLost(const std::string &key, const std::string &nonce)
+void answer_table::onLost(const std::string &key, const std::string &nonce)
 {
     inner->record(key, nonce, {answer_state::Lost, 0, {}, {}, {}});
 }
 
-peer::answer_reply answer_book::find(const peer::answer_ask &request)
+peer::answer_reply answer_table::find(const peer::answer_request &request)
 {
     const std::string name = nameOf(request.key, request.nonce);
     peer::answer_reply seen;
@@ -195,7 +196,7 @@
     return seen;
 }
 
-void answer_book::forgetOlderThan(milliseconds retentionTime)
+void answer_table::evictOlderThan(milliseconds retentionTime)
 {
     const std::lock_guard guard(inner->lock);
     const mono_time now = inner->clock.mono();
--- a/src/node/claim_batcher.cpp
+++ b/src/node/claim_batcher.cpp
@@ -11,13 +11,13 @@
 error stopping()
 {
     return notRun(error_code::Unavailable, "claim not granted: this instance is shutting down",
-                  config::claimRetryTime);
+                  config::claimRetryAfter);
 }
 
 error tooLate()
 {
     return notRun(error_code::TimedOut, "claim not granted within its time limit",
-                  config::claimRetryTime);
+                  config::claimRetryAfter);
 }
 
 bool isOutOfTime(const claim_outcome &outcome)
@@ -31,7 +31,7 @@
     : writer(std::move(writer)), clock(std::move(clock))
 { }
 
-claim_outcome claim_batcher::decide(const claim_wish &claim, mono_time deadline)
+claim_outcome claim_batcher::decide(const pending_claim &claim, mono_time deadline)
 {
     const auto own = std::make_shared<queue_entry>(queue_entry{claim, std::nullopt});
     std::unique_lock guard(lock);
@@ -64,7 +64,7 @@
     const auto isFull = [this] { return isStopped || queue.size() >= config::maxClaimBatch; };
     changed.wait_for(guard, config::claimBatchTime, isFull);
     const std::vector<queue_entry_ptr> batch = takeBatch();
-    std::vector<claim_wish> claims;
+    std::vector<pending_claim> claims;
     claims.reserve(batch.size());
     for (const queue_entry_ptr &entry : batch)
         claims.push_back(entry->claim);
@@ -75,7 +75,7 @@
     for (std::size_t i = 0; i < batch.size(); ++i)
         batch[i]->outcome = outcomes[i];
     if (mustDropCache)
-        writer->forgetAll();
+        writer->dropCache();
     mustDropCache = false;
     hasLeader = false;
     changed.notify_all();
@@ -96,12 +96,12 @@
     return !changed.wait_for(guard, time, [this] { return isStopped; });
 }
 
-void claim_batcher::release()
+void claim_batcher::dropCache()
 {
     const std::lock_guard guard(lock);
     mustDropCache = hasLeader;
     if (!hasLeader)
-        writer->forgetAll();
+        writer->dropCache();
 }
 
 void claim_batcher::stop()
