--- a/src/node/claim_batcher.h
+++ b/src/node/claim_batcher.h
@@ -16,15 +16,15 @@
     claim_batcher(std::unique_ptr<claim_writer> writer, clock_source clock);
 
     /// Blocks until the claim is decided, at most until the deadline.
-    claim_outcome decide(const claim_wish &claim, mono_time deadline);
+    claim_outcome decide(const pending_claim &claim, mono_time deadline);
     /// Drops the cached claims of the bucket, because another instance is its batcher.
-    void release();
+    void dropCache();
     void stop();
 
 private:
     struct queue_entry
     {
-        claim_wish claim;
+        pending_claim claim;
         std::optional<claim_outcome> outcome;
     };
     using queue_entry_ptr = std::shared_ptr<queue_entry>;
--- a/src/node/claim_writer.cpp
+++ b/src/node/claim_writer.cpp
@@ -18,7 +18,7 @@
     cause.ran = verdict::NotRun;
     cause.message = "claim not granted: " + cause.message;
     if (!cause.retryAfter)
-        cause.retryAfter = config::claimRetryTime;
+        cause.retryAfter = config::claimRetryAfter;
     return cause;
 }
 
@@ -35,7 +35,7 @@
     const bool isBackoff =
             fault.code == error_code::Throttled || fault.code == error_code::Unavailable;
     return isBackoff && fault.ran == verdict::NotRun && fault.retryAfter
-            && *fault.retryAfter <= config::claimStorePatience;
+            && *fault.retryAfter <= config::maxClaimStoreWait;
 }
 
 std::vector<claim_outcome> allFailed(std::size_t count, const error &cause)
@@ -57,8 +57,8 @@
               metrics.gaugeOf("poplarspool_claim_object_bytes{object=\"" + this->objectKey + "\"}"))
 { }
 
-std::vector<claim_outcome> claim_writer::write(const std::vector<claim_wish> &claims,
-                                               mono_time deadline, const claim_pause &pause)
+std::vector<claim_outcome> claim_writer::write(const std::vector<pending_claim> &claims,
+                                               mono_time deadline, const backoff_function &pause)
 {
     while (clock.mono() < deadline) {
         std::vector<claim_outcome> outcomes;
@@ -123,21 +123,22 @@
     }
 }
 
-std::vector<claim_outcome> claim_writer::apply(const std::vector<claim_wish> &claims)
+std::vector<claim_outcome> claim_writer::apply(const std::vector<pending_claim> &claims)
 {
     changes.clear();
     std::vector<claim_outcome> outcomes;
     outcomes.reserve(claims.size());
-    for (const claim_wish &claim : claims)
+    for (const pending_claim &claim : claims)
         outcomes.push_back(applyOne(claim));
     return outcomes;
 }
 
-claim_outcome claim_writer::applyOne(const claim_wish &claim)
+claim_outcome claim_writer::applyOne(const pending_claim &claim)
 {
-    const peer::claim_ask &request = claim.ask;
+    const peer::claim_request &request = claim.request;
     const stored_claim *existing = findClaim(segment, request.key);
-    const bool mayReplace = !existing || (claim.dead && existing->nonce == *claim.dead);
+    const bool mayReplace =
+            !existing || (claim.supersededNonce && existing->nonce == *claim.supersededNonce);
     if (!mayReplace)
         return replyOf(*existing);
     changes.push_back({request.key, existing ? std::optional(*existing) : std::nullopt});
@@ -203,19 +204,19 @@
 
 /// @returns The outcomes after a failed write: only claims that existed before remain decided.
 std::vector<claim_outcome>
-claim_writer::outcomesAfterFailedWrite(const std::vector<claim_wish> &claims,
+claim_writer::outcomesAfterFailedWrite(const std::vector<pending_claim> &claims,
                                        std::vector<claim_outcome> outcomes,
                                        const error &failure) const
 {
     for (std::size_t i = 0; i < claims.size(); ++i) {
-        const auto isOfClaim = [&](const change &one) { return one.name == claims[i].ask.key; };
+        const auto isOfClaim = [&](const change &one) { return one.name == claims[i].request.key; };
         if (std::any_of(changes.begin(), changes.end(), isOfClaim))
             outcomes[i] = refusalOf(failure);
     }
     return outcomes;
 }
 
-void claim_writer::forgetAll()
+void claim_writer::dropCache()
 {
     isCached = false;
     segment = {};
--- a/src/node/claim_writer.h
+++ b/src/node/claim_writer.h
@@ -17,20 +17,20 @@
 namespace poplarspool::node {
 
 /// A claim to write for an attempt.
-struct claim_wish
+struct pending_claim
 {
-    peer::claim_ask ask;
+    peer::claim_request request;
     /// Nonce of an attempt that was never dispatched and never will be: its claim may be replaced.
-    std::optional<std::string> dead;
+    std::optional<std::string> supersededNonce;
 
-    bool operator==(const claim_wish &) const = default;
+    bool operator==(const pending_claim &) const = default;
 };
 
 using claim_outcome = result<peer::claim_reply>;
 
 /// Waits before the next call to the store.
 /// @returns False if the call should not be made because the process is stopping.
-using claim_pause = std::function<bool(milliseconds)>;
+using backoff_function = std::function<bool(milliseconds)>;
 
 /// Writes batches of claims to the object of one bucket by conditional writes. Not thread-safe.
 class claim_writer
@@ -44,10 +44,10 @@
     /// @returns One outcome per claim. Every failure is NotRun, because an attempt without a claim
     ///          must not be dispatched. This holds even if the claim was written and only the
     ///          store's answer was lost; see answer_table::onNotDispatched.
-    std::vector<claim_outcome> write(const std::vector<claim_wish> &claims, mono_time deadline,
-                                     const claim_pause &pause);
+    std::vector<claim_outcome> write(const std::vector<pending_claim> &claims, mono_time deadline,
+                                     const backoff_function &pause);
     /// Drops the cached claims of the bucket.
-    void forgetAll();
+    void dropCache();
 
 private:
     struct change
@@ -58,12 +58,12 @@
 
     std::optional<error> read();
     void prune();
-    std::vector<claim_outcome> apply(const std::vector<claim_wish> &claims);
-    claim_outcome applyOne(const claim_wish &claim);
+    std::vector<claim_outcome> apply(const std::vector<pending_claim> &claims);
+    claim_outcome applyOne(const pending_claim &claim);
     std::optional<error> writeChanges(mono_time deadline);
     void commitChanges();
     void revertChanges();
-    std::vector<claim_outcome> outcomesAfterFailedWrite(const std::vector<claim_wish> &claims,
+    std::vector<claim_outcome> outcomesAfterFailedWrite(const std::vector<pending_claim> &claims,
                                                         std::vector<claim_outcome> outcomes,
                                                         const error &failure) const;
 
--- a/src/node/claims.cpp
+++ b/src/node/claims.cpp
@@ -24,7 +24,7 @@
 
 /// Validates a claim request, which may come from another instance. A malformed claim must not get
 /// into the bucket, where it would make the whole bucket unreadable for every instance.
-std::optional<error> checkRequest(const peer::claim_ask &request)
+std::optional<error> checkRequest(const peer::claim_request &request)
 {
     const bool isSound = isToken(request.key) && isToken(request.bodyHash) && isToken(request.nonce)
             && isToken(request.owner.text);
@@ -48,7 +48,7 @@
 
 } // namespace
 
-struct claim_book::state
+struct claim_manager::state
 {
     state(const std::string &deployment, platform::object_store &store, claim_peers peers,
           const std::function<milliseconds()> &retentionTime, const clock_source &clock,
@@ -65,52 +65,57 @@
         }
     }
 
-    claim_batcher &batcherOf(const claim_wish &claim) { return *batchers[bucketOf(claim.ask.key)]; }
-    claim_outcome decideLocally(const claim_wish &claim, mono_time deadline);
-    claim_outcome requestFromBatcher(const endpoint &batcher, peer::claim_ask request,
+    claim_batcher &batcherOf(const pending_claim &claim)
+    {
+        return *batchers[bucketOf(claim.request.key)];
+    }
+    claim_outcome decideLocally(const pending_claim &claim, mono_time deadline);
+    claim_outcome requestFromBatcher(const endpoint &batcher, peer::claim_request request,
                                      mono_time deadline);
 
     claim_peers peers;
     clock_source clock;
     journal &events;
     counter &fallbacks;
-    latency &decisionTime;
+    latency_histogram &decisionTime;
     std::vector<std::unique_ptr<claim_batcher>> batchers; ///< One per bucket.
 };
 
-claim_outcome claim_book::state::decideLocally(const claim_wish &claim, mono_time deadline)
+claim_outcome claim_manager::state::decideLocally(const pending_claim &claim, mono_time deadline)
 {
-    if (const auto fault = checkRequest(claim.ask))
+    if (const auto fault = checkRequest(claim.request))
         return *fault;
     const mono_time begin = clock.mono();
-    const mono_time end = std::min(deadline, begin + config::claimTryTime);
+    const mono_time end = std::min(deadline, begin + config::claimTryTimeout);
     claim_outcome outcome = batcherOf(claim).decide(claim, end);
     decisionTime.record(clock.mono() - begin);
     return outcome;
 }
 
-claim_outcome claim_book::state::requestFromBatcher(const endpoint &batcher,
-                                                    peer::claim_ask request, mono_time deadline)
+claim_outcome claim_manager::state::requestFromBatcher(const endpoint &batcher,
+                                                       peer::claim_request request,
+                                                       mono_time deadline)
 {
     const auto left = std::chrono::duration_cast<milliseconds>(deadline - clock.mono());
     // At most half of the remaining time, so that a dead or frozen batcher leaves time to decide
     // the claim locally.
-    request.timeLeftMs = clampedCountOf(std::min(left / 2, config::claimTryTime));
-    return peers.ask(batcher, request);
+    request.timeLeftMs = clampedCountOf(std::min(left / 2, config::claimTryTimeout));
+    return peers.requestClaim(batcher, request);
 }
 
-claim_book::claim_book(const std::string &deployment, platform::object_store &store,
-                       claim_peers peers, const std::function<milliseconds()> &retentionTime,
-                       const clock_source &clock, metrics_registry &metrics, journal &events)
+claim_manager::claim_manager(const std::string &deployment, platform::object_store &store,
+                             claim_peers peers, const std::function<milliseconds()> &retentionTime,
+                             const clock_source &clock, metrics_registry &metrics, journal &events)
     : inner(std::make_unique<state>(deployment, store, std::move(peers), retentionTime, clock,
                                     metrics, events))
 { }
 
-claim_book::~claim_book() = default;
+claim_manager::~claim_manager() = default;
 
-result<peer::claim_reply> claim_book::claim(const peer::claim_ask &request, mono_time deadline)
+result<peer::claim_reply> claim_manager::claim(const peer::claim_request &request,
+                                               mono_time deadline)
 {
-    const claim_wish claim{request, std::nullopt};
+    const pending_claim claim{request, std::nullopt};
     const auto batcher = inner->peers.batcherOf(bucketOf(request.key));
     if (!batcher)
         return inner->decideLocally(claim, deadline);
@@ -126,30 +131,31 @@
         inner->events.emit("claim_fallback",
                            {{"peer", textOf(*batcher)}, {"code", std::string(nameOf(fault.code))}});
         outcome = inner->decideLocally(claim, deadline);
-        inner->batcherOf(claim).release();
+        inner->batcherOf(claim).dropCache();
         return outcome;
     }
     fault.ran = verdict::NotRun;
     return fault;
 }
 
-result<peer::claim_reply> claim_book::decide(const peer::claim_ask &request, mono_time deadline)
+result<peer::claim_reply> claim_manager::decide(const peer::claim_request &request,
+                                                mono_time deadline)
 {
     return inner->decideLocally({request, std::nullopt}, deadline);
 }
 
-result<peer::claim_reply> claim_book::supersede(const peer::claim_ask &request,
-                                                const std::string &supersededNonce,
-                                                mono_time deadline)
+result<peer::claim_reply> claim_manager::supersede(const peer::claim_request &request,
+                                                   const std::string &supersededNonce,
+                                                   mono_time deadline)
 {
-    const claim_wish claim{request, supersededNonce};
+    const pending_claim claim{request, supersededNonce};
     claim_outcome outcome = inner->decideLocally(claim, deadline);
     if (inner->peers.batcherOf(bucketOf(request.key)))
-        inner->batcherOf(claim).release();
+        inner->batcherOf(claim).dropCache();
     return outcome;
 }
 
-void claim_book::stop()
+void claim_manager::stop()
 {
     for (const auto &batcher : inner->batchers)
         batcher->stop();
--- a/src/node/demand.cpp
+++ b/src/node/demand.cpp
@@ -9,11 +9,11 @@
 
 using json = nlohmann::json;
 
-demand_book::demand_book(instance_id self, clock_source clock)
+demand_table::demand_table(instance_id self, clock_source clock)
     : self(std::move(self)), clock(std::move(clock))
 { }
 
-void demand_book::onRequest(const pool_id &pool, double prefillSeconds, double decodeSeconds)
+void demand_table::onRequest(const pool_id &pool, double prefillSeconds, double decodeSeconds)
 {
     const std::lock_guard lock(guard);
     totals &mine = ownTotals[pool];
@@ -22,7 +22,7 @@
     received[{pool, self.text}] = mine;
 }
 
-void demand_book::onRumor(const peer::rumor &rumor)
+void demand_table::onRumor(const peer::rumor &rumor)
 {
     const std::string suffix = rumor.key.substr(demandRumorPrefix.size());
     const std::size_t slash = suffix.find('/');
@@ -35,12 +35,12 @@
             parsed[0].get<double>(), parsed[1].get<double>()};
 }
 
-void demand_book::tell(const std::function<void(peer::rumor)> &spread)
+void demand_table::announce(const std::function<void(peer::rumor)> &spread)
 {
     std::map<pool_id, totals> mine;
     {
         const std::lock_guard lock(guard);
-        if (clock.mono() - announcedAt < config::loadSpreadTime)
+        if (clock.mono() - announcedAt < config::minLoadRumorInterval)
             return;
         announcedAt = clock.mono();
         mine = ownTotals;
@@ -52,7 +52,7 @@
     }
 }
 
-policy::demand_estimate demand_book::since(const pool_id &pool)
+policy::demand_estimate demand_table::demandSinceLastQuery(const pool_id &pool)
 {
     const std::lock_guard lock(guard);
     const mono_time now = clock.mono();
--- a/src/node/demand.h
+++ b/src/node/demand.h
@@ -16,20 +16,20 @@
 
 inline constexpr std::string_view demandRumorPrefix = "demand/";
 
-class demand_book
+class demand_table
 {
 public:
-    demand_book(instance_id self, clock_source clock);
+    demand_table(instance_id self, clock_source clock);
 
     /// Adds the estimated engine time of a request for that pool.
     void onRequest(const pool_id &pool, double prefillSeconds, double decodeSeconds);
     /// Stores the totals of another instance from a rumor whose key begins with demandRumorPrefix.
     void onRumor(const peer::rumor &rumor);
-    /// Spreads this instance's totals by gossip, at most once in config::loadSpreadTime.
-    void tell(const std::function<void(peer::rumor)> &spread);
+    /// Spreads this instance's totals by gossip, at most once in config::minLoadRumorInterval.
+    void announce(const std::function<void(peer::rumor)> &spread);
 
     /// @returns Engine seconds demanded per second since the previous call for that pool.
-    policy::demand_estimate since(const pool_id &pool);
+    policy::demand_estimate demandSinceLastQuery(const pool_id &pool);
 
 private:
     /// Engine seconds demanded since the start of the instance that counts them.
--- a/src/node/fleet_report.cpp
+++ b/src/node/fleet_report.cpp
@@ -37,8 +37,8 @@
 
 } // namespace
 
-operators::fleet_status reportOf(const policy::view &now, const instance_id &self,
-                                 bool isStoreReachable, mono_time time)
+operators::fleet_status fleetStatusOf(const policy::view &now, const instance_id &self,
+                                      bool isStoreReachable, mono_time time)
 {
     operators::fleet_status status;
     status.answeredBy = self;
--- a/src/node/fleet_report.h
+++ b/src/node/fleet_report.h
@@ -6,8 +6,8 @@
 /// Reports to operators what an instance knows of the fleet.
 namespace poplarspool::node {
 
-operators::fleet_status reportOf(const policy::view &now, const instance_id &self,
-                                 bool isStoreReachable, mono_time time);
+operators::fleet_status fleetStatusOf(const policy::view &now, const instance_id &self,
+                                      bool isStoreReachable, mono_time time);
 
 /// @returns All events in one sequence ordered by time, so that causes precede their effects.
 std::vector<event> mergeTimelines(std::vector<std::vector<event>> parts);
--- a/src/node/freshness.cpp
+++ b/src/node/freshness.cpp
@@ -48,7 +48,7 @@
 {
     if (facts.appliedVersion == 0)
         return {};
-    const mono_time confirmedUntil = facts.confirmedAt + config::freshTime;
+    const mono_time confirmedUntil = facts.confirmedAt + config::maxFreshAge;
     if (facts.now < confirmedUntil)
         return confirmedUntil;
     const auto [voters, reachable] = countReachable(facts);
@@ -57,7 +57,7 @@
     };
     if (reachable * 2 <= voters || std::any_of(facts.members.begin(), facts.members.end(), isNewer))
         return confirmedUntil;
-    return facts.now + config::reachTime;
+    return facts.now + config::majorityCheckValidity;
 }
 
 bool isAppliedEverywhere(const acknowledgements &known)
@@ -71,7 +71,7 @@
         if (!other || other->appliedVersion < known.version)
             return false;
     }
-    if (known.sinceAsked > config::freshTime + config::freshMargin)
+    if (known.sinceAsked > config::maxFreshAge + config::freshMargin)
         return true;
     return std::none_of(
             known.departed.begin(), known.departed.end(),
--- a/src/node/instance.cpp
+++ b/src/node/instance.cpp
@@ -1,21 +1,21 @@
 #include "poplarspool/node/instance.h"
 
 #include "node/demand.h"
-#include "node/duplicate_guard.h"
 #include "node/fleet_report.h"
-#include "node/load_watch.h"
+#include "node/load_monitor.h"
 #include "node/membership.h"
 #include "node/order_sender.h"
-#include "node/request_path.h"
+#include "node/request_deduplicator.h"
+#include "node/request_handler.h"
+#include "node/sent_work_table.h"
 #include "node/watched_sync.h"
-#include "node/work_ledger.h"
 #include "poplarspool/base/journal.h"
 #include "poplarspool/base/metrics.h"
 #include "poplarspool/caller/caller_server.h"
 #include "poplarspool/node/answers.h"
 #include "poplarspool/node/claims.h"
 #include "poplarspool/node/orders.h"
-#include "poplarspool/node/view_hub.h"
+#include "poplarspool/node/view_publisher.h"
 #include "poplarspool/operators/operator_server.h"
 #include "poplarspool/peer/calls.h"
 #include "poplarspool/peer/gossip.h"
@@ -38,19 +38,19 @@
 
 /// @returns Incarnation of this process. It is higher than all earlier ones, because the wall clock
 ///          advances between a stop and the next start.
-incarnation newIncarnation(const clock_source &clock)
+incarnation_number newIncarnation(const clock_source &clock)
 {
-    return static_cast<incarnation>(clock.wall().time_since_epoch().count());
+    return static_cast<incarnation_number>(clock.wall().time_since_epoch().count());
 }
 
-policy::member selfOf(const settings &choices, incarnation ownIncarnation)
+policy::member selfOf(const settings &choices, incarnation_number ownIncarnation)
 {
     policy::member self;
     self.id = choices.instance;
     self.zone = choices.zone;
     self.callerAddress = choices.callerAddress;
     self.peerAddress = choices.peerAddress;
-    self.life = ownIncarnation;
+    self.incarnation = ownIncarnation;
     return self;
 }
 
@@ -83,11 +83,11 @@
 
     peer::gossip_settings gossipChoices() const;
     peer::gossip_handlers gossipHandlers();
-    sync_needs syncDependencies();
+    sync_dependencies syncDependencies();
     claim_peers claimPeers();
-    planner_needs plannerDependencies();
-    request_needs requestDependencies();
-    membership_needs membershipDependencies();
+    planner_dependencies plannerDependencies();
+    request_dependencies requestDependencies();
+    membership_dependencies membershipDependencies();
     std::map<peer::call_kind, peer::call_handler> callHandlers();
     caller::caller_handlers callerHandlers();
     operators::operator_handlers operatorHandlers();
@@ -96,7 +96,7 @@
     void onRound();
     void acknowledge();
     std::optional<endpoint> batcherOf(std::uint32_t bucket) const;
-    peer::answer_reply answerOf(const instance_id &owner, const peer::answer_ask &request);
+    peer::answer_reply answerOf(const instance_id &owner, const peer::answer_request &request);
     std::vector<event> timeline(const event_filter &filter);
     operators::fleet_status status();
     void shutdownLoop();
@@ -104,10 +104,10 @@
 
     settings choices;
     clock_source clock = systemClock();
-    incarnation ownIncarnation = newIncarnation(clock);
+    incarnation_number ownIncarnation = newIncarnation(clock);
     metrics_registry metrics;
     journal events;
-    view_hub views;
+    view_publisher views;
     std::shared_ptr<http_pool> platformPool;
     std::shared_ptr<http_pool> runnerPool;
     std::shared_ptr<http_pool> pollPool; ///< Separate, so that polls don't wait behind requests.
@@ -116,17 +116,17 @@
     runner::service_api services;
     runner::service_api pollServices;
     platform::object_store store;
-    work_ledger sentWork;
-    demand_book demand;
+    sent_work_table sentWork;
+    demand_table demand;
     peer::call_client calls;
     peer::gossip gossip;
     membership members;
     watched_sync sync;
-    answer_book answers;
-    claim_book claims;
-    duplicate_guard duplicates;
-    load_watch loadMonitor;
-    request_path requests;
+    answer_table answers;
+    claim_manager claims;
+    request_deduplicator duplicates;
+    load_monitor loadMonitor;
+    request_handler requests;
     planner plans;
     peer::call_server callServer;
     operators::operator_server operatorServer;
@@ -143,42 +143,42 @@
 
 instance::state::state(settings given)
     : choices(std::move(given)), events(choices.instance, clock, choices.eventRingSize),
-      platformPool(std::make_shared<http_pool>(config::maxIdleConnections, config::connectTime,
+      platformPool(std::make_shared<http_pool>(config::maxIdleConnections, config::connectTimeout,
                                                metrics)),
-      runnerPool(std::make_shared<http_pool>(config::maxIdleConnections, config::connectTime,
+      runnerPool(std::make_shared<http_pool>(config::maxIdleConnections, config::connectTimeout,
                                              metrics)),
-      pollPool(std::make_shared<http_pool>(1, config::connectTime, metrics)),
+      pollPool(std::make_shared<http_pool>(1, config::connectTimeout, metrics)),
       engines(runner::httpEngineApi(runnerPool)),
       pollEngines(withGuardedOrders(runner::httpEngineApi(pollPool))),
       services(runner::httpServiceApi(runnerPool)), pollServices(runner::httpServiceApi(pollPool)),
-      store(platform::httpObjectApi(choices.storeAddress, platformPool, choices.storeCallTime),
-            {choices.storeCallsPerSecond, choices.storeCallBurst, config::storeBackoffFirst,
-             config::storeBackoffMax},
+      store(platform::httpObjectApi(choices.storeAddress, platformPool, choices.storeCallTimeout),
+            {choices.storeCallsPerSecond, choices.storeCallBurst, config::initialStoreBackoff,
+             config::maxStoreBackoff},
             clock, metrics, events),
       demand(choices.instance, clock),
       calls({choices.instance, ownIncarnation, choices.peerKey}, metrics, events),
       gossip(gossipChoices(), gossipHandlers(), clock, metrics, events),
       members(membershipDependencies(), gossip,
               platform::httpInstanceList(choices.instanceListAddress, platformPool,
-                                         choices.storeCallTime),
+                                         choices.storeCallTimeout),
               views, clock, events),
       sync(syncDependencies(), store, views, clock, metrics, events), answers(clock),
       claims(
               choices.deployment, store, claimPeers(),
               [this] {
                   const policy::view_ptr now = views.current();
-                  return now->book ? now->book->claimKeepTime : config::claimKeepTime;
+                  return now->ruleSet ? now->ruleSet->claimKeepTime : config::claimRetention;
               },
               clock, metrics, events),
       duplicates(choices.instance, claims, answers, claimPeers(), clock, events),
-      loadMonitor({choices.instance, choices.loadPollTime,
+      loadMonitor({choices.instance, choices.loadPollInterval,
                    [this](peer::rumor rumor) { gossip.spread(std::move(rumor)); }},
                   views, sentWork, pollEngines, pollServices, clock, metrics, events),
       requests(requestDependencies(), views, sentWork, demand, duplicates, answers, engines,
                services, clock, metrics, events),
       plans(plannerDependencies(), views, store,
             platform::httpWeightStore(choices.weightStoreAddress, platformPool,
-                                      choices.storeCallTime),
+                                      choices.storeCallTimeout),
             pollEngines, clock, metrics, events),
       callServer(choices.peerAddress, {choices.instance, ownIncarnation, choices.peerKey},
                  callHandlers(), metrics, events),
@@ -193,9 +193,9 @@
     peer::gossip_settings gossipOptions;
     gossipOptions.self = selfOf(choices, ownIncarnation);
     gossipOptions.key = choices.peerKey;
-    gossipOptions.roundTime = choices.gossipTime;
-    gossipOptions.suspectTime = config::suspectTime;
-    gossipOptions.deadTime = config::deadTime;
+    gossipOptions.roundInterval = choices.gossipInterval;
+    gossipOptions.probeTimeout = config::probeTimeout;
+    gossipOptions.suspicionTimeout = config::suspicionTimeout;
     gossipOptions.fanout = config::gossipFanout;
     gossipOptions.bytesPerSecond = config::gossipBytesPerSecond;
     return gossipOptions;
@@ -223,7 +223,7 @@
     const std::lock_guard lock(acknowledgeLock);
     // Both are read together, because a confirmation belongs to the version it confirmed.
     const auto [version, confirmedAt] = sync.progress();
-    if (!sentWork.hasWorkOnItsWayToClosed(*views.current()))
+    if (!sentWork.hasUnansweredWorkAtClosedRunner(*views.current()))
         gossip.setApplied(version, confirmedAt);
 }
 
@@ -231,38 +231,38 @@
 {
     acknowledge();
     gossip.setOpenStreams(requests.openStreams());
-    demand.tell([this](peer::rumor rumor) { gossip.spread(std::move(rumor)); });
+    demand.announce([this](peer::rumor rumor) { gossip.spread(std::move(rumor)); });
     const policy::view_ptr now = views.current();
-    if (now->book)
+    if (now->ruleSet)
         // Not before the maximum time limit: if an attempt's entry were evicted while its claim is
         // in force, its idempotency key could never be used again although the attempt never ran.
-        answers.forgetOlderThan(std::max(now->book->claimKeepTime, config::maxTimeLimit));
+        answers.evictOlderThan(std::max(now->ruleSet->claimKeepTime, config::maxTimeLimit));
 }
 
-membership_needs instance::state::membershipDependencies()
+membership_dependencies instance::state::membershipDependencies()
 {
-    membership_needs dependencies;
+    membership_dependencies dependencies;
     dependencies.self = choices.instance;
     dependencies.seeds = choices.peerSeeds;
-    dependencies.roundTime = choices.gossipTime;
+    dependencies.roundInterval = choices.gossipInterval;
     dependencies.appliedVersion = [this] { return sync.appliedVersion(); };
     dependencies.confirmedAt = [this] { return sync.confirmedAt(); };
     dependencies.onRound = [this] { onRound(); };
     return dependencies;
 }
 
-sync_needs instance::state::syncDependencies()
+sync_dependencies instance::state::syncDependencies()
 {
-    sync_needs dependencies;
+    sync_dependencies dependencies;
     dependencies.deployment = choices.deployment;
     dependencies.peers = [this] { return members.others(); };
-    dependencies.askState = [this](const endpoint &to, const peer::watched_ask &request) {
-        return peer::ask<peer::watched_reply>(calls, to, peer::call_kind::WatchedState, request,
-                                              config::peerCallTime);
+    dependencies.requestState = [this](const endpoint &to, const peer::watched_request &request) {
+        return peer::callTyped<peer::watched_reply>(calls, to, peer::call_kind::WatchedState,
+                                                    request, config::peerCallTimeout);
     };
-    dependencies.askBody = [this](const endpoint &to, const peer::body_ask &request) {
-        return peer::ask<peer::body_reply>(calls, to, peer::call_kind::Body, request,
-                                           config::peerCallTime);
+    dependencies.requestBody = [this](const endpoint &to, const peer::body_request &request) {
+        return peer::callTyped<peer::body_reply>(calls, to, peer::call_kind::Body, request,
+                                                 config::peerCallTimeout);
     };
     dependencies.isWatcher = [this] { return members.isWatcher(); };
     dependencies.onApplied = [this](std::uint64_t, mono_time) { acknowledge(); };
@@ -279,14 +279,14 @@
 }
 
 peer::answer_reply instance::state::answerOf(const instance_id &owner,
-                                             const peer::answer_ask &request)
+                                             const peer::answer_request &request)
 {
     for (const policy::member &other : members.others()) {
         if (other.id != owner)
             continue;
-        const milliseconds limit = milliseconds(request.waitMs) + config::peerCallTime;
-        const auto reply = peer::ask<peer::answer_reply>(calls, other.peerAddress,
-                                                         peer::call_kind::Answer, request, limit);
+        const milliseconds limit = milliseconds(request.waitMs) + config::peerCallTimeout;
+        const auto reply = peer::callTyped<peer::answer_reply>(
+                calls, other.peerAddress, peer::call_kind::Answer, request, limit);
         return succeeded(reply) ? valueOf(reply) : peer::answer_reply{};
     }
     return {};
@@ -296,30 +296,30 @@
 {
     claim_peers peers;
     peers.batcherOf = [this](std::uint32_t bucket) { return batcherOf(bucket); };
-    peers.ask = [this](const endpoint &to, const peer::claim_ask &request) {
-        return peer::ask<peer::claim_reply>(calls, to, peer::call_kind::Claim, request,
-                                            milliseconds(request.timeLeftMs));
+    peers.requestClaim = [this](const endpoint &to, const peer::claim_request &request) {
+        return peer::callTyped<peer::claim_reply>(calls, to, peer::call_kind::Claim, request,
+                                                  milliseconds(request.timeLeftMs));
     };
-    peers.answer = [this](const instance_id &owner, const peer::answer_ask &request) {
+    peers.queryAnswer = [this](const instance_id &owner, const peer::answer_request &request) {
         return answerOf(owner, request);
     };
     return peers;
 }
 
-planner_needs instance::state::plannerDependencies()
+planner_dependencies instance::state::plannerDependencies()
 {
-    planner_needs dependencies;
+    planner_dependencies dependencies;
     dependencies.self = choices.instance;
     dependencies.deployment = choices.deployment;
-    dependencies.lookTime = choices.planTime;
-    dependencies.demand = [this](const pool_id &pool) { return demand.since(pool); };
+    dependencies.interval = choices.planInterval;
+    dependencies.demand = [this](const pool_id &pool) { return demand.demandSinceLastQuery(pool); };
     dependencies.appliedEverywhere = [this](std::uint64_t version) {
         return members.appliedEverywhere(version);
     };
     return dependencies;
 }
 
-request_needs instance::state::requestDependencies()
+request_dependencies instance::state::requestDependencies()
 {
     return {choices.instance, choices.zone, choices.maxStreams, [this] { return isClosed.load(); }};
 }
@@ -329,21 +329,22 @@
     using peer::call_kind;
     std::map<call_kind, peer::call_handler> handlers;
     handlers[call_kind::WatchedState] =
-            handlerOf<peer::watched_ask>([this](const peer::watched_ask &request) {
+            handlerOf<peer::watched_request>([this](const peer::watched_request &request) {
                 return peer::encode(sync.replyTo(request));
             });
-    handlers[call_kind::Body] = handlerOf<peer::body_ask>(
-            [this](const peer::body_ask &request) { return encoded(sync.bodyFor(request)); });
-    handlers[call_kind::Claim] = handlerOf<peer::claim_ask>([this](const peer::claim_ask &request) {
-        const mono_time deadline = clock.mono() + milliseconds(request.timeLeftMs);
-        return encoded(claims.decide(request, deadline));
-    });
+    handlers[call_kind::Body] = handlerOf<peer::body_request>(
+            [this](const peer::body_request &request) { return encoded(sync.bodyFor(request)); });
+    handlers[call_kind::Claim] =
+            handlerOf<peer::claim_request>([this](const peer::claim_request &request) {
+                const mono_time deadline = clock.mono() + milliseconds(request.timeLeftMs);
+                return encoded(claims.decide(request, deadline));
+            });
     handlers[call_kind::Answer] =
-            handlerOf<peer::answer_ask>([this](const peer::answer_ask &request) {
+            handlerOf<peer::answer_request>([this](const peer::answer_request &request) {
                 return peer::encode(answers.find(request));
             });
     handlers[call_kind::Events] =
-            handlerOf<peer::events_ask>([this](const peer::events_ask &request) {
+            handlerOf<peer::events_request>([this](const peer::events_request &request) {
                 return peer::encode(peer::events_reply{events.events(request.filter)});
             });
     return handlers;
@@ -356,9 +357,9 @@
         return requests.addresses(zone);
     };
     handlers.models = [this](const caller::request_head &head) { return requests.models(head); };
-    handlers.complete = [this](const caller::completion_ask &request,
+    handlers.complete = [this](const caller::completion_request &request,
                                caller::completion_sink &sink) { requests.complete(request, sink); };
-    handlers.callService = [this](const caller::service_ask &call, http_sink &sink) {
+    handlers.callService = [this](const caller::service_request &call, http_sink &sink) {
         return requests.callService(call, sink);
     };
     return handlers;
@@ -366,17 +367,17 @@
 
 operators::fleet_status instance::state::status()
 {
-    const bool isStoreReachable = clock.mono() - store.lastAnswer() <= config::freshTime;
-    return reportOf(*views.current(), choices.instance, isStoreReachable, clock.mono());
+    const bool isStoreReachable = clock.mono() - store.lastReplyAt() <= config::maxFreshAge;
+    return fleetStatusOf(*views.current(), choices.instance, isStoreReachable, clock.mono());
 }
 
 std::vector<event> instance::state::timeline(const event_filter &filter)
 {
     std::vector<std::vector<event>> parts = {events.events(filter)};
     for (const policy::member &other : members.others()) {
-        const auto reply =
-                peer::ask<peer::events_reply>(calls, other.peerAddress, peer::call_kind::Events,
-                                              peer::events_ask{filter}, config::peerCallTime);
+        const auto reply = peer::callTyped<peer::events_reply>(
+                calls, other.peerAddress, peer::call_kind::Events, peer::events_request{filter},
+                config::peerCallTimeout);
         if (succeeded(reply))
             parts.push_back(valueOf(reply).events);
     }
@@ -391,7 +392,7 @@
     handlers.config = [this] { return operators::readConfig(store, choices.deployment); };
     handlers.apply = [this](const operators::apply_request &wanted) {
         return operators::applyConfig(store, choices.deployment, wanted,
-                                      clock.mono() + config::applyTime);
+                                      clock.mono() + config::configApplyTimeout);
     };
     return handlers;
 }
@@ -399,18 +400,18 @@
 void instance::state::shutdownLoop()
 {
     const policy::view_ptr now = views.current();
-    const milliseconds keep = now->book ? milliseconds(now->book->addressKeepTime)
-                                        : milliseconds(config::addressKeepTime);
-    const mono_time graceEnd = clock.mono() + std::max(choices.leaveGrace, keep);
-    const mono_time bound = clock.mono() + choices.leaveBound;
+    const milliseconds keep = now->ruleSet ? milliseconds(now->ruleSet->addressKeepTime)
+                                           : milliseconds(config::addressKeepTime);
+    const mono_time graceEnd = clock.mono() + std::max(choices.leaveGraceTime, keep);
+    const mono_time bound = clock.mono() + choices.maxLeaveTime;
     std::unique_lock lock(guard);
     // Callers may cache this instance's address for addressKeepTime; new requests are served until
     // then.
     while (clock.mono() < graceEnd)
-        wake.wait_for(lock, config::gossipTime);
+        wake.wait_for(lock, config::gossipInterval);
     isClosed.store(true);
     while (requests.openStreams() > 0 && clock.mono() < bound)
-        wake.wait_for(lock, config::gossipTime);
+        wake.wait_for(lock, config::gossipInterval);
     lock.unlock();
     events.emit("left", {{"open", std::to_string(requests.openStreams())}});
     stopAll();
@@ -465,7 +466,7 @@
     return unit{};
 }
 
-void instance::noteReload()
+void instance::recordReload()
 {
     inner->events.emit("reload_ignored", {{"reason", "settings are read at start only"}});
 }
--- a/src/node/load_watch.cpp
+++ b/src/node/load_monitor.cpp
@@ -1,4 +1,4 @@
-#include "node/load_watch.h"
+#include "node/load_monitor.h"
 
 #include "poplarspool/base/bounded_json.h"
 #include "poplarspool/config.h"
@@ -22,14 +22,14 @@
 
 } // namespace
 
-std::string textOf(const heard_load &load)
+std::string textOf(const load_rumor &load)
 {
     const policy::load_report &report = load.report;
     json models = json::array();
     for (const policy::model_version &entry : report.models)
         models.push_back({entry.model, entry.version});
     const json text = {load.isUp,
-                       report.life,
+                       report.incarnation,
                        report.sequence,
                        static_cast<int>(report.role),
                        report.isChanging,
@@ -43,13 +43,13 @@
     return text.dump();
 }
 
-result<heard_load> parseHeardLoad(std::string_view text)
+result<load_rumor> parseLoadRumor(std::string_view text)
 {
     const json parsed = parseJson(text);
     try {
-        heard_load load;
+        load_rumor load;
         load.isUp = parsed.at(0).get<bool>();
-        load.report.life = parsed.at(1).get<incarnation>();
+        load.report.incarnation = parsed.at(1).get<incarnation_number>();
         load.report.sequence = parsed.at(2).get<std::uint64_t>();
         const int role = parsed.at(3).get<int>();
         if (role < 0 || role > static_cast<int>(policy::engine_role::Decode))
@@ -71,25 +71,26 @@
     }
 }
 
-load_watch::load_watch(load_watch_needs dependencies, view_hub &views, work_ledger &sentWork,
-                       runner::engine_api engines, runner::service_api services, clock_source clock,
-                       metrics_registry &metrics, journal &events)
+load_monitor::load_monitor(load_monitor_dependencies dependencies, view_publisher &views,
+                           sent_work_table &sentWork, runner::engine_api engines,
+                           runner::service_api services, clock_source clock,
+                           metrics_registry &metrics, journal &events)
     : dependencies(std::move(dependencies)), views(views), sentWork(sentWork),
       engines(std::move(engines)), services(std::move(services)), clock(std::move(clock)),
       events(events), polls(metrics.counterOf("poplarspool_runner_polls_total"))
 { }
 
-load_watch::~load_watch()
+load_monitor::~load_monitor()
 {
     stop();
 }
 
-void load_watch::start()
+void load_monitor::start()
 {
     poller = std::thread([this] { loop(); });
 }
 
-void load_watch::stop()
+void load_monitor::stop()
 {
     {
         const std::lock_guard lock(guard);
@@ -100,9 +101,9 @@
         poller.join();
 }
 
-void load_watch::onRumor(const peer::rumor &rumor)
+void load_monitor::onRumor(const peer::rumor &rumor)
 {
-    const auto load = parseHeardLoad(rumor.payload);
+    const auto load = parseLoadRumor(rumor.payload);
     if (!succeeded(load))
         return;
     const runner_id runner{rumor.key.substr(loadRumorPrefix.size())};
@@ -110,7 +111,7 @@
     received[runner] = {valueOf(load), clock.mono()};
 }
 
-void load_watch::loop()
+void load_monitor::loop()
 {
     for (;;) {
         pollAll();
@@ -122,7 +123,7 @@
     }
 }
 
-void load_watch::pollAll()
+void load_monitor::pollAll()
 {
     const policy::view_ptr now = views.current();
     if (!now->fleet)
@@ -133,7 +134,7 @@
     }
 }
 
-void load_watch::pollOne(const policy::view &now, std::size_t index)
+void load_monitor::pollOne(const policy::view &now, std::size_t index)
 {
     const policy::runner_spec &spec = now.fleet->runners[index];
     const policy::pool_spec *pool = policy::findPool(*now.fleet, spec.pool);
@@ -142,7 +143,7 @@
     const auto report = isEngine ? engines.load(spec.address) : services.load(spec.address);
     poll_state &state = pollStates[spec.id];
     state.failures = succeeded(report) ? 0 : state.failures + 1;
-    heard_load load = state.announced;
+    load_rumor load = state.announced;
     if (succeeded(report))
         load = {true, valueOf(report)};
     else if (state.failures >= config::pollFailuresToDown)
@@ -156,21 +157,22 @@
     announce(spec.id, load);
 }
 
-/// Spreads changed load, at most once in loadSpreadTime: gossip has little bandwidth beyond that,
-/// and rumors above it would all be delayed. Changes that take a runner out of service, or back
-/// into it, are spread at once.
-void load_watch::announce(const runner_id &runner, const heard_load &load)
+/// Spreads changed load, at most once in minLoadRumorInterval: gossip has little bandwidth beyond
+/// that, and rumors above it would all be delayed. Changes that take a runner out of service, or
+/// back into it, are spread at once.
+void load_monitor::announce(const runner_id &runner, const load_rumor &load)
 {
     poll_state &state = pollStates[runner];
-    heard_load withSameSequence = load;
+    load_rumor withSameSequence = load;
     withSameSequence.report.sequence = state.announced.report.sequence;
     const mono_time now = clock.mono();
     const milliseconds age = std::chrono::duration_cast<milliseconds>(now - state.announcedAt);
     const bool isUrgent = load.isUp != state.announced.isUp
             || load.report.isChanging != state.announced.report.isChanging
-            || load.report.life != state.announced.report.life;
-    const milliseconds pause =
-            withSameSequence == state.announced ? config::loadRenewTime : config::loadSpreadTime;
+            || load.report.incarnation != state.announced.report.incarnation;
+    const milliseconds pause = withSameSequence == state.announced
+            ? config::loadRumorRefreshInterval
+            : config::minLoadRumorInterval;
     if (!isUrgent && age < pause)
         return;
     if (load.isUp != state.announced.isUp)
@@ -181,9 +183,9 @@
     dependencies.spread({std::string(loadRumorPrefix) + runner.text, version, textOf(load)});
 }
 
-void load_watch::publish()
+void load_monitor::publish()
 {
-    std::map<runner_id, std::pair<heard_load, mono_time>> updates;
+    std::map<runner_id, std::pair<load_rumor, mono_time>> updates;
     {
         const std::lock_guard lock(guard);
         updates.swap(received);
--- a/src/node/load_watch.h
+++ b/src/node/load_monitor.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "node/work_ledger.h"
+#include "node/sent_work_table.h"
 #include "poplarspool/base/clock.h"
 #include "poplarspool/base/journal.h"
 #include "poplarspool/base/metrics.h"
-#include "poplarspool/node/view_hub.h"
+#include "poplarspool/node/view_publisher.h"
 #include "poplarspool/peer/gossip.h"
 #include "poplarspool/runner/engine.h"
 #include "poplarspool/runner/service.h"
@@ -24,31 +24,32 @@
 namespace poplarspool::node {
 
 /// Load of a runner, as sent in a rumor's payload.
-struct heard_load
+struct load_rumor
 {
     bool isUp = false;
     policy::load_report report;
 
-    bool operator==(const heard_load &) const = default;
+    bool operator==(const load_rumor &) const = default;
 };
 
-std::string textOf(const heard_load &load);
-result<heard_load> parseHeardLoad(std::string_view text);
+std::string textOf(const load_rumor &load);
+result<load_rumor> parseLoadRumor(std::string_view text);
 
-struct load_watch_needs
+struct load_monitor_dependencies
 {
     instance_id self;
     milliseconds pollTime;
     std::function<void(peer::rumor)> spread;
 };
 
-class load_watch
+class load_monitor
 {
 public:
-    load_watch(load_watch_needs dependencies, view_hub &views, work_ledger &sentWork,
-               runner::engine_api engines, runner::service_api services, clock_source clock,
-               metrics_registry &metrics, journal &events);
-    ~load_watch();
+    load_monitor(load_monitor_dependencies dependencies, view_publisher &views,
+                 sent_work_table &sentWork, runner::engine_api engines,
+                 runner::service_api services, clock_source clock, metrics_registry &metrics,
+                 journal &events);
+    ~load_monitor();
     void start();
     void stop();
 
@@ -58,7 +59,7 @@
 private:
     struct poll_state
     {
-        heard_load announced; ///< The load last spread by gossip.
+        load_rumor announced; ///< The load last spread by gossip.
         mono_time announcedAt{};
         std::uint32_t failures = 0;
     };
@@ -66,12 +67,12 @@
     void loop();
     void pollAll();
     void pollOne(const policy::view &now, std::size_t index);
-    void announce(const runner_id &runner, const heard_load &load);
+    void announce(const runner_id &runner, const load_rumor &load);
     void publish();
 
-    load_watch_needs dependencies;
-    view_hub &views;
-    work_ledger &sentWork;
+    load_monitor_dependencies dependencies;
+    view_publisher &views;
+    sent_work_table &sentWork;
     runner::engine_api engines;
     runner::service_api services;
     clock_source clock;
@@ -81,7 +82,7 @@
     std::map<runner_id, poll_state> pollStates;
     std::mutex guard;
     std::condition_variable wake;
-    std::map<runner_id, std::pair<heard_load, mono_time>>
+    std::map<runner_id, std::pair<load_rumor, mono_time>>
             received; ///< Received, not yet published in a view.
     bool isStopping = false;
     std::thread poller;
--- a/src/node/membership.cpp
+++ b/src/node/membership.cpp
@@ -7,8 +7,8 @@
 
 namespace poplarspool::node {
 
-membership::membership(membership_needs dependencies, peer::gossip &gossip,
-                       platform::instance_list list, view_hub &views, clock_source clock,
+membership::membership(membership_dependencies dependencies, peer::gossip &gossip,
+                       platform::instance_list list, view_publisher &views, clock_source clock,
                        journal &events)
     : dependencies(std::move(dependencies)), gossip(gossip), list(std::move(list)), views(views),
       clock(std::move(clock)), events(events)
@@ -49,7 +49,7 @@
     const mono_time now = clock.mono();
     const std::lock_guard lock(guard);
     std::erase_if(firstQueriedAt, [&](const auto &entry) {
-        return entry.first != version && now - entry.second > config::departedTime;
+        return entry.first != version && now - entry.second > config::departedRetention;
     });
     const mono_time since = firstQueriedAt.try_emplace(version, now).first->second;
     acknowledgements known;
@@ -68,7 +68,7 @@
     for (const policy::member &other : present)
         lastSeen[other.id] = {other.appliedVersion, now};
     std::erase_if(lastSeen, [&](const auto &entry) {
-        return now - entry.second.seenAt > config::departedTime;
+        return now - entry.second.seenAt > config::departedRetention;
     });
 }
 
@@ -106,7 +106,7 @@
         publish();
         dependencies.onRound();
         std::unique_lock lock(guard);
-        wake.wait_for(lock, dependencies.roundTime, [this] { return isStopping; });
+        wake.wait_for(lock, dependencies.roundInterval, [this] { return isStopping; });
         if (isStopping)
             return;
     }
@@ -115,7 +115,7 @@
 void membership::fetchList()
 {
     const mono_time now = clock.mono();
-    if (hasFetched && now - listFetchedAt < config::instanceListPollTime)
+    if (hasFetched && now - listFetchedAt < config::instanceListPollInterval)
         return;
     hasFetched = true;
     listFetchedAt = now;
--- a/src/node/membership.h
+++ b/src/node/membership.h
@@ -2,7 +2,7 @@
 
 #include "node/freshness.h"
 #include "poplarspool/base/journal.h"
-#include "poplarspool/node/view_hub.h"
+#include "poplarspool/node/view_publisher.h"
 #include "poplarspool/peer/gossip.h"
 #include "poplarspool/platform/instance_list.h"
 
@@ -17,11 +17,11 @@
 /// freshness in the view.
 namespace poplarspool::node {
 
-struct membership_needs
+struct membership_dependencies
 {
     instance_id self;
     std::vector<endpoint> seeds;
-    milliseconds roundTime;
+    milliseconds roundInterval;
     std::function<std::uint64_t()> appliedVersion;
     std::function<mono_time()> confirmedAt;
     /// Called once per iteration, for periodic announcements.
@@ -31,8 +31,9 @@
 class membership
 {
 public:
-    membership(membership_needs dependencies, peer::gossip &gossip, platform::instance_list list,
-               view_hub &views, clock_source clock, journal &events);
+    membership(membership_dependencies dependencies, peer::gossip &gossip,
+               platform::instance_list list, view_publisher &views, clock_source clock,
+               journal &events);
     ~membership();
     void start();
     void stop();
@@ -56,10 +57,10 @@
         mono_time seenAt{};
     };
 
-    membership_needs dependencies;
+    membership_dependencies dependencies;
     peer::gossip &gossip;
     platform::instance_list list;
-    view_hub &views;
+    view_publisher &views;
     clock_source clock;
     journal &events;
 
--- a/src/node/order_guard.cpp
+++ b/src/node/order_guard.cpp
@@ -53,7 +53,7 @@
 
 void boundDelivery(int socket)
 {
-    const unsigned int time = config::orderDeliveryTime.count();
+    const unsigned int time = config::orderDeliveryTimeout.count();
     setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &time, sizeof time);
 }
 
--- a/src/node/order_sender.cpp
+++ b/src/node/order_sender.cpp
@@ -73,9 +73,9 @@
     order_guard *guard = order_guard::current();
     if (guard == nullptr)
         return notRun(error_code::Internal, "order not sent: the thread has no order_guard");
-    const raised_flag neverStopped;
+    const pollable_flag neverStopped;
     const socket_deadline deadline = socket_clock::now() + timeLimit;
-    const socket_deadline connectEnd = socket_clock::now() + config::connectTime;
+    const socket_deadline connectEnd = socket_clock::now() + config::connectTimeout;
     auto connection = connectTo(engine, std::min(deadline, connectEnd), -1);
     if (!succeeded(connection))
         return errorOf(connection);
--- a/src/node/order_writer.cpp
+++ b/src/node/order_writer.cpp
@@ -30,7 +30,7 @@
     return sha256Hex(textOf(order));
 }
 
-order_writer::order_writer(order_tools &context, runner_id runner)
+order_writer::order_writer(order_context &context, runner_id runner)
     : context(context), runner(std::move(runner)),
       key(operators::orderKey(context.deployment, this->runner.text))
 {
@@ -61,7 +61,7 @@
         emit("order_found");
 }
 
-void order_writer::adoptNone()
+void order_writer::adoptMissing()
 {
     known = true;
 }
@@ -81,7 +81,7 @@
 {
     next.writer = context.self;
     next.wallMs = context.clock.wall().time_since_epoch().count();
-    const auto deadline = context.clock.mono() + config::storeCallTime;
+    const auto deadline = context.clock.mono() + config::storeCallTimeout;
     const auto version = context.store.put(key, textOf(next), presentVersion, deadline);
     if (succeeded(version)) {
         present = std::move(next);
@@ -172,9 +172,9 @@
     if (seen.running != 0 || seen.queued != 0 || seen.isChanging)
         return false;
     const mono_time now = context.clock.mono();
-    const bool isContinued = before && before->engineIncarnation == seen.life;
-    idle = isContinued ? *before : idle_observation{seen.life, now};
-    return now - idle->since >= config::orderIdleTime;
+    const bool isContinued = before && before->engineIncarnation == seen.incarnation;
+    idle = isContinued ? *before : idle_observation{seen.incarnation, now};
+    return now - idle->since >= config::requiredIdleTime;
 }
 
 void order_writer::stepDraining(const policy::runner_spec &spec, milliseconds drainTime)
@@ -228,9 +228,9 @@
 {
     // A crash during the change loses the order, so the engine's new incarnation is sent the order
     // again.
-    if (!sent || report.life != sent->engineIncarnation)
+    if (!sent || report.incarnation != sent->engineIncarnation)
         return true;
-    return !report.isChanging && context.clock.mono() - sent->at >= config::orderResendTime;
+    return !report.isChanging && context.clock.mono() - sent->at >= config::orderResendInterval;
 }
 
 void order_writer::stepOpen(const policy::runner_spec &spec)
@@ -260,7 +260,7 @@
 void order_writer::send(const policy::runner_spec &spec, const policy::load_report &report)
 {
     const mono_time end = window->end;
-    sent = sent_order{report.life, context.clock.mono()};
+    sent = sent_order{report.incarnation, context.clock.mono()};
     highestSeenFence = std::max(highestSeenFence, report.lastFence);
     emit("order_sent");
     const runner::engine_order order{present.fence, orderNonceOf(present), present.wanted};
--- a/src/node/order_writer.h
+++ b/src/node/order_writer.h
@@ -19,7 +19,7 @@
 namespace poplarspool::node {
 
 /// Shared by all order writers of one planner.
-struct order_tools
+struct order_context
 {
     instance_id self;
     std::string deployment;
@@ -38,12 +38,12 @@
 class order_writer
 {
 public:
-    order_writer(order_tools &context, runner_id runner);
+    order_writer(order_context &context, runner_id runner);
 
     /// Adopts the record that the store holds.
     void adopt(const order_record &record, std::uint64_t version);
     /// Records that the store holds no record of this engine.
-    void adoptNone();
+    void adoptMissing();
 
     /// @returns False if the record must be read, or read again, first.
     bool isKnown() const { return known; }
@@ -70,13 +70,14 @@
     /// The first of consecutive idle reports: incarnation of the engine, and when it was received.
     struct idle_observation
     {
-        incarnation engineIncarnation = 0;
+        incarnation_number engineIncarnation = 0;
         mono_time since;
     };
 
     struct sent_order
     {
-        incarnation engineIncarnation = 0; ///< Incarnation of the engine before the order was sent.
+        incarnation_number engineIncarnation =
+                0; ///< Incarnation of the engine before the order was sent.
         mono_time at;
     };
 
@@ -96,7 +97,7 @@
     void settle(std::string_view event);
     void emit(std::string_view event);
 
-    order_tools &context;
+    order_context &context;
     const runner_id runner;
     const std::string key;
 
--- a/src/node/planner.cpp
+++ b/src/node/planner.cpp
@@ -25,8 +25,8 @@
 
 struct planner::state
 {
-    state(planner_needs dependencies, view_hub &views, order_tools context)
-        : interval(dependencies.lookTime), core(std::move(dependencies), views, std::move(context))
+    state(planner_dependencies dependencies, view_publisher &views, order_context context)
+        : interval(dependencies.interval), core(std::move(dependencies), views, std::move(context))
     { }
 
     void run()
@@ -34,7 +34,7 @@
         std::unique_lock guard(lock);
         while (!isStopping) {
             guard.unlock();
-            core.look();
+            core.runOnce();
             guard.lock();
             changed.wait_for(guard, interval, [this] { return isStopping; });
         }
@@ -48,20 +48,21 @@
     std::thread thread;
 };
 
-planner::planner(planner_needs dependencies, view_hub &views, platform::object_store &store,
-                 platform::weight_store weights, runner::engine_api engines, clock_source clock,
-                 metrics_registry &metrics, journal &events)
+planner::planner(planner_dependencies dependencies, view_publisher &views,
+                 platform::object_store &store, platform::weight_store weights,
+                 runner::engine_api engines, clock_source clock, metrics_registry &metrics,
+                 journal &events)
 {
-    order_tools context{.self = dependencies.self,
-                        .deployment = dependencies.deployment,
-                        .appliedEverywhere = dependencies.appliedEverywhere,
-                        .store = store,
-                        .weights = std::move(weights),
-                        .load = engines.load,
-                        .send = {},
-                        .clock = clock,
-                        .metrics = metrics,
-                        .events = events};
+    order_context context{.self = dependencies.self,
+                          .deployment = dependencies.deployment,
+                          .appliedEverywhere = dependencies.appliedEverywhere,
+                          .store = store,
+                          .weights = std::move(weights),
+                          .load = engines.load,
+                          .send = {},
+                          .clock = clock,
+                          .metrics = metrics,
+                          .events = events};
     context.send = [engines = std::move(engines), clock = std::move(clock)](
                            const endpoint &engine, const runner::engine_order &order,
                            mono_time windowEnd) {
--- a/src/node/planner_core.cpp
+++ b/src/node/planner_core.cpp
@@ -41,16 +41,16 @@
     return owner && owner->id == self;
 }
 
-planner_core::planner_core(planner_needs dependencies, view_hub &views, order_tools context,
-                           plan_function decide)
+planner_core::planner_core(planner_dependencies dependencies, view_publisher &views,
+                           order_context context, plan_function decide)
     : dependencies(std::move(dependencies)), views(views), context(std::move(context)),
       decide(std::move(decide))
 { }
 
-void planner_core::look()
+void planner_core::runOnce()
 {
     const policy::view_ptr now = views.current();
-    if (!now || !now->fleet || !now->book)
+    if (!now || !now->fleet || !now->ruleSet)
         return;
     for (const policy::pool_spec &pool : now->fleet->pools) {
         if (pool.kind != policy::runner_kind::Engine)
@@ -84,7 +84,7 @@
     if (!succeeded(listed))
         return false;
     for (auto &[id, writer] : state.writers)
-        writer.adoptNone();
+        writer.adoptMissing();
     for (const platform::object &each : valueOf(listed).objects) {
         const auto record = parseOrderRecord(each.value);
         if (!succeeded(record)) {
@@ -106,7 +106,7 @@
     const auto found = context.store.get(operators::orderKey(dependencies.deployment, runner.text));
     if (!succeeded(found)) {
         if (errorOf(found).code == error_code::NotFound)
-            writer.adoptNone();
+            writer.adoptMissing();
         return;
     }
     const auto record = parseOrderRecord(valueOf(found).value);
@@ -128,17 +128,17 @@
                 && now.appliedVersion >= writer.version();
         if (!writer.isKnown() || isForeign)
             readRecord(spec.id, writer);
-        writer.step(spec, now.book->drainTime);
+        writer.step(spec, now.ruleSet->drainTime);
     }
 }
 
 void planner_core::plan(const policy::view &now, const pool_id &pool, pool_state &state)
 {
     const policy::view marked = withReservations(now, state.writers);
-    const policy::plan_rule *rule = findRule(*now.book, pool);
+    const policy::plan_rule *rule = findRule(*now.ruleSet, pool);
     const auto step = decide(marked, pool, rule ? *rule : policy::plan_rule{.pool = pool},
                              state.memory, dependencies.demand(pool), context.clock.mono());
-    state.memory = step.memory;
+    state.memory = step.plannerState;
     for (const policy::planned_change &change : step.changes) {
         const policy::runner_spec &spec = now.fleet->runners.at(change.runner.index);
         const auto found = state.writers.find(spec.id);
--- a/src/node/planner_core.h
+++ b/src/node/planner_core.h
@@ -2,7 +2,7 @@
 
 #include "node/order_writer.h"
 #include "poplarspool/node/orders.h"
-#include "poplarspool/node/view_hub.h"
+#include "poplarspool/node/view_publisher.h"
 
 #include <functional>
 #include <unordered_map>
@@ -18,23 +18,23 @@
 /// Decides on changes: policy::planPool(), except in tests.
 using plan_function = std::function<policy::plan_step(
         const policy::view &, const pool_id &, const policy::plan_rule &,
-        const policy::plan_memory &, const policy::demand_estimate &, mono_time)>;
+        const policy::planner_state &, const policy::demand_estimate &, mono_time)>;
 
 class planner_core
 {
 public:
-    planner_core(planner_needs dependencies, view_hub &views, order_tools context,
+    planner_core(planner_dependencies dependencies, view_publisher &views, order_context context,
                  plan_function decide = policy::planPool);
 
     /// Advances the orders in progress by one step, then plans.
-    void look();
+    void runOnce();
 
 private:
     /// State of one pool, kept while this instance plans the pool.
     struct pool_state
     {
         bool isLoaded = false; ///< Whether the order records have been read.
-        policy::plan_memory memory;
+        policy::planner_state memory;
         std::unordered_map<runner_id, order_writer> writers;
     };
 
@@ -44,9 +44,9 @@
     void stepOrders(const policy::view &now, const pool_id &pool, pool_state &state);
     void plan(const policy::view &now, const pool_id &pool, pool_state &state);
 
-    const planner_needs dependencies;
-    view_hub &views;
-    order_tools context;
+    const planner_dependencies dependencies;
+    view_publisher &views;
+    order_context context;
     const plan_function decide;
     std::unordered_map<pool_id, pool_state> poolStates;
 };
--- a/src/node/duplicate_guard.cpp
+++ b/src/node/request_deduplicator.cpp
@@ -1,4 +1,4 @@
-#include "node/duplicate_guard.h"
+#include "node/request_deduplicator.h"
 
 #include "poplarspool/base/hash.h"
 
@@ -19,22 +19,24 @@
 
 } // namespace
 
-duplicate_guard::duplicate_guard(instance_id self, claim_book &claims, answer_book &answers,
-                                 claim_peers peers, clock_source clock, journal &events)
+request_deduplicator::request_deduplicator(instance_id self, claim_manager &claims,
+                                           answer_table &answers, claim_peers peers,
+                                           clock_source clock, journal &events)
     : self(std::move(self)), claims(claims), answers(answers), peers(std::move(peers)),
       clock(std::move(clock)), events(events)
 { }
 
-peer::claim_ask duplicate_guard::makeClaimRequest(const std::string &key,
-                                                  const std::string &bodyHash, mono_time deadline)
+peer::claim_request request_deduplicator::makeClaimRequest(const std::string &key,
+                                                           const std::string &bodyHash,
+                                                           mono_time deadline)
 {
     return {key, bodyHash, randomHex128(), self, millisecondsUntil(deadline, clock.mono())};
 }
 
-entry_decision duplicate_guard::enter(const std::string &key, const std::string &bodyHash,
-                                      mono_time deadline)
+claim_decision request_deduplicator::claimOrReplay(const std::string &key,
+                                                   const std::string &bodyHash, mono_time deadline)
 {
-    peer::claim_ask request = makeClaimRequest(key, bodyHash, deadline);
+    peer::claim_request request = makeClaimRequest(key, bodyHash, deadline);
     answers.onRunning(key, request.nonce);
     result<peer::claim_reply> existing = claims.claim(request, deadline);
     for (int round = 0; round < maxSupersedes; ++round) {
@@ -47,7 +49,7 @@
             return failure;
         }
         if (valueOf(existing).nonce == request.nonce)
-            return may_dispatch{request.nonce};
+            return dispatch_grant{request.nonce};
         answers.onNotDispatched(key, request.nonce);
         if (valueOf(existing).bodyHash != bodyHash)
             return notRun(error_code::Conflict,
@@ -64,19 +66,20 @@
                   "concurrent attempts of this request keep claiming it first", milliseconds(1000));
 }
 
-peer::answer_reply duplicate_guard::queryOwner(const std::string &key,
-                                               const peer::claim_reply &existing,
-                                               mono_time deadline)
+peer::answer_reply request_deduplicator::queryOwner(const std::string &key,
+                                                    const peer::claim_reply &existing,
+                                                    mono_time deadline)
 {
-    const peer::answer_ask query{key, existing.nonce, millisecondsUntil(deadline, clock.mono())};
+    const peer::answer_request query{key, existing.nonce,
+                                     millisecondsUntil(deadline, clock.mono())};
     if (existing.owner == self)
         return answers.find(query);
-    return peers.answer(existing.owner, query);
+    return peers.queryAnswer(existing.owner, query);
 }
 
-entry_decision duplicate_guard::resultFromExisting(const std::string &key,
-                                                   const peer::claim_reply &existing,
-                                                   const peer::answer_reply &answer) const
+claim_decision request_deduplicator::resultFromExisting(const std::string &key,
+                                                        const peer::claim_reply &existing,
+                                                        const peer::answer_reply &answer) const
 {
     events.emit("duplicate",
                 {{"key", key},
--- a/src/node/duplicate_guard.h
+++ b/src/node/request_deduplicator.h
@@ -14,11 +14,11 @@
 namespace poplarspool::node {
 
 /// Permission to dispatch this attempt, and no other.
-struct may_dispatch
+struct dispatch_grant
 {
     std::string nonce; ///< Identifies the attempt when its outcome is recorded in the answer_table.
 
-    bool operator==(const may_dispatch &) const = default;
+    bool operator==(const dispatch_grant &) const = default;
 };
 
 /// The complete answer of an earlier attempt.
@@ -27,30 +27,31 @@
     http_reply reply;
 };
 
-using entry_decision = std::variant<may_dispatch, earlier_answer, error>;
+using claim_decision = std::variant<dispatch_grant, earlier_answer, error>;
 
-class duplicate_guard
+class request_deduplicator
 {
 public:
-    duplicate_guard(instance_id self, claim_book &claims, answer_book &answers, claim_peers peers,
-                    clock_source clock, journal &events);
+    request_deduplicator(instance_id self, claim_manager &claims, answer_table &answers,
+                         claim_peers peers, clock_source clock, journal &events);
 
     /// @param key Claim name, from claimNameOf().
     /// @param bodyHash Hash of everything in which two requests with one idempotency key must not
     ///                 differ.
-    entry_decision enter(const std::string &key, const std::string &bodyHash, mono_time deadline);
+    claim_decision claimOrReplay(const std::string &key, const std::string &bodyHash,
+                                 mono_time deadline);
 
 private:
     peer::answer_reply queryOwner(const std::string &key, const peer::claim_reply &existing,
                                   mono_time deadline);
-    entry_decision resultFromExisting(const std::string &key, const peer::claim_reply &existing,
+    claim_decision resultFromExisting(const std::string &key, const peer::claim_reply &existing,
                                       const peer::answer_reply &answer) const;
-    peer::claim_ask makeClaimRequest(const std::string &key, const std::string &bodyHash,
-                                     mono_time deadline);
+    peer::claim_request makeClaimRequest(const std::string &key, const std::string &bodyHash,
+                                         mono_time deadline);
 
     instance_id self;
-    claim_book &claims;
-    answer_book &answers;
+    claim_manager &claims;
+    answer_table &answers;
     claim_peers peers;
     clock_source clock;
     journal &events;
--- a/src/node/request_path.cpp
+++ b/src/node/request_handler.cpp
@@ -1,4 +1,4 @@
-#include "node/request_path.h"
+#include "node/request_handler.h"
 
 #include "poplarspool/base/hash.h"
 
@@ -46,7 +46,7 @@
 
     bool onPiece(std::string_view piece)
     {
-        if (kept && kept->body.size() <= config::maxKeptAnswerBytes)
+        if (kept && kept->body.size() <= config::maxStoredAnswerBytes)
             kept->body.append(piece);
         isCallerGone = isCallerGone || !sink.write(piece);
         return !isCallerGone || kept;
@@ -61,8 +61,8 @@
     bool isCallerGone = false;
 };
 
-runner::generate_request generateRequestFor(const caller::completion_ask &request,
-                                            const admitted &admission)
+runner::generate_request generateRequestFor(const caller::completion_request &request,
+                                            const admitted_request &admission)
 {
     runner::generate_request generation;
     generation.request = request.head.request;
@@ -76,10 +76,11 @@
 
 } // namespace
 
-request_path::request_path(request_needs dependencies, view_hub &views, work_ledger &sentWork,
-                           demand_book &demand, duplicate_guard &duplicates, answer_book &answers,
-                           runner::engine_api engines, runner::service_api services,
-                           clock_source clock, metrics_registry &metrics, journal &events)
+request_handler::request_handler(request_dependencies dependencies, view_publisher &views,
+                                 sent_work_table &sentWork, demand_table &demand,
+                                 request_deduplicator &duplicates, answer_table &answers,
+                                 runner::engine_api engines, runner::service_api services,
+                                 clock_source clock, metrics_registry &metrics, journal &events)
     : dependencies(std::move(dependencies)), views(views), sentWork(sentWork), demand(demand),
       duplicates(duplicates), answers(answers), engines(std::move(engines)),
       services(std::move(services)), clock(std::move(clock)), events(events),
@@ -87,31 +88,32 @@
       resumed(metrics.counterOf("poplarspool_resumes_total"))
 { }
 
-result<admitted> request_path::admit(const caller::request_head &head,
-                                     policy::request_facts facts) const
+result<admitted_request> request_handler::admit(const caller::request_head &head,
+                                                policy::request_facts facts) const
 {
-    admitted admission;
-    admission.seen = views.current();
+    admitted_request admission;
+    admission.view = views.current();
     if (dependencies.isClosed())
         return notRun(error_code::Unavailable, "this instance is shutting down", retryAfterTime);
     if (streams.load(std::memory_order_relaxed) > dependencies.maxStreams)
         return notRun(error_code::Overloaded, "too many open requests", retryAfterTime);
-    if (!admission.seen->fleet || !admission.seen->book)
+    if (!admission.view->fleet || !admission.view->ruleSet)
         return notRun(error_code::Unavailable, "this instance has no configuration yet",
                       retryAfterTime);
-    if (!policy::isFresh(*admission.seen, clock.mono()))
+    if (!policy::isFresh(*admission.view, clock.mono()))
         return notRun(error_code::Unavailable,
                       "this instance can't confirm that its configuration is current",
                       retryAfterTime);
-    const policy::rules &rules = *admission.seen->book;
-    const result<caller_id> callerId = policy::admitCaller(rules, head.bearerKey);
+    const policy::rules &rules = *admission.view->ruleSet;
+    const result<caller_id> callerId = policy::authenticateCaller(rules, head.bearerKey);
     if (!succeeded(callerId))
         return errorOf(callerId);
     facts.caller = valueOf(callerId).isValid() ? valueOf(callerId) : head.caller;
     facts.workspace = head.workspace;
-    if (valueOf(callerId).isValid() && !policy::mayUse(rules, valueOf(callerId), head.workspace))
+    if (valueOf(callerId).isValid()
+        && !policy::mayUseWorkspace(rules, valueOf(callerId), head.workspace))
         return notRun(error_code::Forbidden, "this caller may not use that workspace");
-    admission.ruling = policy::rulingOf(rules, facts);
+    admission.ruling = policy::effectiveRulesOf(rules, facts);
     admission.facts = std::move(facts);
     if (admission.ruling.needsKey && head.idempotencyKey.empty())
         return notRun(error_code::BadRequest,
@@ -122,18 +124,18 @@
     return admission;
 }
 
-result<caller::address_answer> request_path::addresses(const zone_id &zone)
+result<caller::address_answer> request_handler::addresses(const zone_id &zone)
 {
     const policy::view_ptr now = views.current();
     caller::address_answer answer;
-    answer.addresses = policy::rankAddresses(*now, zone, dispatch.nextSpread());
-    answer.keepTime = now->book ? now->book->addressKeepTime : config::addressKeepTime;
+    answer.addresses = policy::rankAddresses(*now, zone, dispatch.nextTieBreaker());
+    answer.keepTime = now->ruleSet ? now->ruleSet->addressKeepTime : config::addressKeepTime;
     if (answer.addresses.empty())
         return notRun(error_code::Unavailable, "no instance accepts callers", retryAfterTime);
     return answer;
 }
 
-result<std::vector<std::string>> request_path::models(const caller::request_head &head)
+result<std::vector<std::string>> request_handler::models(const caller::request_head &head)
 {
     policy::request_facts facts;
     facts.method = "GET";
@@ -141,7 +143,7 @@
     if (!succeeded(admission))
         return errorOf(admission);
     std::vector<std::string> names;
-    for (const policy::pool_spec &pool : valueOf(admission).seen->fleet->pools) {
+    for (const policy::pool_spec &pool : valueOf(admission).view->fleet->pools) {
         for (const policy::model_version &entry : pool.serves)
             names.push_back(entry.model);
     }
@@ -150,23 +152,23 @@
     return names;
 }
 
-result<runner::stream_end> request_path::runCompletion(const caller::completion_ask &request,
-                                                       const admitted &admission,
-                                                       const text_receiver &onText)
+result<runner::stream_end> request_handler::runCompletion(const caller::completion_request &request,
+                                                          const admitted_request &admission,
+                                                          const text_receiver &onText)
 {
     policy::route_request wanted = routeRequestFor(request, admission);
     runner::generate_request generation = generateRequestFor(request, admission);
-    recordDemand(*admission.seen, wanted);
+    recordDemand(*admission.view, wanted);
     try_series tries(dispatch, admission, request.head.request);
     for (;;) {
         const result<chosen_runner> choice = tries.next(wanted);
         if (!succeeded(choice)) {
-            if (errorOf(choice).code == error_code::TimedOut || !tries.mayHaveBegun())
+            if (errorOf(choice).code == error_code::TimedOut || !tries.mayHaveStarted())
                 return errorOf(choice);
             // A stream that has begun must be completed, so choosing is retried within its time
             // limit.
-            tries.forgetFailures();
-            std::this_thread::sleep_for(config::resumePause);
+            tries.clearAvoided();
+            std::this_thread::sleep_for(config::resumeRetryPause);
             continue;
         }
         const chosen_runner &to = valueOf(choice);
@@ -178,8 +180,10 @@
         error failure = errorOf(outcome);
         if (!generation.emitted.empty())
             failure.ran = verdict::MayHaveRun;
-        const std::optional<error> ending = tries.onFailure(
-                to, failure, generation.emitted.empty() ? rest::NotBegun : rest::Owed);
+        const std::optional<error> ending =
+                tries.onFailure(to, failure,
+                                generation.emitted.empty() ? response_progress::NotStarted
+                                                           : response_progress::PartlySent);
         if (ending)
             return *ending;
         if (!generation.emitted.empty())
@@ -188,13 +192,13 @@
 }
 
 /// Refused requests count too: they show the planner that there are too few engines.
-void request_path::recordDemand(const policy::view &now, const policy::route_request &wanted)
+void request_handler::recordDemand(const policy::view &now, const policy::route_request &wanted)
 {
     for (const policy::runner_spec &spec : now.fleet->runners) {
         const auto carries = [&](const policy::model_version &entry) {
             return entry.model == wanted.model;
         };
-        if (std::none_of(spec.mayCarry.begin(), spec.mayCarry.end(), carries))
+        if (std::none_of(spec.supportedModels.begin(), spec.supportedModels.end(), carries))
             continue;
         demand.onRequest(spec.pool, wanted.promptTokens / spec.prefillTokensPerSecond,
                          wanted.outputTokens / spec.decodeTokensPerSecond);
@@ -202,8 +206,8 @@
     }
 }
 
-policy::route_request request_path::routeRequestFor(const caller::completion_ask &request,
-                                                    const admitted &admission) const
+policy::route_request request_handler::routeRequestFor(const caller::completion_request &request,
+                                                       const admitted_request &admission) const
 {
     policy::route_request wanted;
     wanted.model = request.model;
@@ -215,9 +219,9 @@
     return wanted;
 }
 
-result<runner::stream_end> request_path::tryOnce(const chosen_runner &to,
-                                                 runner::generate_request &generation,
-                                                 const text_receiver &onText)
+result<runner::stream_end> request_handler::tryOnce(const chosen_runner &to,
+                                                    runner::generate_request &generation,
+                                                    const text_receiver &onText)
 {
     events.emit("dispatched",
                 {{"request", generation.request.text},
@@ -234,7 +238,8 @@
     return outcome;
 }
 
-void request_path::complete(const caller::completion_ask &request, caller::completion_sink &sink)
+void request_handler::complete(const caller::completion_request &request,
+                               caller::completion_sink &sink)
 {
     const open_stream counted(streams);
     policy::request_facts facts;
@@ -244,7 +249,7 @@
     const auto admission = admit(request.head, facts);
     if (!succeeded(admission))
         return sink.fail(errorOf(admission));
-    if (valueOf(admission).ruling.repeat == policy::repeat_rule::Never
+    if (valueOf(admission).ruling.repeat == policy::retry_policy::Never
         && !request.head.idempotencyKey.empty())
         return completeAtMostOnce(request, valueOf(admission), sink);
     auto outcome = runCompletion(request, valueOf(admission),
@@ -255,7 +260,8 @@
     sink.finish({std::string(runner::nameOf(end.reason)), end.promptTokens, end.outputTokens});
 }
 
-std::optional<error> request_path::callService(const caller::service_ask &call, http_sink &sink)
+std::optional<error> request_handler::callService(const caller::service_request &call,
+                                                  http_sink &sink)
 {
     const open_stream counted(streams);
     policy::request_facts facts;
@@ -265,15 +271,15 @@
     const auto admission = admit(call.head, facts);
     if (!succeeded(admission))
         return errorOf(admission);
-    if (valueOf(admission).ruling.repeat == policy::repeat_rule::Never
+    if (valueOf(admission).ruling.repeat == policy::retry_policy::Never
         && !call.head.idempotencyKey.empty())
         return callServiceAtMostOnce(call, valueOf(admission), sink);
     return runService(call, valueOf(admission), sink, nullptr);
 }
 
-std::optional<error> request_path::runService(const caller::service_ask &call,
-                                              const admitted &admission, http_sink &sink,
-                                              http_reply *kept)
+std::optional<error> request_handler::runService(const caller::service_request &call,
+                                                 const admitted_request &admission, http_sink &sink,
+                                                 http_reply *kept)
 {
     policy::route_request wanted;
     wanted.service = call.service;
@@ -301,7 +307,8 @@
             sink.end();
             return std::nullopt;
         }
-        const std::optional<error> ending = tries.onFailure(to, errorOf(outcome), rest::NotBegun);
+        const std::optional<error> ending =
+                tries.onFailure(to, errorOf(outcome), response_progress::NotStarted);
         if (ending)
             return *ending;
         // A reply that failed after its head can't be started again. The sink is closed without
--- a/src/node/request_once.cpp
+++ b/src/node/request_once.cpp
@@ -1,7 +1,7 @@
 // Handling of requests that must run at most once: they are claimed before they are dispatched, and
 // their answers are kept for duplicates.
 
-#include "node/request_path.h"
+#include "node/request_handler.h"
 
 #include "poplarspool/base/bounded_json.h"
 #include "poplarspool/base/hash.h"
@@ -59,7 +59,7 @@
 class claimed_attempt
 {
 public:
-    claimed_attempt(answer_book &answers, std::string key, std::string nonce)
+    claimed_attempt(answer_table &answers, std::string key, std::string nonce)
         : answers(answers), key(std::move(key)), nonce(std::move(nonce))
     { }
     ~claimed_attempt()
@@ -86,7 +86,7 @@
     }
 
 private:
-    answer_book &answers;
+    answer_table &answers;
     std::string key;
     std::string nonce;
     bool hasEnded = false;
@@ -94,19 +94,20 @@
 
 } // namespace
 
-void request_path::completeAtMostOnce(const caller::completion_ask &request,
-                                      const admitted &admission, caller::completion_sink &sink)
+void request_handler::completeAtMostOnce(const caller::completion_request &request,
+                                         const admitted_request &admission,
+                                         caller::completion_sink &sink)
 {
     const std::string key =
             claimNameOf(admission.facts.workspace.text, "completion", request.head.idempotencyKey);
     const std::string bodyHash =
             hashOfParts({request.model, request.prompt, std::to_string(request.maxTokens)});
-    const entry_decision decision = duplicates.enter(key, bodyHash, admission.deadline);
+    const claim_decision decision = duplicates.claimOrReplay(key, bodyHash, admission.deadline);
     if (const auto *refusal = std::get_if<error>(&decision))
         return sink.fail(*refusal);
     if (const auto *earlier = std::get_if<earlier_answer>(&decision))
         return replay(earlier->reply, sink);
-    claimed_attempt attempt(answers, key, std::get<may_dispatch>(decision).nonce);
+    claimed_attempt attempt(answers, key, std::get<dispatch_grant>(decision).nonce);
     std::string whole;
     const auto outcome = runCompletion(request, admission, [&](const std::string &text) {
         whole += text;
@@ -124,15 +125,16 @@
     sink.finish({std::string(runner::nameOf(end.reason)), end.promptTokens, end.outputTokens});
 }
 
-std::optional<error> request_path::callServiceAtMostOnce(const caller::service_ask &call,
-                                                         const admitted &admission, http_sink &sink)
+std::optional<error> request_handler::callServiceAtMostOnce(const caller::service_request &call,
+                                                            const admitted_request &admission,
+                                                            http_sink &sink)
 {
     const std::string operation =
             call.service + " " + call.request.method + " " + call.request.path;
     const std::string key =
             claimNameOf(admission.facts.workspace.text, operation, call.head.idempotencyKey);
     const std::string bodyHash = hashOfParts({call.request.contentType, call.request.body});
-    const entry_decision decision = duplicates.enter(key, bodyHash, admission.deadline);
+    const claim_decision decision = duplicates.claimOrReplay(key, bodyHash, admission.deadline);
     if (const auto *refusal = std::get_if<error>(&decision))
         return *refusal;
     if (const auto *earlier = std::get_if<earlier_answer>(&decision)) {
@@ -141,7 +143,7 @@
             sink.end();
         return std::nullopt;
     }
-    claimed_attempt attempt(answers, key, std::get<may_dispatch>(decision).nonce);
+    claimed_attempt attempt(answers, key, std::get<dispatch_grant>(decision).nonce);
     http_reply kept;
     std::optional<error> failure = runService(call, admission, sink, &kept);
     if (failure)
--- a/src/node/work_ledger.cpp
+++ b/src/node/sent_work_table.cpp
@@ -1,4 +1,4 @@
-#include "node/work_ledger.h"
+#include "node/sent_work_table.h"
 
 #include <algorithm>
 
@@ -25,7 +25,7 @@
         slot->unanswered.fetch_sub(1);
 }
 
-std::shared_ptr<const work_ledger::slot_table> work_ledger::tableOf(const policy::view &now)
+std::shared_ptr<const sent_work_table::slot_table> sent_work_table::tableOf(const policy::view &now)
 {
     std::shared_ptr<const slot_table> present = table.load();
     if (present && present->fleet == now.fleet)
@@ -39,29 +39,29 @@
         const runner_handle old =
                 present ? policy::findRunner(*present->fleet, spec.id) : runner_handle{};
         slots->push_back(old.isValid() ? (*present->slots)[old.index]
-                                       : std::make_shared<ledger_slot>());
+                                       : std::make_shared<sent_work_slot>());
     }
     auto built = std::make_shared<const slot_table>(slot_table{now.fleet, std::move(slots)});
     table.store(built);
     return built;
 }
 
-std::shared_ptr<const std::vector<slot_ptr>> work_ledger::slotsOf(const policy::view &now)
+std::shared_ptr<const std::vector<slot_ptr>> sent_work_table::slotsOf(const policy::view &now)
 {
     return tableOf(now)->slots;
 }
 
-slot_ptr work_ledger::slotOf(const policy::view &now, runner_handle runner)
+slot_ptr sent_work_table::slotOf(const policy::view &now, runner_handle runner)
 {
     return (*tableOf(now)->slots)[runner.index];
 }
 
-void work_ledger::snapshot(const policy::view &now, std::vector<policy::sent_work> &into)
+void sent_work_table::snapshot(const policy::view &now, std::vector<policy::sent_work> &into)
 {
     const auto slots = slotsOf(now);
     into.resize(slots->size());
     for (std::size_t i = 0; i < slots->size(); ++i) {
-        const ledger_slot &slot = *(*slots)[i];
+        const sent_work_slot &slot = *(*slots)[i];
         policy::sent_work &entry = into[i];
         entry.open = slot.open.load(std::memory_order_relaxed);
         const std::uint64_t since = slot.sent.load(std::memory_order_relaxed)
@@ -75,7 +75,7 @@
     }
 }
 
-void work_ledger::onReport(const policy::view &now, runner_handle runner)
+void sent_work_table::onReport(const policy::view &now, runner_handle runner)
 {
     const slot_ptr slot = slotOf(now, runner);
     slot->sentAtReport.store(slot->sent.load(std::memory_order_relaxed), std::memory_order_relaxed);
@@ -87,7 +87,7 @@
 /// view is published first and the counts are read afterwards. So at least one of the two sees the
 /// other, and no request routed under an older view reaches a runner after this instance has
 /// acknowledged the newer one.
-bool work_ledger::hasWorkOnItsWayToClosed(const policy::view &now)
+bool sent_work_table::hasUnansweredWorkAtClosedRunner(const policy::view &now)
 {
     if (!now.fleet)
         return false;
--- a/src/node/work_ledger.h
+++ b/src/node/sent_work_table.h
@@ -16,7 +16,7 @@
 
 /// Work sent to one runner. Shared by the tables of successive fleets, so that a request which ends
 /// after a change of the inventory is counted at the slot where it started.
-struct ledger_slot
+struct sent_work_slot
 {
     std::atomic<std::uint32_t> open{0};
     /// Requests for which this runner was chosen and that it has not answered yet: they may still
@@ -26,11 +26,11 @@
     std::atomic<std::uint64_t> sentTokens{0}; ///< Prompt tokens, since the slot was created.
     std::atomic<std::uint64_t> sentAtReport{0}; ///< `sent` at the time of the last report.
     std::atomic<std::uint64_t> tokensAtReport{0};
-    std::atomic<std::int64_t> avoidUntilNs{
+    std::atomic<std::int64_t> ejectedUntilNs{
             0}; ///< Monotonic time until which the runner is ejected after a refused connection.
 };
 
-using slot_ptr = std::shared_ptr<ledger_slot>;
+using slot_ptr = std::shared_ptr<sent_work_slot>;
 
 /// One open request at one runner; counted until destruction.
 class open_work
@@ -50,7 +50,7 @@
     std::atomic<bool> isAnswered{false};
 };
 
-class work_ledger
+class sent_work_table
 {
 public:
     /// @returns Slots in the order of the view's fleet; rebuilt if the fleet has changed.
@@ -66,7 +66,7 @@
 
     /// @returns Whether a request may still be in transit to a runner that the view has closed for
     ///          new work.
-    bool hasWorkOnItsWayToClosed(const policy::view &now);
+    bool hasUnansweredWorkAtClosedRunner(const policy::view &now);
 
 private:
     struct slot_table
--- a/src/node/try_series.cpp
+++ b/src/node/try_series.cpp
@@ -6,7 +6,7 @@
 
 namespace poplarspool::node {
 
-dispatcher::dispatcher(view_hub &views, work_ledger &sentWork, const clock_source &clock,
+dispatcher::dispatcher(view_publisher &views, sent_work_table &sentWork, const clock_source &clock,
                        metrics_registry &metrics, journal &events)
     : retries(config::retryShare, config::retryBurst),
       retried(metrics.counterOf("poplarspool_retries_total")), views(views), sentWork(sentWork),
@@ -48,11 +48,11 @@
     const mono_time time = clock.mono();
     const auto slots = sentWork.slotsOf(*now);
     for (std::uint32_t i = 0; i < slots->size(); ++i) {
-        const std::int64_t until = (*slots)[i]->avoidUntilNs.load(std::memory_order_relaxed);
+        const std::int64_t until = (*slots)[i]->ejectedUntilNs.load(std::memory_order_relaxed);
         if (until > time.time_since_epoch().count())
             allowed.avoid.push_back({i});
     }
-    const auto choice = policy::route(*now, allowed, sent, time, nextSpread());
+    const auto choice = policy::route(*now, allowed, sent, time, nextTieBreaker());
     if (!succeeded(choice))
         return errorOf(choice);
     const runner_handle runner = valueOf(choice).runner;
@@ -63,11 +63,11 @@
 bool dispatcher::isStillOpen(const chosen_runner &choice) const
 {
     const policy::view_ptr now = views.current();
-    return now->fleet == choice.seen->fleet && policy::isOpenForWork(*now, choice.runner);
+    return now->fleet == choice.view->fleet && policy::isOpenForWork(*now, choice.runner);
 }
 
-void dispatcher::noteFailure(const chosen_runner &choice, const request_id &request,
-                             const error &failure)
+void dispatcher::recordFailure(const chosen_runner &choice, const request_id &request,
+                               const error &failure)
 {
     events.emit("try_failed",
                 {{"request", request.text},
@@ -77,15 +77,15 @@
                  {"reason", failure.message}});
     if (failure.code != error_code::Unavailable)
         return;
-    const mono_time until = clock.mono() + config::avoidTime;
-    sentWork.slotOf(*choice.seen, choice.runner)
-            ->avoidUntilNs.store(until.time_since_epoch().count(), std::memory_order_relaxed);
+    const mono_time until = clock.mono() + config::connectFailureEjectionTime;
+    sentWork.slotOf(*choice.view, choice.runner)
+            ->ejectedUntilNs.store(until.time_since_epoch().count(), std::memory_order_relaxed);
 }
 
-try_series::try_series(dispatcher &dispatch, const admitted &admission, request_id request)
+try_series::try_series(dispatcher &dispatch, const admitted_request &admission, request_id request)
     : dispatch(dispatch), admission(admission), request(std::move(request))
 {
-    dispatch.retries.onRequest(admission.seen->book->retryShare);
+    dispatch.retries.onRequest(admission.view->ruleSet->retryShare);
 }
 
 milliseconds try_series::timeLeft() const
@@ -119,22 +119,22 @@
 }
 
 std::optional<error> try_series::onFailure(const chosen_runner &choice, const error &failure,
-                                           rest progress)
+                                           response_progress progress)
 {
-    dispatch.noteFailure(choice, request, failure);
+    dispatch.recordFailure(choice, request, failure);
     ++triesMade;
     hasStarted = hasStarted || failure.ran == verdict::MayHaveRun;
     const error whole = verdictOf(failure);
-    const bool isRepeatable = admission.ruling.repeat == policy::repeat_rule::Allowed;
+    const bool isRepeatable = admission.ruling.repeat == policy::retry_policy::Allowed;
     if (!policy::mayRetry(whole, isRepeatable, triesMade, timeLeft()))
         return whole;
     if (!dispatch.retries.tryTake()) {
-        if (progress == rest::NotBegun)
+        if (progress == response_progress::NotStarted)
             return whole;
         // When a third of the engines fail at once, the retry budget is used up immediately, and
         // refusing the try would cut an answer that its caller has received in part. The pause and
         // the limit on tries keep these retries from overloading the remaining engines.
-        std::this_thread::sleep_for(config::resumePause * triesMade);
+        std::this_thread::sleep_for(config::resumeRetryPause * triesMade);
     }
     dispatch.retried.add();
     avoid.push_back(choice.runner);
--- a/src/node/try_series.h
+++ b/src/node/try_series.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "node/work_ledger.h"
+#include "node/sent_work_table.h"
 #include "poplarspool/base/clock.h"
 #include "poplarspool/base/journal.h"
 #include "poplarspool/base/metrics.h"
-#include "poplarspool/node/view_hub.h"
+#include "poplarspool/node/view_publisher.h"
 #include "poplarspool/policy/retry.h"
 #include "poplarspool/policy/routing.h"
 
@@ -19,29 +19,29 @@
 namespace poplarspool::node {
 
 /// An admitted request with the ruling of the rules on it.
-struct admitted
+struct admitted_request
 {
-    policy::view_ptr seen; ///< The view under which it was admitted.
+    policy::view_ptr view; ///< The view under which it was admitted.
     policy::request_facts facts;
-    policy::request_ruling ruling;
+    policy::effective_rules ruling;
     mono_time deadline{};
 };
 
 /// The runner chosen for one try.
 struct chosen_runner
 {
-    policy::view_ptr seen; ///< The view under which the runner was chosen.
+    policy::view_ptr view; ///< The view under which the runner was chosen.
     runner_handle runner;
     std::shared_ptr<open_work> work; ///< Counts the try while it is open.
 
-    const policy::runner_spec &spec() const { return seen->fleet->runners[runner.index]; }
+    const policy::runner_spec &spec() const { return view->fleet->runners[runner.index]; }
 };
 
 /// Chooses runners for all requests of this instance.
 class dispatcher
 {
 public:
-    dispatcher(view_hub &views, work_ledger &sentWork, const clock_source &clock,
+    dispatcher(view_publisher &views, sent_work_table &sentWork, const clock_source &clock,
                metrics_registry &metrics, journal &events);
 
     /// Chooses a runner that is open for work at the time of the choice, and counts the try as sent
@@ -49,13 +49,14 @@
     result<chosen_runner> choose(policy::route_request wanted,
                                  const std::vector<runner_handle> &avoid);
     /// Logs the failure, and ejects a runner that can't be reached: it is not chosen for a while.
-    void noteFailure(const chosen_runner &choice, const request_id &request, const error &failure);
+    void recordFailure(const chosen_runner &choice, const request_id &request,
+                       const error &failure);
 
     policy::view_ptr current() const { return views.current(); }
     mono_time now() const { return clock.mono(); }
     /// @returns A number that differs between requests, to distribute them among equally ranked
     ///          runners.
-    std::uint64_t nextSpread() { return tieBreaker.fetch_add(1, std::memory_order_relaxed); }
+    std::uint64_t nextTieBreaker() { return tieBreaker.fetch_add(1, std::memory_order_relaxed); }
 
     policy::retry_budget retries;
     counter &retried;
@@ -65,20 +66,20 @@
                                      const policy::route_request &wanted);
     bool isStillOpen(const chosen_runner &choice) const;
 
-    view_hub &views;
-    work_ledger &sentWork;
+    view_publisher &views;
+    sent_work_table &sentWork;
     clock_source clock;
     journal &events;
     std::atomic<std::uint64_t> tieBreaker{0};
 };
 
 /// Whether the caller has received part of its answer and must be sent the remainder.
-enum class rest { NotBegun, Owed };
+enum class response_progress { NotStarted, PartlySent };
 
 class try_series
 {
 public:
-    try_series(dispatcher &dispatch, const admitted &admission, request_id request);
+    try_series(dispatcher &dispatch, const admitted_request &admission, request_id request);
 
     /// @returns The runner of the next try, with `wanted.timeLeft` set to the remaining time; or
     ///          the request's final error, whose verdict covers all tries so far.
@@ -89,20 +90,20 @@
     /// @attention Sleeps before a try that completes a partly sent stream without a token of the
     ///            retry budget.
     std::optional<error> onFailure(const chosen_runner &choice, const error &failure,
-                                   rest progress);
+                                   response_progress progress);
 
     bool isFirst() const { return triesMade == 0; }
     /// @returns Whether a runner may have started to execute this request.
-    bool mayHaveBegun() const { return hasStarted; }
+    bool mayHaveStarted() const { return hasStarted; }
     /// Allows runners that failed before to be chosen again.
-    void forgetFailures() { avoid.clear(); }
+    void clearAvoided() { avoid.clear(); }
 
 private:
     error verdictOf(error failure) const;
     milliseconds timeLeft() const;
 
     dispatcher &dispatch;
-    const admitted &admission;
+    const admitted_request &admission;
     request_id request;
     std::uint32_t triesMade = 0;
     bool hasStarted = false;
--- a/src/node/watched_sync.cpp
+++ b/src/node/watched_sync.cpp
@@ -31,8 +31,9 @@
 
 } // namespace
 
-watched_sync::watched_sync(sync_needs dependencies, platform::object_store &store, view_hub &views,
-                           clock_source clock, metrics_registry &metrics, journal &events)
+watched_sync::watched_sync(sync_dependencies dependencies, platform::object_store &store,
+                           view_publisher &views, clock_source clock, metrics_registry &metrics,
+                           journal &events)
     : dependencies(std::move(dependencies)), store(store), views(views), clock(std::move(clock)),
       events(events), applied(metrics.counterOf("poplarspool_watched_updates_total")),
       rejected(metrics.counterOf("poplarspool_config_rejected_total"))
@@ -62,7 +63,7 @@
         peerThread.join();
 }
 
-peer::watched_reply watched_sync::replyTo(const peer::watched_ask &request) const
+peer::watched_reply watched_sync::replyTo(const peer::watched_request &request) const
 {
     const std::lock_guard lock(guard);
     peer::watched_reply reply;
@@ -74,7 +75,7 @@
     return reply;
 }
 
-result<peer::body_reply> watched_sync::bodyFor(const peer::body_ask &request) const
+result<peer::body_reply> watched_sync::bodyFor(const peer::body_request &request) const
 {
     const std::lock_guard lock(guard);
     const auto found = bodies.find(request.sha256);
@@ -103,7 +104,7 @@
 
 void watched_sync::storeLoop()
 {
-    milliseconds backoff = config::storeBackoffFirst;
+    milliseconds backoff = config::initialStoreBackoff;
     for (;;) {
         {
             const std::lock_guard lock(guard);
@@ -111,15 +112,15 @@
                 return;
         }
         if (!dependencies.isWatcher()) {
-            pause(config::gossipTime);
+            pause(config::gossipInterval);
             continue;
         }
         if (pullFromStore()) {
-            backoff = config::storeBackoffFirst;
+            backoff = config::initialStoreBackoff;
             continue;
         }
         pause(backoff);
-        backoff = std::min(backoff * 2, config::syncBackoffMax);
+        backoff = std::min(backoff * 2, config::maxSyncBackoff);
     }
 }
 
@@ -134,7 +135,7 @@
     }
     const std::string prefix = operators::watchedPrefix(dependencies.deployment);
     const mono_time asked = clock.mono();
-    const milliseconds wait = config::confirmTime;
+    const milliseconds wait = config::configWatchTimeout;
     const auto answer = isWatch ? store.watch(prefix, after, wait) : store.list(prefix);
     if (!succeeded(answer))
         return false;
@@ -160,7 +161,7 @@
                 return;
         }
         pullFromPeers();
-        pause(config::gossipTime);
+        pause(config::gossipInterval);
     }
 }
 
@@ -181,7 +182,7 @@
             confirmedByPeers = std::max(confirmedByPeers, other.confirmedAt);
             continue;
         }
-        const auto reply = dependencies.askState(other.peerAddress, {known});
+        const auto reply = dependencies.requestState(other.peerAddress, {known});
         if (!succeeded(reply))
             continue;
         std::vector<platform::object> changed;
@@ -245,7 +246,7 @@
     const policy::view_ptr after = views.update([&](policy::view &draft) {
         if (loaded) {
             policy::replaceFleet(draft, loaded->fleet);
-            draft.book = loaded->rules;
+            draft.ruleSet = loaded->rules;
             draft.configVersion = head->second.version;
         }
         draft.appliedVersion = completeTo;
@@ -304,7 +305,7 @@
     if (succeeded(stored) && sha256Hex(valueOf(stored).value) == sha256)
         return valueOf(stored).value;
     for (const policy::member &other : dependencies.peers()) {
-        const auto reply = dependencies.askBody(other.peerAddress, {sha256});
+        const auto reply = dependencies.requestBody(other.peerAddress, {sha256});
         if (succeeded(reply) && sha256Hex(valueOf(reply).content) == sha256)
             return valueOf(reply).content;
     }
--- a/src/node/watched_sync.h
+++ b/src/node/watched_sync.h
@@ -3,7 +3,7 @@
 #include "poplarspool/base/clock.h"
 #include "poplarspool/base/journal.h"
 #include "poplarspool/base/metrics.h"
-#include "poplarspool/node/view_hub.h"
+#include "poplarspool/node/view_publisher.h"
 #include "poplarspool/operators/config_store.h"
 #include "poplarspool/peer/messages.h"
 #include "poplarspool/platform/object_store.h"
@@ -22,14 +22,15 @@
 namespace poplarspool::node {
 
 /// What watched_sync needs from the other components of the instance.
-struct sync_needs
+struct sync_dependencies
 {
     std::string deployment;
     /// Peers that can be queried, without this instance.
     std::function<std::vector<policy::member>()> peers;
-    std::function<result<peer::watched_reply>(const endpoint &, const peer::watched_ask &)>
-            askState;
-    std::function<result<peer::body_reply>(const endpoint &, const peer::body_ask &)> askBody;
+    std::function<result<peer::watched_reply>(const endpoint &, const peer::watched_request &)>
+            requestState;
+    std::function<result<peer::body_reply>(const endpoint &, const peer::body_request &)>
+            requestBody;
     /// @returns Whether this instance watches the store itself; the others get changes from those
     ///          that do.
     std::function<bool()> isWatcher;
@@ -41,15 +42,16 @@
 class watched_sync
 {
 public:
-    watched_sync(sync_needs dependencies, platform::object_store &store, view_hub &views,
-                 clock_source clock, metrics_registry &metrics, journal &events);
+    watched_sync(sync_dependencies dependencies, platform::object_store &store,
+                 view_publisher &views, clock_source clock, metrics_registry &metrics,
+                 journal &events);
     ~watched_sync();
     void start();
     void stop();
 
     /// @returns The objects newer than the version that the requesting peer knows.
-    peer::watched_reply replyTo(const peer::watched_ask &request) const;
-    result<peer::body_reply> bodyFor(const peer::body_ask &request) const;
+    peer::watched_reply replyTo(const peer::watched_request &request) const;
+    result<peer::body_reply> bodyFor(const peer::body_request &request) const;
 
     /// @returns The store version up to which the published view is complete; 0 if nothing is known
     ///          yet.
@@ -82,9 +84,9 @@
     result<std::string> findBody(const std::string &sha256);
     void pause(milliseconds time);
 
-    sync_needs dependencies;
+    sync_dependencies dependencies;
     platform::object_store &store;
-    view_hub &views;
+    view_publisher &views;
     clock_source clock;
     journal &events;
     counter &applied;
--- a/src/operators/apply_command.cpp
+++ b/src/operators/apply_command.cpp
@@ -77,7 +77,7 @@
     collect(parseRules(rulesFile, request.rulesText));
     if (diagnostics.empty())
         diagnostics =
-                checkTogether(inventoryFile, request.inventoryText, rulesFile, request.rulesText);
+                crossCheck(inventoryFile, request.inventoryText, rulesFile, request.rulesText);
     return diagnostics;
 }
 
--- a/src/operators/check_command.cpp
+++ b/src/operators/check_command.cpp
@@ -29,7 +29,7 @@
 checked_file checkFile(const std::string &path, std::string text)
 {
     checked_file file{path, std::move(text), file_kind::Settings, 0, {}};
-    file.kind = guessKind(file.text);
+    file.kind = detectFileKind(file.text);
     if (file.kind == file_kind::Settings)
         file.diagnostics = diagnosticsIn(parseSettings(path, file.text));
     if (file.kind == file_kind::Gateway)
@@ -65,8 +65,7 @@
     checked_file *rules = findSingle(files, file_kind::Rules);
     if (!inventory || !rules)
         return;
-    for (diagnostic &entry :
-         checkTogether(inventory->path, inventory->text, rules->path, rules->text))
+    for (diagnostic &entry : crossCheck(inventory->path, inventory->text, rules->path, rules->text))
         rules->diagnostics.push_back(std::move(entry));
 }
 
--- a/src/operators/config_diff.cpp
+++ b/src/operators/config_diff.cpp
@@ -74,7 +74,7 @@
     compare("prefill_tokens_per_second", from.prefillTokensPerSecond == to.prefillTokensPerSecond);
     compare("decode_tokens_per_second", from.decodeTokensPerSecond == to.decodeTokensPerSecond);
     compare("concurrency", from.concurrency == to.concurrency);
-    compare("may_carry", from.mayCarry == to.mayCarry);
+    compare("may_carry", from.supportedModels == to.supportedModels);
     compare("adapters", from.adapters == to.adapters);
     return " (" + keys + ')';
 }
--- a/src/operators/config_files.cpp
+++ b/src/operators/config_files.cpp
@@ -65,7 +65,7 @@
     return {};
 }
 
-file_kind guessKind(std::string_view text)
+file_kind detectFileKind(std::string_view text)
 {
     diagnostic_sink ignored("");
     const toml::table root = parseToml(text, ignored);
@@ -77,9 +77,8 @@
     return best;
 }
 
-std::vector<diagnostic> checkTogether(const std::string &inventoryFile,
-                                      std::string_view inventoryText, const std::string &rulesFile,
-                                      std::string_view rulesText)
+std::vector<diagnostic> crossCheck(const std::string &inventoryFile, std::string_view inventoryText,
+                                   const std::string &rulesFile, std::string_view rulesText)
 {
     const parse_result<policy::inventory> fleet = parseInventory(inventoryFile, inventoryText);
     const parse_result<policy::rules> ruleSet = parseRules(rulesFile, rulesText);
--- a/src/operators/config_store.cpp
+++ b/src/operators/config_store.cpp
@@ -62,7 +62,7 @@
 {
     const auto &earlier = current.head.earlier;
     if (version == 0)
-        return earlier.size() < config::headHistory;
+        return earlier.size() < config::headHistorySize;
     return std::any_of(earlier.begin(), earlier.end(), [version](const config_change &change) {
         return change.version == version;
     });
@@ -82,7 +82,7 @@
     next.earlier.push_back(changeOf(current));
     next.earlier.insert(next.earlier.end(), current.head.earlier.begin(),
                         current.head.earlier.end());
-    next.earlier.resize(std::min(next.earlier.size(), config::headHistory));
+    next.earlier.resize(std::min(next.earlier.size(), config::headHistorySize));
     return next;
 }
 
--- a/src/operators/cross_checks.cpp
+++ b/src/operators/cross_checks.cpp
@@ -98,11 +98,11 @@
 
 bool canServeAny(const runner_spec &spec, const pool_spec &pool)
 {
-    return std::any_of(pool.serves.begin(), pool.serves.end(),
-                       [&spec](const model_version &wanted) {
-                           return std::find(spec.mayCarry.begin(), spec.mayCarry.end(), wanted)
-                                   != spec.mayCarry.end();
-                       });
+    return std::any_of(
+            pool.serves.begin(), pool.serves.end(), [&spec](const model_version &wanted) {
+                return std::find(spec.supportedModels.begin(), spec.supportedModels.end(), wanted)
+                        != spec.supportedModels.end();
+            });
 }
 
 void checkRunner(const checker &check, const runner_spec &spec, const pool_spec &pool,
@@ -111,7 +111,7 @@
     const std::string key = keyAt("runners", index, ".may_carry");
     if (pool.kind == runner_kind::Engine && !pool.serves.empty() && !canServeAny(spec, pool))
         check.report(key, "has none of the models that pool \"" + pool.id.text + "\" serves");
-    if (pool.kind == runner_kind::Service && !spec.mayCarry.empty())
+    if (pool.kind == runner_kind::Service && !spec.supportedModels.empty())
         check.report(key, "is for engines, but pool \"" + pool.id.text + "\" has services");
 }
 
--- a/src/operators/fleet_status.cpp
+++ b/src/operators/fleet_status.cpp
@@ -25,7 +25,7 @@
             {"state", policy::nameOf(instance.state)},
             {"caller_address", textOf(instance.callerAddress)},
             {"peer_address", textOf(instance.peerAddress)},
-            {"incarnation", instance.life},
+            {"incarnation", instance.incarnation},
             {"applied_version", instance.appliedVersion},
             {"open_streams", instance.openStreams},
             {"in_force", status.inForce}};
@@ -69,7 +69,7 @@
     instance.state = stateOf(value.at("state").get<std::string>());
     instance.callerAddress = endpointOf(value.at("caller_address"));
     instance.peerAddress = endpointOf(value.at("peer_address"));
-    instance.life = value.at("incarnation").get<incarnation>();
+    instance.incarnation = value.at("incarnation").get<incarnation_number>();
     instance.appliedVersion = value.at("applied_version").get<std::uint64_t>();
     instance.openStreams = value.at("open_streams").get<std::uint32_t>();
     return {instance, value.at("in_force").get<bool>()};
--- a/src/operators/gateway_file.cpp
+++ b/src/operators/gateway_file.cpp
@@ -41,7 +41,7 @@
                            "Address for messages between instances (UDP)."),
             requiredKey<s>("peer.load_address", "", &s::loadAddress, endpointRule(),
                            "Address for load updates between instances (UDP)."),
-            optionalKey<s>("peer.share_store_news", "", &s::sharesStoreNews, flagRule(),
+            optionalKey<s>("peer.share_store_news", "", &s::sharesStoreUpdates, flagRule(),
                            "A few instances watch the store and relay its changes to the others, "
                            "on the port after that of peer.address; otherwise every instance "
                            "watches the store itself."),
@@ -84,7 +84,7 @@
                            listRule(textRule(1, config::maxNameBytes), maxDuties),
                            "Enabled kinds of these calls: accounting reports usage, scaling orders "
                            "runners; other kinds are left to the platform."),
-            optionalKey<s>("scaling.spot", "", &s::ordersSpot, flagRule(),
+            optionalKey<s>("scaling.spot", "", &s::usesSpotRunners, flagRule(),
                            "Whether spot runners are ordered in place of regular ones."),
             optionalKey<s>("duties.usage_window_seconds", "s", &s::usageWindowSeconds,
                            realRule(0.5, 86400),
@@ -138,7 +138,7 @@
                   root, diagnostics);
     checkDistinct({{"peer.address", choices.peerAddress},
                    {"peer.load_address", choices.loadAddress},
-                   {"peer.share_store_news", gateway::newsAddressOf(choices)},
+                   {"peer.share_store_news", gateway::updateAddressOf(choices)},
                    {"duties.kinds", gateway::usageAddressOf(choices)}},
                   root, diagnostics);
 }
--- a/src/operators/inventory_file.cpp
+++ b/src/operators/inventory_file.cpp
@@ -70,7 +70,7 @@
             optionalKey<r>("concurrency", "requests", &r::concurrency,
                            integerRule<std::uint32_t>(1, 65536),
                            "Requests that the runner runs concurrently."),
-            tablesKey<r>("may_carry", &r::mayCarry, modelKeys(), config::maxModels,
+            tablesKey<r>("may_carry", &r::supportedModels, modelKeys(), config::maxModels,
                          "Engines: models and versions that it may be ordered to load."),
             optionalKey<r>("adapters", "", &r::adapters, listRule(nameRule(), config::maxAdapters),
                            "Engines: adapters that it may be ordered to load."),
--- a/src/operators/operator_client.cpp
+++ b/src/operators/operator_client.cpp
@@ -40,7 +40,7 @@
 } // namespace
 
 operator_client::operator_client(std::vector<endpoint> addresses, std::string key)
-    : addresses(std::move(addresses)), key(std::move(key)), pool(1, config::connectTime, metrics)
+    : addresses(std::move(addresses)), key(std::move(key)), pool(1, config::connectTimeout, metrics)
 { }
 
 result<http_reply> operator_client::call(const http_request &request)
@@ -51,7 +51,8 @@
     error lastFailure = notRun(error_code::Unavailable, "no instance address given");
     bool mayHaveRun = false;
     for (const endpoint &address : addresses) {
-        result<http_reply> reply = pool.send(address, authorizedRequest, config::operatorCallTime);
+        result<http_reply> reply =
+                pool.send(address, authorizedRequest, config::operatorCallTimeout);
         if (succeeded(reply) && isFinalReply(valueOf(reply)))
             return reply;
         lastFailure = succeeded(reply) ? errorOfReply(valueOf(reply)) : errorOf(reply);
--- a/src/operators/operator_server.cpp
+++ b/src/operators/operator_server.cpp
@@ -84,7 +84,7 @@
     collect(parseInventory("inventory", request.inventoryText));
     collect(parseRules("rules", request.rulesText));
     if (diagnostics.empty())
-        diagnostics = checkTogether("inventory", request.inventoryText, "rules", request.rulesText);
+        diagnostics = crossCheck("inventory", request.inventoryText, "rules", request.rulesText);
     return diagnostics;
 }
 
--- a/src/operators/rules_file.cpp
+++ b/src/operators/rules_file.cpp
@@ -9,8 +9,8 @@
 using policy::caller_rule;
 using policy::plan_rule;
 using policy::priority_class;
-using policy::repeat_rule;
 using policy::request_rule;
+using policy::retry_policy;
 using policy::rules;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -47,8 +47,8 @@
 table_keys<request_rule> requestKeys()
 {
     using r = request_rule;
-    const auto repeat = choiceRule<repeat_rule>(
-            {{"allowed", repeat_rule::Allowed}, {"never", repeat_rule::Never}});
+    const auto repeat = choiceRule<retry_policy>(
+            {{"allowed", retry_policy::Allowed}, {"never", retry_policy::Never}});
     const auto method = choiceRule<std::string>({{"GET", "GET"},
                                                  {"HEAD", "HEAD"},
                                                  {"POST", "POST"},
--- a/src/operators/settings_file.cpp
+++ b/src/operators/settings_file.cpp
@@ -49,15 +49,15 @@
     };
     const auto readTime = [](s & choices) -> auto &
     {
-        return choices.callerLimits.readTime;
+        return choices.callerLimits.readTimeout;
     };
     const auto writeTime = [](s & choices) -> auto &
     {
-        return choices.callerLimits.writeTime;
+        return choices.callerLimits.writeTimeout;
     };
     const auto keepAlive = [](s & choices) -> auto &
     {
-        return choices.callerLimits.keepAliveTime;
+        return choices.callerLimits.keepAliveTimeout;
     };
     const auto perConnection = [](s & choices) -> auto &
     {
@@ -111,7 +111,7 @@
                            "Secret shared by all instances; authenticates every message."),
             optionalKey<s>("peer.seeds", "", &s::peerSeeds, listRule(endpointRule(), maxSeeds),
                            "Peer addresses contacted in addition to those of the instance list."),
-            optionalKey<s>("peer.gossip_ms", "ms", &s::gossipTime,
+            optionalKey<s>("peer.gossip_ms", "ms", &s::gossipInterval,
                            timeRule<milliseconds>(milliseconds(20), milliseconds(10000)),
                            "Interval between gossip rounds."),
     };
@@ -131,7 +131,7 @@
                            realRule(1, 1000), "Long-term rate limit of calls to the object API."),
             optionalKey<s>("platform.call_burst", "calls", &s::storeCallBurst, realRule(1, 10000),
                            "Burst limit of calls to the object API."),
-            optionalKey<s>("platform.call_time_ms", "ms", &s::storeCallTime,
+            optionalKey<s>("platform.call_time_ms", "ms", &s::storeCallTimeout,
                            timeRule<milliseconds>(milliseconds(50), milliseconds(60000)),
                            "Time limit of one call to the object API."),
     };
@@ -146,18 +146,18 @@
                                                 {"error", "error"},
                                                 {"off", "off"}});
     return {
-            optionalKey<s>("leave.grace_seconds", "s", &s::leaveGrace,
+            optionalKey<s>("leave.grace_seconds", "s", &s::leaveGraceTime,
                            timeRule<milliseconds>(seconds(1), seconds(3600)),
                            "Time for which the instance serves on after a shutdown began; "
                            "address_keep_seconds of the rules where that is longer."),
-            optionalKey<s>("leave.bound_seconds", "s", &s::leaveBound,
+            optionalKey<s>("leave.bound_seconds", "s", &s::maxLeaveTime,
                            timeRule<milliseconds>(seconds(1), seconds(86400)),
                            "Time after which a shutdown no longer waits for open streams; at least "
                            "leave.grace_seconds."),
-            optionalKey<s>("runner.poll_ms", "ms", &s::loadPollTime,
+            optionalKey<s>("runner.poll_ms", "ms", &s::loadPollInterval,
                            timeRule<milliseconds>(milliseconds(10), milliseconds(10000)),
                            "Interval between load reports from one runner."),
-            optionalKey<s>("plan.look_ms", "ms", &s::planTime,
+            optionalKey<s>("plan.look_ms", "ms", &s::planInterval,
                            timeRule<milliseconds>(milliseconds(50), milliseconds(60000)),
                            "Interval between iterations of the planner of a pool."),
             optionalKey<s>("log.level", "", &s::logLevel, level,
@@ -195,15 +195,15 @@
 
 void checkLeave(const settings &choices, const toml::table &root, diagnostic_sink &diagnostics)
 {
-    if (choices.leaveBound >= choices.leaveGrace)
+    if (choices.maxLeaveTime >= choices.leaveGraceTime)
         return;
     const auto inSeconds = [](milliseconds time) {
         return std::to_string(std::chrono::duration_cast<seconds>(time).count());
     };
     diagnostics.add(regionOf(root, "leave.bound_seconds"), "leave.bound_seconds",
-                    "is " + inSeconds(choices.leaveBound)
+                    "is " + inSeconds(choices.maxLeaveTime)
                             + ", expected at least leave.grace_seconds, "
-                            + inSeconds(choices.leaveGrace));
+                            + inSeconds(choices.leaveGraceTime));
 }
 
 } // namespace
--- a/src/peer/call_client.cpp
+++ b/src/peer/call_client.cpp
@@ -18,14 +18,14 @@
 
 /// Idle connections are discarded well before the server closes them: if the server closed one
 /// just as a call was sent, the client could not tell whether the call had run.
-constexpr milliseconds maxIdleTime = config::peerIdleTime / 2;
+constexpr milliseconds maxIdleTime = config::peerIdleTimeout / 2;
 
 /// An open connection and the identity of the peer.
 struct connection
 {
     descriptor socket;
     std::uint64_t peer = 0;
-    incarnation peerIncarnation = 0;
+    incarnation_number peerIncarnation = 0;
     std::uint64_t counter = 0; ///< Of the last frame sent.
     socket_clock::time_point usedAt;
 };
@@ -83,7 +83,7 @@
     counter &bytesSent;
     counter &unmatchedReplies;
     std::atomic<std::uint64_t> nextCallId;
-    raised_flag stopping;
+    pollable_flag stopping;
     std::mutex idleMutex;
     std::map<endpoint, std::vector<connection>> idle;
     socket_clock::time_point lastSweepAt = socket_clock::now();
@@ -172,7 +172,8 @@
 
 result<connection> call_client::state::open(const endpoint &to, socket_deadline deadline)
 {
-    const socket_deadline connected = std::min(deadline, socket_clock::now() + config::connectTime);
+    const socket_deadline connected =
+            std::min(deadline, socket_clock::now() + config::connectTimeout);
     result<descriptor> socket = connectTo(to, connected, stopping.descriptorNumber());
     if (!succeeded(socket))
         return errorOf(socket);
@@ -193,7 +194,8 @@
     open.peerIncarnation = header.senderIncarnation;
     open.counter = header.counter;
     const std::string ownHello = buildFrame(open, frame_kind::Hello, 0, {});
-    const sent done = sendAll(open.socket.get(), ownHello, deadline, stopping.descriptorNumber());
+    const send_result done =
+            sendAll(open.socket.get(), ownHello, deadline, stopping.descriptorNumber());
     if (done.fault != socket_fault::None)
         return connectionError(done.fault, verdict::NotRun);
     return open;
@@ -204,7 +206,8 @@
 {
     const std::uint64_t callId = nextCallId.fetch_add(1, std::memory_order_relaxed);
     const std::string frame = buildFrame(open, frame_kind::Call, callId, payload);
-    const sent done = sendAll(open.socket.get(), frame, deadline, stopping.descriptorNumber());
+    const send_result done =
+            sendAll(open.socket.get(), frame, deadline, stopping.descriptorNumber());
     bytesSent.add(done.bytes);
     if (done.fault != socket_fault::None) {
         open.socket.reset();
@@ -247,7 +250,7 @@
 {
     return header.kind == frame_kind::Reply && header.callId == callId && header.sender == open.peer
             && header.senderIncarnation == open.peerIncarnation
-            && header.receiverIncarnation == self.life;
+            && header.receiverIncarnation == self.incarnation;
 }
 
 std::string call_client::state::buildFrame(connection &open, frame_kind kind, std::uint64_t callId,
@@ -256,7 +259,7 @@
     frame_header header;
     header.kind = kind;
     header.sender = selfNumber;
-    header.senderIncarnation = self.life;
+    header.senderIncarnation = self.incarnation;
     header.receiverIncarnation = open.peerIncarnation;
     header.counter = ++open.counter;
     header.callId = callId;
--- a/src/peer/call_server.cpp
+++ b/src/peer/call_server.cpp
@@ -60,7 +60,7 @@
                   metrics.counterOf("poplarspool_peer_call_bytes_total{direction=\"received\"}")),
           bytesSent(metrics.counterOf("poplarspool_peer_call_bytes_total{direction=\"sent\"}")),
           refused(metrics.counterOf("poplarspool_peer_connections_refused_total")),
-          threads("peer_calls", config::maxPeerConnections, stepFaultsOf(log, metrics))
+          threads("peer_calls", config::maxPeerConnections, stepFailureReporterOf(log, metrics))
     { }
 
     void acceptLoop();
@@ -72,7 +72,7 @@
     bool isAcceptable(const frame_header &header, frame_kind kind, std::uint64_t expectedCounter);
     bool reply(int fd, const frame_header &request, const result<std::string> &outcome);
     result<std::string> handle(std::string_view bytes);
-    frame_header headerFor(frame_kind kind, incarnation receiver);
+    frame_header headerFor(frame_kind kind, incarnation_number receiver);
 
     const endpoint bindAddress;
     const call_identity self;
@@ -86,7 +86,7 @@
     counter &bytesSent;
     counter &refused;
     descriptor listener;
-    raised_flag stopping;
+    pollable_flag stopping;
     connection_threads threads;
     std::thread acceptThread;
 };
@@ -125,8 +125,9 @@
 void call_server::state::acceptLoop()
 {
     while (true) {
-        const socket_fault fault = waitForSocket(
-                listener.get(), POLLIN, after(config::peerIdleTime), stopping.descriptorNumber());
+        const socket_fault fault =
+                waitForSocket(listener.get(), POLLIN, after(config::peerIdleTimeout),
+                              stopping.descriptorNumber());
         if (fault == socket_fault::Interrupted)
             return;
         const int fd = accept4(listener.get(), nullptr, nullptr, SOCK_CLOEXEC);
@@ -134,7 +135,7 @@
             // If the process is out of descriptors the listener stays readable, and
             // without a pause this loop would spin.
             if (fault == socket_fault::None && errno != EAGAIN)
-                waitForSocket(-1, 0, after(config::gossipTime), stopping.descriptorNumber());
+                waitForSocket(-1, 0, after(config::gossipInterval), stopping.descriptorNumber());
             continue;
         }
         auto connection = std::make_shared<descriptor>(fd);
@@ -145,7 +146,7 @@
 
 void call_server::state::serve(int fd)
 {
-    sendWithoutDelay(fd);
+    setNoDelay(fd);
     const std::uint64_t nonce = sendHello(fd);
     if (!receiveHello(fd, nonce))
         return;
@@ -158,7 +159,7 @@
 {
     frame_header hello = headerFor(frame_kind::Hello, 0);
     hello.counter = randomNumber();
-    sendAll(fd, sealFrame(key, hello, {}), after(config::peerCallTime),
+    sendAll(fd, sealFrame(key, hello, {}), after(config::peerCallTimeout),
             stopping.descriptorNumber());
     return hello.counter;
 }
@@ -172,7 +173,7 @@
 
 bool call_server::state::serveOne(int fd, std::uint64_t expectedCounter)
 {
-    if (waitForSocket(fd, POLLIN, after(config::peerIdleTime), stopping.descriptorNumber())
+    if (waitForSocket(fd, POLLIN, after(config::peerIdleTimeout), stopping.descriptorNumber())
         != socket_fault::None)
         return false;
     const stream_read received = read(fd, config::maxPeerCallBytes);
@@ -186,7 +187,7 @@
 
 stream_read call_server::state::read(int fd, std::size_t maxPayload)
 {
-    stream_read outcome = readFrame(fd, key, maxPayload, after(config::peerCallTime),
+    stream_read outcome = readFrame(fd, key, maxPayload, after(config::peerCallTimeout),
                                     stopping.descriptorNumber());
     if (const auto *fault = std::get_if<frame_fault>(&outcome))
         dropped.count(*fault);
@@ -200,7 +201,7 @@
 bool call_server::state::isAcceptable(const frame_header &header, frame_kind kind,
                                       std::uint64_t expectedCounter)
 {
-    if (header.kind != kind || header.receiverIncarnation != self.life) {
+    if (header.kind != kind || header.receiverIncarnation != self.incarnation) {
         dropped.foreign.add();
         return false;
     }
@@ -219,7 +220,8 @@
     header.callId = request.callId;
     const std::string frame = sealFrame(key, header, encodeReply(outcome));
     bytesSent.add(frame.size());
-    const sent done = sendAll(fd, frame, after(config::peerCallTime), stopping.descriptorNumber());
+    const send_result done =
+            sendAll(fd, frame, after(config::peerCallTimeout), stopping.descriptorNumber());
     return done.fault == socket_fault::None;
 }
 
@@ -243,12 +245,12 @@
     }
 }
 
-frame_header call_server::state::headerFor(frame_kind kind, incarnation receiver)
+frame_header call_server::state::headerFor(frame_kind kind, incarnation_number receiver)
 {
     frame_header header;
     header.kind = kind;
     header.sender = selfNumber;
-    header.senderIncarnation = self.life;
+    header.senderIncarnation = self.incarnation;
     header.receiverIncarnation = receiver;
     header.sentAt = events.stamp();
     return header;
--- a/src/peer/call_wire.cpp
+++ b/src/peer/call_wire.cpp
@@ -28,7 +28,7 @@
 {
     std::size_t done = 0;
     while (done < size) {
-        const received piece = receiveSome(fd, to + done, size - done, deadline, interruptFd);
+        const receive_result piece = receiveSome(fd, to + done, size - done, deadline, interruptFd);
         if (piece.fault != socket_fault::None)
             return piece.fault;
         done += piece.bytes;
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -94,7 +94,7 @@
 /// @param write Called with an encoder.
 /// @returns The encoded bytes; TooLarge if a bound is exceeded.
 template <class Write>
-result<std::string> encoded(const Write &write)
+result<std::string> tryEncode(const Write &write)
 {
     try {
         encoder out;
--- a/src/peer/datagram_loop.cpp
+++ b/src/peer/datagram_loop.cpp
@@ -11,7 +11,8 @@
                              const std::string &metric, datagram_handlers handlers,
                              clock_source clock, metrics_registry &metrics, journal &events)
     : name(std::move(name)), handlers(std::move(handlers)), clock(std::move(clock)),
-      faults(stepFaultsOf(events, metrics)), socket(std::move(settings), kind, metrics, metric)
+      faults(stepFailureReporterOf(events, metrics)),
+      socket(std::move(settings), kind, metrics, metric)
 { }
 
 datagram_loop::~datagram_loop()
@@ -24,7 +25,7 @@
     const auto opened = socket.open();
     if (!succeeded(opened))
         return errorOf(opened);
-    thread = startNamed(name, [this] { run(); });
+    thread = startNamedThread(name, [this] { run(); });
     return unit{};
 }
 
@@ -45,7 +46,7 @@
 {
     nextSendAt = clock.mono();
     while (!stopping.isRaised()) {
-        if (!contained(faults, [this] { runOnce(); }))
+        if (!runLoggingExceptions(faults, [this] { runOnce(); }))
             waitForSocket(-1, 0, socket_clock::now() + config::failedStepPause,
                           stopping.descriptorNumber());
     }
@@ -62,7 +63,7 @@
     socket.receive([this](std::uint64_t sender, std::string_view payload) {
         bool isDecoded = false;
         // No pause after a failure, because it would delay updates from other senders.
-        return contained(faults, [&] { isDecoded = handlers.receive(sender, payload); })
+        return runLoggingExceptions(faults, [&] { isDecoded = handlers.receive(sender, payload); })
                 && isDecoded;
     });
 }
--- a/src/peer/datagram_loop.h
+++ b/src/peer/datagram_loop.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/socket.h"
-#include "peer/datagram_port.h"
+#include "peer/datagram_socket.h"
 #include "poplarspool/base/journal.h"
 #include "poplarspool/base/named_thread.h"
 
@@ -46,9 +46,9 @@
     const std::string name;
     const datagram_handlers handlers;
     const clock_source clock;
-    const step_faults faults;
+    const step_failure_reporter faults;
     datagram_socket socket;
-    raised_flag stopping;
+    pollable_flag stopping;
     std::thread thread;
     mono_time nextSendAt{}; ///< Time of the next sendDue(). Used by the thread only.
 };
--- a/src/peer/datagram_port.cpp
+++ b/src/peer/datagram_socket.cpp
@@ -1,4 +1,4 @@
-#include "peer/datagram_port.h"
+#include "peer/datagram_socket.h"
 
 #include "peer/numeric_address.h"
 #include "poplarspool/config.h"
@@ -37,7 +37,7 @@
     frame_header header;
     header.kind = kind;
     header.sender = senderNumber(settings.self);
-    header.senderIncarnation = settings.life;
+    header.senderIncarnation = settings.incarnation;
     header.counter = ++counterSent;
     const std::string frame = sealFrame(key, header, valueOf(payload));
     for (const endpoint &peer : to) {
--- a/src/peer/datagram_port.h
+++ b/src/peer/datagram_socket.h
@@ -43,7 +43,7 @@
     /// Identifies the last accepted frame of a sender.
     struct sender_position
     {
-        incarnation life = 0;
+        incarnation_number incarnation = 0;
         std::uint64_t counter = 0;
 
         auto operator<=>(const sender_position &) const = default; // NOLINT(modernize-use-nullptr)
--- a/src/peer/frame.h
+++ b/src/peer/frame.h
@@ -29,8 +29,8 @@
     frame_kind kind = frame_kind::Gossip;
     std::uint32_t length = 0; ///< Bytes of the payload.
     std::uint64_t sender = 0; ///< senderNumber() of the instance.
-    incarnation senderIncarnation = 0;
-    incarnation receiverIncarnation = 0; ///< 0 if the sender does not know it.
+    incarnation_number senderIncarnation = 0;
+    incarnation_number receiverIncarnation = 0; ///< 0 if the sender does not know it.
     std::uint64_t counter = 0; ///< Increases with each frame of a sender or connection.
     std::uint64_t callId = 0; ///< Matches a reply to its request.
     hybrid_time sentAt; ///< Orders events caused by this frame after its sending.
--- a/src/peer/gossip.cpp
+++ b/src/peer/gossip.cpp
@@ -46,8 +46,8 @@
     state(gossip_settings initialSettings, gossip_handlers handlerSet, clock_source time,
           metrics_registry &metrics, journal &log)
         : settings(std::move(initialSettings)), handlers(std::move(handlerSet)),
-          clock(std::move(time)), events(log), faults(stepFaultsOf(log, metrics)),
-          key(deriveFrameKey(settings.key)), maxDelay(settings.suspectTime / pauseDivisor),
+          clock(std::move(time)), events(log), faults(stepFailureReporterOf(log, metrics)),
+          key(deriveFrameKey(settings.key)), maxDelay(settings.probeTimeout / pauseDivisor),
           dropped(metrics, "poplarspool_gossip_dropped_total"),
           bytesSent(metrics.counterOf("poplarspool_gossip_bytes_total{direction=\"sent\"}")),
           bytesReceived(
@@ -67,7 +67,7 @@
     void detectPause(mono_time now);
     void receiveAll();
     void receive(std::string_view bytes, const numeric_address &from);
-    bool isAcceptable(const frame_header &header, incarnation ownIncarnation);
+    bool isAcceptable(const frame_header &header, incarnation_number ownIncarnation);
     void runRound(mono_time now);
     void sendAllOf(const std::vector<outgoing_datagram> &datagrams);
     void notifyHandlers();
@@ -77,7 +77,7 @@
     const gossip_handlers handlers;
     const clock_source clock;
     journal &events;
-    const step_faults faults;
+    const step_failure_reporter faults;
     const frame_key key;
     const milliseconds maxDelay;
     drop_counters dropped;
@@ -124,7 +124,7 @@
     endpoint address = inner->settings.self.peerAddress;
     address.port = boundAddress(inner->socket.get()).port;
     inner->protocol.setPeerAddress(address);
-    inner->thread = startNamed("gossip", [this] { inner->run(); });
+    inner->thread = startNamedThread("gossip", [this] { inner->run(); });
     return unit{};
 }
 
@@ -198,11 +198,11 @@
     nextRound = clock.mono();
     lastRunAt = nextRound;
     while (!isStopping) {
-        if (!contained(faults, [this] { runOnce(); }) && !isStopping)
+        if (!runLoggingExceptions(faults, [this] { runOnce(); }) && !isStopping)
             waitForSocket(wakeEvent.get(), POLLIN, socket_clock::now() + config::failedStepPause,
                           -1);
     }
-    contained(faults, [this] { sendFarewell(); });
+    runLoggingExceptions(faults, [this] { sendFarewell(); });
 }
 
 void gossip::state::runOnce()
@@ -213,7 +213,7 @@
     receiveAll();
     if (now >= nextRound || isRoundDue.exchange(false)) {
         runRound(now);
-        nextRound = now + settings.roundTime;
+        nextRound = now + settings.roundInterval;
     }
     notifyHandlers();
 }
@@ -236,7 +236,7 @@
 void gossip::state::waitUntil(mono_time time)
 {
     const auto left = std::chrono::ceil<milliseconds>(time - clock.mono());
-    const auto bounded = std::clamp<std::int64_t>(left.count(), 0, settings.roundTime.count());
+    const auto bounded = std::clamp<std::int64_t>(left.count(), 0, settings.roundInterval.count());
     std::array<pollfd, 2> polled{pollfd{socket.get(), POLLIN, 0},
                                  pollfd{wakeEvent.get(), POLLIN, 0}};
     poll(polled.data(), polled.size(), static_cast<int>(bounded));
@@ -251,7 +251,7 @@
 void gossip::state::detectPause(mono_time now)
 {
     const mono_time previousRunAt = std::exchange(lastRunAt, now);
-    const bool wasPaused = now - previousRunAt > settings.roundTime + maxDelay;
+    const bool wasPaused = now - previousRunAt > settings.roundInterval + maxDelay;
     arrivedAt = wasPaused ? previousRunAt : now;
     if (!wasPaused)
         return;
@@ -276,7 +276,9 @@
         datagramsReceived.add();
         // If this throws, the datagram counts as lost. No pause,
         // because others are queued behind it.
-        contained(faults, [&] { receive({buffer.data(), static_cast<std::size_t>(size)}, from); });
+        runLoggingExceptions(faults, [&] {
+            receive({buffer.data(), static_cast<std::size_t>(size)}, from);
+        });
     }
 }
 
@@ -290,7 +292,7 @@
     std::vector<outgoing_datagram> responses;
     {
         const std::lock_guard lock(mutex);
-        if (!isAcceptable(frame.header, protocol.members().self().record.life))
+        if (!isAcceptable(frame.header, protocol.members().self().record.incarnation))
             return;
         const incoming_datagram datagram{
                 endpointOf(from),    frame.header.sender, frame.header.senderIncarnation,
@@ -308,10 +310,10 @@
     sendAllOf(responses);
 }
 
-bool gossip::state::isAcceptable(const frame_header &header, incarnation ownIncarnation)
+bool gossip::state::isAcceptable(const frame_header &header, incarnation_number ownIncarnation)
 {
     // All incarnations from the first to the current one belong to this process.
-    const bool isOwnIncarnation = header.receiverIncarnation >= settings.self.life
+    const bool isOwnIncarnation = header.receiverIncarnation >= settings.self.incarnation
             && header.receiverIncarnation <= ownIncarnation;
     if (header.kind != frame_kind::Gossip
         || (header.receiverIncarnation != 0 && !isOwnIncarnation)) {
@@ -340,7 +342,7 @@
     header.sender = senderNumber(settings.self.id);
     {
         const std::lock_guard lock(mutex);
-        header.senderIncarnation = protocol.members().self().record.life;
+        header.senderIncarnation = protocol.members().self().record.incarnation;
     }
     header.sentAt = events.stamp();
     for (const outgoing_datagram &datagram : datagrams) {
@@ -372,7 +374,7 @@
     logChanges(changes);
     for (const rumor &item : newRumors) {
         if (handlers.onRumor)
-            contained(faults, [&] { handlers.onRumor(item); });
+            runLoggingExceptions(faults, [&] { handlers.onRumor(item); });
     }
     if (!pendingMembers.empty() && handlers.onMembers)
         handlers.onMembers(pendingMembers);
@@ -384,7 +386,7 @@
     for (const member_change &change : changes) {
         events.emit("member_state",
                     {{"peer", change.id.text},
-                     {"life", std::to_string(change.life)},
+                     {"life", std::to_string(change.incarnation)},
                      {"state", std::string(policy::nameOf(change.state))}});
     }
 }
--- a/src/peer/gossip_message.cpp
+++ b/src/peer/gossip_message.cpp
@@ -108,7 +108,7 @@
     codec.text(record.zone.text, config::maxNameBytes);
     endpointFields(codec, record.callerAddress);
     endpointFields(codec, record.peerAddress);
-    codec.small(record.life);
+    codec.small(record.incarnation);
     codec.small(record.refutation);
     codec.small(record.suspicion);
     flagsField(codec, record);
@@ -137,7 +137,7 @@
     codec.small(base.version);
     codec.list(message.records, maxItems, minRecordBytes, [&base](auto &inner, auto &record) {
         recordFields(inner, record, base);
-        if (!record.id.isValid() || record.life == 0)
+        if (!record.id.isValid() || record.incarnation == 0)
             throw bad_payload("member record without id or incarnation");
         if (record.isDead && record.diedAt == mono_time{})
             throw bad_payload("dead member without time of death");
@@ -211,7 +211,7 @@
 {
     return wireBytesOfText(record.id.text) + wireBytesOfText(record.zone.text)
             + wireBytesOf(record.callerAddress) + wireBytesOf(record.peerAddress)
-            + varintBytes(record.life) + varintBytes(record.refutation)
+            + varintBytes(record.incarnation) + varintBytes(record.refutation)
             + varintBytes(record.suspicion) + 1 + maxAgeBytes + wireBytesOf(record.heartbeat);
 }
 
--- a/src/peer/gossip_protocol.cpp
+++ b/src/peer/gossip_protocol.cpp
@@ -1,7 +1,7 @@
 #include "peer/gossip_protocol.h"
 
 #include "peer/frame.h"
-#include "peer/news_picker.h"
+#include "peer/update_picker.h"
 #include "poplarspool/config.h"
 
 #include <algorithm>
@@ -32,8 +32,8 @@
 
 gossip_protocol::gossip_protocol(const gossip_settings &settings, std::uint64_t seed, mono_time now)
     : fanout(std::max<std::size_t>(settings.fanout, 1)),
-      table(recordOf(settings.self), table_times{settings.deadTime, config::deadKeepTime}),
-      rumors(config::rumorKeepTime), probes(settings.suspectTime, seed),
+      table(recordOf(settings.self), table_times{settings.suspicionTimeout, config::deadRetention}),
+      rumors(config::rumorRetention), probes(settings.probeTimeout, seed),
       budget(settings.bytesPerSecond, now), random(seed), lastPageAt(now)
 { }
 
@@ -89,7 +89,7 @@
     const double bytes = members * retransmitLimit() * typicalHeartbeatBytes;
     const double share = budget.ratePerSecond() * config::heartbeatBudgetShare;
     const milliseconds needed(static_cast<std::int64_t>(1000.0 * bytes / share));
-    return std::max<milliseconds>(config::heartbeatTime, needed);
+    return std::max<milliseconds>(config::heartbeatInterval, needed);
 }
 
 /// An epidemic broadcast reaches all members with high probability once each member has sent the
@@ -110,8 +110,8 @@
     const known_member *member = target ? table.find(*target) : nullptr;
     if (member == nullptr || member->record.isDead)
         return;
-    const std::uint64_t callId =
-            probes.open({member->record.id, member->record.life, member->handle, now, false});
+    const std::uint64_t callId = probes.open(
+            {member->record.id, member->record.incarnation, member->handle, now, false});
     gossip_message ping;
     ping.purpose = gossip_purpose::Ping;
     // A suspected member must also learn of the suspicion, or it could not refute it.
@@ -136,8 +136,8 @@
 void gossip_protocol::suspectUnresponsive(mono_time now)
 {
     for (const open_probe &probe : probes.takeFailed(now)) {
-        if (table.suspect(probe.target, probe.life, now))
-            ownSuspicions[probe.target] = probe.life;
+        if (table.suspect(probe.target, probe.incarnation, now))
+            ownSuspicions[probe.target] = probe.incarnation;
     }
 }
 
@@ -145,7 +145,7 @@
 {
     std::erase_if(ownSuspicions, [&](const auto &entry) {
         const known_member *member = table.find(entry.first);
-        const bool isOpen = member != nullptr && member->record.life == entry.second
+        const bool isOpen = member != nullptr && member->record.incarnation == entry.second
                 && isSuspect(member->record) && !member->record.isDead;
         return !isOpen;
     });
@@ -183,7 +183,8 @@
 /// times, and a member that missed all of them would otherwise never get the data.
 void gossip_protocol::sendTablePage(mono_time now)
 {
-    if (now - lastPageAt < config::gossipPageTime || budget.available() < config::maxDatagramBytes)
+    if (now - lastPageAt < config::gossipPageInterval
+        || budget.available() < config::maxDatagramBytes)
         return;
     lastPageAt = now;
     const std::vector<const known_member *> targets = pickMembers(1, {});
@@ -223,7 +224,7 @@
                                  std::vector<outgoing_datagram> &answers)
 {
     const known_member *sender = table.findSender(datagram.sender);
-    if (sender != nullptr && datagram.senderIncarnation < sender->record.life) {
+    if (sender != nullptr && datagram.senderIncarnation < sender->record.incarnation) {
         onOldIncarnation(datagram, now, answers);
         return true;
     }
@@ -306,7 +307,8 @@
 void gossip_protocol::checkSender(const incoming_datagram &datagram, mono_time now)
 {
     const known_member *sender = table.findSender(datagram.sender);
-    const bool isKnown = sender != nullptr && sender->record.life == datagram.senderIncarnation;
+    const bool isKnown =
+            sender != nullptr && sender->record.incarnation == datagram.senderIncarnation;
     if (isKnown) {
         probes.onReceived(sender->handle);
         if (sender->record.isDead)
@@ -474,10 +476,10 @@
 void gossip_protocol::send(const known_member &to, const gossip_message &message,
                            std::uint64_t callId, mono_time now)
 {
-    send(to.record.peerAddress, to.record.life, message, callId, now);
+    send(to.record.peerAddress, to.record.incarnation, message, callId, now);
 }
 
-void gossip_protocol::send(const endpoint &to, incarnation receiverIncarnation,
+void gossip_protocol::send(const endpoint &to, incarnation_number receiverIncarnation,
                            const gossip_message &message, std::uint64_t callId, mono_time now)
 {
     std::string payload = encodeGossip(message, now);
--- a/src/peer/gossip_protocol.h
+++ b/src/peer/gossip_protocol.h
@@ -20,7 +20,7 @@
 struct outgoing_datagram
 {
     endpoint to;
-    incarnation receiverIncarnation = 0; ///< 0 if unknown.
+    incarnation_number receiverIncarnation = 0; ///< 0 if unknown.
     std::uint64_t callId = 0;
     std::string payload;
 };
@@ -30,7 +30,7 @@
 {
     endpoint from;
     std::uint64_t sender = 0;
-    incarnation senderIncarnation = 0;
+    incarnation_number senderIncarnation = 0;
     std::uint64_t callId = 0;
     std::string_view payload;
     mono_time arrivedAt{}; ///< Never later than the real arrival.
@@ -116,8 +116,8 @@
     std::vector<const known_member *> pickMembers(std::size_t count, const instance_id &excluded);
     void send(const known_member &to, const gossip_message &message, std::uint64_t callId,
               mono_time now);
-    void send(const endpoint &to, incarnation receiverIncarnation, const gossip_message &message,
-              std::uint64_t callId, mono_time now);
+    void send(const endpoint &to, incarnation_number receiverIncarnation,
+              const gossip_message &message, std::uint64_t callId, mono_time now);
 
     const std::size_t fanout;
     gossip_table table;
@@ -127,7 +127,7 @@
     std::mt19937_64 random;
     std::vector<endpoint> contacts;
     std::set<instance_id> listedLeaving;
-    std::map<instance_id, incarnation>
+    std::map<instance_id, incarnation_number>
             ownSuspicions; ///< Members that this instance itself suspected.
     std::vector<rumor> newRumors;
     std::vector<outgoing_datagram> outbox;
--- a/src/peer/gossip_table.cpp
+++ b/src/peer/gossip_table.cpp
@@ -73,9 +73,9 @@
         return;
     const member_record before = member.record;
     member.record = updated;
-    if (before.life != updated.life)
+    if (before.incarnation != updated.incarnation)
         index(member);
-    if (isSuspect(updated) && (!isSuspect(before) || before.life != updated.life))
+    if (isSuspect(updated) && (!isSuspect(before) || before.incarnation != updated.incarnation))
         member.suspectedAt = now;
     if (updated.heartbeat.sequence != before.heartbeat.sequence)
         member.transmits.heartbeat = 0;
@@ -86,7 +86,8 @@
     if (withHeartbeat != updated) {
         member.transmits.record = 0;
         onStateChange(member,
-                      before.life == updated.life ? stateOf(before) : policy::member_state::Dead);
+                      before.incarnation == updated.incarnation ? stateOf(before)
+                                                                : policy::member_state::Dead);
     }
 }
 
@@ -110,38 +111,38 @@
 {
     if (own.record.isDead)
         return;
-    if (update.life < own.record.life) {
+    if (update.incarnation < own.record.incarnation) {
         // Some member still has a former incarnation: send the own record again.
         own.transmits.record = 0;
         return;
     }
-    if (update.life > own.record.life) {
+    if (update.incarnation > own.record.incarnation) {
         const bool isFormerSelf = update.isDead || update.peerAddress == own.record.peerAddress;
         if (isFormerSelf) {
-            startNewIncarnation(update.life);
+            startNewIncarnation(update.incarnation);
         } else if (!replaced) {
             replaced = true;
             isChanged = true;
-            changes.push_back({own.record.id, update.life, policy::member_state::Leaving});
+            changes.push_back({own.record.id, update.incarnation, policy::member_state::Leaving});
         }
         return;
     }
     own.record.isLeaving = own.record.isLeaving || update.isLeaving;
     if (update.isDead)
-        return startNewIncarnation(update.life);
+        return startNewIncarnation(update.incarnation);
     if (update.suspicion > own.record.refutation) {
         own.record.refutation = update.suspicion;
         own.transmits.record = 0;
-        changes.push_back({own.record.id, own.record.life, stateOf(own.record)});
+        changes.push_back({own.record.id, own.record.incarnation, stateOf(own.record)});
     }
 }
 
 /// Called when this process was considered dead while it was paused or partitioned. The old
 /// incarnation stays dead everywhere, so that its late messages have no effect; the process
 /// continues with a new one. The leaving flag is kept, because it was this process's own decision.
-void gossip_table::startNewIncarnation(incarnation above)
+void gossip_table::startNewIncarnation(incarnation_number above)
 {
-    own.record.life = above + 1;
+    own.record.incarnation = above + 1;
     own.record.refutation = 0;
     own.record.suspicion = 0;
     own.record.heartbeat.sequence = 1;
@@ -149,12 +150,12 @@
     own.transmits = {};
     replaced = false;
     isChanged = true;
-    changes.push_back({own.record.id, own.record.life, stateOf(own.record)});
+    changes.push_back({own.record.id, own.record.incarnation, stateOf(own.record)});
 }
 
 void gossip_table::add(const member_record &update, mono_time now)
 {
-    if (update.isDead && now - update.diedAt > times.deadKeepTime)
+    if (update.isDead && now - update.diedAt > times.deadRetention)
         return;
     if (!makeRoom())
         return;
@@ -168,13 +169,14 @@
     onStateChange(member, policy::member_state::Dead);
 }
 
-bool gossip_table::suspect(const instance_id &id, incarnation suspectedIncarnation, mono_time now)
+bool gossip_table::suspect(const instance_id &id, incarnation_number suspectedIncarnation,
+                           mono_time now)
 {
     const auto found = known.find(id);
     if (found == known.end())
         return false;
     known_member &member = found->second;
-    if (member.record.life != suspectedIncarnation || member.record.isDead)
+    if (member.record.incarnation != suspectedIncarnation || member.record.isDead)
         return false;
     if (isSuspect(member.record))
         return true;
@@ -191,12 +193,13 @@
     for (auto &[id, member] : known) {
         member_record &record = member.record;
         const policy::member_state before = stateOf(record);
-        if (!record.isDead && isSuspect(record) && now - member.suspectedAt >= times.deadTime) {
+        if (!record.isDead && isSuspect(record)
+            && now - member.suspectedAt >= times.suspicionTimeout) {
             record.isDead = true;
             record.diedAt = now;
             onStateChange(member, before);
         }
-        if (record.isDead && now - record.diedAt > times.deadKeepTime)
+        if (record.isDead && now - record.diedAt > times.deadRetention)
             expired.push_back(id);
     }
     for (const instance_id &id : expired)
@@ -312,7 +315,7 @@
     living.reset();
     const policy::member_state now = stateOf(member.record);
     if (now != before)
-        changes.push_back({member.record.id, member.record.life, now});
+        changes.push_back({member.record.id, member.record.incarnation, now});
 }
 
 void gossip_table::index(known_member &member)
--- a/src/peer/gossip_table.h
+++ b/src/peer/gossip_table.h
@@ -14,15 +14,15 @@
 
 struct table_times
 {
-    milliseconds deadTime; ///< Time from suspicion until a member counts as dead.
-    milliseconds deadKeepTime; ///< Time after which dead members are removed.
+    milliseconds suspicionTimeout; ///< Time from suspicion until a member counts as dead.
+    milliseconds deadRetention; ///< Time after which dead members are removed.
 };
 
 /// A change of a member's state, for the event log.
 struct member_change
 {
     instance_id id;
-    incarnation life = 0;
+    incarnation_number incarnation = 0;
     policy::member_state state = policy::member_state::Alive;
 
     bool operator==(const member_change &) const = default;
@@ -72,7 +72,7 @@
     bool merge(const heartbeat_update &update);
     /// Suspects a member.
     /// @returns Whether it is known with that incarnation, not dead, and now suspected.
-    bool suspect(const instance_id &id, incarnation suspectedIncarnation, mono_time now);
+    bool suspect(const instance_id &id, incarnation_number suspectedIncarnation, mono_time now);
     /// Applies the timeouts: suspects become dead, dead members are removed.
     void expire(mono_time now);
     /// Restarts all suspicion timers after a pause of this process, in
@@ -104,7 +104,7 @@
 
 private:
     void mergeOwn(const member_record &update);
-    void startNewIncarnation(incarnation above);
+    void startNewIncarnation(incarnation_number above);
     void add(const member_record &update, mono_time now);
     void onStateChange(known_member &member, policy::member_state before);
     void index(known_member &member);
--- a/src/peer/load_exchange.cpp
+++ b/src/peer/load_exchange.cpp
@@ -9,17 +9,19 @@
 
 namespace poplarspool::peer {
 
-milliseconds loadNewsInterval(std::size_t peers, std::size_t others, std::size_t datagramsPerSecond)
+milliseconds loadUpdateInterval(std::size_t peers, std::size_t others,
+                                std::size_t datagramsPerSecond)
 {
-    const std::size_t share = std::max(others, config::loadNewsFleet);
-    const milliseconds within(1000 * peers * share / (datagramsPerSecond * config::loadNewsFleet));
-    return std::max(within, config::loadNewsTime);
+    const std::size_t share = std::max(others, config::loadUpdateFullRateFleet);
+    const milliseconds within(1000 * peers * share
+                              / (datagramsPerSecond * config::loadUpdateFullRateFleet));
+    return std::max(within, config::loadUpdateInterval);
 }
 
 struct load_exchange::state
 {
-    state(datagram_settings settings, std::function<load_news(news_audience)> collect,
-          std::function<void(std::uint64_t, const load_news &)> onUpdate, clock_source clock,
+    state(datagram_settings settings, std::function<load_update(update_recipients)> collect,
+          std::function<void(std::uint64_t, const load_update &)> onUpdate, clock_source clock,
           metrics_registry &metrics, journal &events)
         : collect(std::move(collect)), onUpdate(std::move(onUpdate)), clock(std::move(clock)),
           loop("load_news", std::move(settings), frame_kind::Load, "poplarspool_load_news_total",
@@ -32,11 +34,11 @@
 
     mono_time sendDue();
     void sendDueUpdates(mono_time now);
-    void sendTo(news_audience recipients, const std::vector<endpoint> &to);
+    void sendTo(update_recipients recipients, const std::vector<endpoint> &to);
     bool receive(std::uint64_t sender, std::string_view payload);
 
-    const std::function<load_news(news_audience)> collect;
-    const std::function<void(std::uint64_t, const load_news &)> onUpdate;
+    const std::function<load_update(update_recipients)> collect;
+    const std::function<void(std::uint64_t, const load_update &)> onUpdate;
     const clock_source clock;
     std::mutex guard;
     std::vector<endpoint> sameZone;
@@ -44,13 +46,13 @@
 
     // Used by the thread of the loop only.
     mono_time nextOtherZonesAt{}; ///< Time of the next update to other zones.
-    std::array<bool, newsAudiences> wasEmpty{};
+    std::array<bool, updateRecipientGroups> wasEmpty{};
     datagram_loop loop;
 };
 
 load_exchange::load_exchange(datagram_settings settings,
-                             std::function<load_news(news_audience)> collect,
-                             std::function<void(std::uint64_t, const load_news &)> onUpdate,
+                             std::function<load_update(update_recipients)> collect,
+                             std::function<void(std::uint64_t, const load_update &)> onUpdate,
                              clock_source clock, metrics_registry &metrics, journal &events)
     : inner(std::make_unique<state>(std::move(settings), std::move(collect), std::move(onUpdate),
                                     std::move(clock), metrics, events))
@@ -84,8 +86,8 @@
     sendDueUpdates(now);
     const std::lock_guard lock(guard);
     return now
-            + loadNewsInterval(sameZone.size(), sameZone.size() + otherZones.size(),
-                               config::loadNewsPerSecond);
+            + loadUpdateInterval(sameZone.size(), sameZone.size() + otherZones.size(),
+                                 config::sameZoneLoadUpdatesPerSecond);
 }
 
 void load_exchange::state::sendDueUpdates(mono_time now)
@@ -98,19 +100,19 @@
         if (now >= nextOtherZonesAt) {
             otherZonePeers = otherZones;
             nextOtherZonesAt = now
-                    + loadNewsInterval(otherZones.size(), sameZone.size() + otherZones.size(),
-                                       config::farLoadNewsPerSecond);
+                    + loadUpdateInterval(otherZones.size(), sameZone.size() + otherZones.size(),
+                                         config::otherZonesLoadUpdatesPerSecond);
         }
     }
-    sendTo(news_audience::Near, sameZonePeers);
-    sendTo(news_audience::Far, otherZonePeers);
+    sendTo(update_recipients::SameZone, sameZonePeers);
+    sendTo(update_recipients::OtherZones, otherZonePeers);
 }
 
-void load_exchange::state::sendTo(news_audience recipients, const std::vector<endpoint> &to)
+void load_exchange::state::sendTo(update_recipients recipients, const std::vector<endpoint> &to)
 {
     if (to.empty())
         return;
-    const load_news update = collect(recipients);
+    const load_update update = collect(recipients);
     // The first empty update announces that no requests are left; repeating it has no use.
     const bool isEmpty = update.work.empty() && update.cached.empty();
     bool &wasLastEmpty = wasEmpty[static_cast<std::size_t>(recipients)];
@@ -120,7 +122,7 @@
 
 bool load_exchange::state::receive(std::uint64_t sender, std::string_view payload)
 {
-    const auto update = decodeLoadNews(payload);
+    const auto update = decodeLoadUpdate(payload);
     if (!succeeded(update))
         return false;
     onUpdate(sender, valueOf(update));
--- a/src/peer/load_news.cpp
+++ b/src/peer/load_update.cpp
@@ -17,17 +17,18 @@
     codec.list(update.work, config::maxLoadItems, minWorkBytes, [](Codec &each, auto &item) {
         each.fixed(item.runner);
         each.small(item.open);
-        each.small(item.readingMs);
-        each.small(item.laterMs);
-        each.fixed(item.tokensIn);
-        each.small(item.waiting);
-        each.small(item.waitingLater);
-    });
-    codec.list(update.cached, config::maxCachedNews, minPrefixBytes, [](Codec &each, auto &item) {
-        each.fixed(item.runner);
-        each.fixed(item.chain);
-        each.small(item.isRead);
+        each.small(item.urgentPrefillMs);
+        each.small(item.lowPriorityPrefillMs);
+        each.fixed(item.prefilledTokens);
+        each.small(item.urgentWaiting);
+        each.small(item.lowPriorityWaiting);
     });
+    codec.list(update.cached, config::maxCachedPrefixes, minPrefixBytes,
+               [](Codec &each, auto &item) {
+                   each.fixed(item.runner);
+                   each.fixed(item.prefixHash);
+                   each.small(item.isPrefilled);
+               });
 }
 
 } // namespace
@@ -37,16 +38,16 @@
     return static_cast<std::uint32_t>(hashOf(id.text));
 }
 
-result<std::string> encode(const load_news &update)
+result<std::string> encode(const load_update &update)
 {
-    return encoded([&update](encoder &out) { loadUpdateFields(out, update); });
+    return tryEncode([&update](encoder &out) { loadUpdateFields(out, update); });
 }
 
-result<load_news> decodeLoadNews(std::string_view payload)
+result<load_update> decodeLoadUpdate(std::string_view payload)
 {
     try {
         decoder in(payload);
-        load_news update;
+        load_update update;
         loadUpdateFields(in, update);
         in.finish();
         return update;
--- a/src/peer/member_record.cpp
+++ b/src/peer/member_record.cpp
@@ -41,8 +41,8 @@
 
 member_record merged(const member_record &a, const member_record &b)
 {
-    if (a.life != b.life)
-        return a.life > b.life ? a : b;
+    if (a.incarnation != b.incarnation)
+        return a.incarnation > b.incarnation ? a : b;
     member_record result = placeOf(a) < placeOf(b) ? b : a;
     result.refutation = std::max(a.refutation, b.refutation);
     result.suspicion = std::max(a.suspicion, b.suspicion);
@@ -74,7 +74,7 @@
     member.zone = record.zone;
     member.callerAddress = record.callerAddress;
     member.peerAddress = record.peerAddress;
-    member.life = record.life;
+    member.incarnation = record.incarnation;
     member.state = stateOf(record);
     member.appliedVersion = record.heartbeat.appliedVersion;
     member.openStreams = record.heartbeat.openStreams;
@@ -89,7 +89,7 @@
     record.zone = self.zone;
     record.callerAddress = self.callerAddress;
     record.peerAddress = self.peerAddress;
-    record.life = self.life;
+    record.incarnation = self.incarnation;
     record.isLeaving = self.state == policy::member_state::Leaving;
     record.heartbeat.appliedVersion = self.appliedVersion;
     record.heartbeat.openStreams = self.openStreams;
@@ -99,7 +99,7 @@
 
 std::uint64_t handleOf(const member_record &record)
 {
-    return hashOf(record.id.text, record.life);
+    return hashOf(record.id.text, record.incarnation);
 }
 
 } // namespace poplarspool::peer
--- a/src/peer/member_record.h
+++ b/src/peer/member_record.h
@@ -29,7 +29,7 @@
     zone_id zone;
     endpoint callerAddress;
     endpoint peerAddress;
-    incarnation life = 0;
+    incarnation_number incarnation = 0;
     std::uint32_t refutation = 0; ///< Set by the member: refutes suspicions up to this number.
     std::uint32_t suspicion = 0; ///< The member is suspected if this exceeds `refutation`.
     bool isLeaving = false; ///< Never reset within an incarnation.
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -17,7 +17,7 @@
 struct layout;
 
 template <>
-struct layout<watched_ask>
+struct layout<watched_request>
 {
     template <class Codec, class Value>
     static void fields(Codec &codec, Value &message)
@@ -43,7 +43,7 @@
 };
 
 template <>
-struct layout<body_ask>
+struct layout<body_request>
 {
     template <class Codec, class Value>
     static void fields(Codec &codec, Value &message)
@@ -63,7 +63,7 @@
 };
 
 template <>
-struct layout<claim_ask>
+struct layout<claim_request>
 {
     template <class Codec, class Value>
     static void fields(Codec &codec, Value &message)
@@ -89,7 +89,7 @@
 };
 
 template <>
-struct layout<answer_ask>
+struct layout<answer_request>
 {
     template <class Codec, class Value>
     static void fields(Codec &codec, Value &message)
@@ -121,7 +121,7 @@
 };
 
 template <>
-struct layout<events_ask>
+struct layout<events_request>
 {
     template <class Codec, class Value>
     static void fields(Codec &codec, Value &message)
@@ -192,7 +192,7 @@
     }
 }
 
-std::string encode(const watched_ask &message)
+std::string encode(const watched_request &message)
 {
     return encodeAny(message);
 }
@@ -202,7 +202,7 @@
     return encodeAny(message);
 }
 
-std::string encode(const body_ask &message)
+std::string encode(const body_request &message)
 {
     return encodeAny(message);
 }
@@ -212,7 +212,7 @@
     return encodeAny(message);
 }
 
-std::string encode(const claim_ask &message)
+std::string encode(const claim_request &message)
 {
     return encodeAny(message);
 }
@@ -222,7 +222,7 @@
     return encodeAny(message);
 }
 
-std::string encode(const answer_ask &message)
+std::string encode(const answer_request &message)
 {
     return encodeAny(message);
 }
@@ -232,7 +232,7 @@
     return encodeAny(message);
 }
 
-std::string encode(const events_ask &message)
+std::string encode(const events_request &message)
 {
     return encodeAny(message);
 }
@@ -242,15 +242,15 @@
     return encodeAny(message);
 }
 
-template result<watched_ask> decode<watched_ask>(std::string_view);
+template result<watched_request> decode<watched_request>(std::string_view);
 template result<watched_reply> decode<watched_reply>(std::string_view);
-template result<body_ask> decode<body_ask>(std::string_view);
+template result<body_request> decode<body_request>(std::string_view);
 template result<body_reply> decode<body_reply>(std::string_view);
-template result<claim_ask> decode<claim_ask>(std::string_view);
+template result<claim_request> decode<claim_request>(std::string_view);
 template result<claim_reply> decode<claim_reply>(std::string_view);
-template result<answer_ask> decode<answer_ask>(std::string_view);
+template result<answer_request> decode<answer_request>(std::string_view);
 template result<answer_reply> decode<answer_reply>(std::string_view);
-template result<events_ask> decode<events_ask>(std::string_view);
+template result<events_request> decode<events_request>(std::string_view);
 template result<events_reply> decode<events_reply>(std::string_view);
 
 } // namespace poplarspool::peer
--- a/src/peer/prober.h
+++ b/src/peer/prober.h
@@ -16,7 +16,7 @@
 struct open_probe
 {
     instance_id target;
-    incarnation life = 0;
+    incarnation_number incarnation = 0;
     std::uint64_t handle = 0;
     mono_time sentAt{};
     bool isIndirect = false; ///< Other members were asked to ping the target as well.
@@ -27,7 +27,7 @@
 {
     std::uint64_t handle = 0; ///< Handle of the target.
     endpoint origin;
-    incarnation originIncarnation = 0;
+    incarnation_number originIncarnation = 0;
     std::uint64_t originCallId = 0;
     mono_time sentAt{};
 };
--- a/src/peer/teller_board.cpp
+++ b/src/peer/relay_election.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/peer/teller_board.h"
+#include "poplarspool/peer/relay_election.h"
 
 #include "peer/frame.h"
 #include "poplarspool/base/hash.h"
@@ -8,38 +8,38 @@
 
 namespace poplarspool::peer {
 
-std::size_t tellersFor(std::size_t others)
+std::size_t relayCountFor(std::size_t others)
 {
-    return others < config::othersForTwoTellers ? 1 : 2;
+    return others < config::minOthersForTwoRelays ? 1 : 2;
 }
 
-teller_board::teller_board(const instance_id &self)
+relay_election::relay_election(const instance_id &self)
     : self(senderNumber(self)),
       takeoverDelay(static_cast<std::int64_t>(
-              unitOf(this->self) * static_cast<double>(config::standInTimeMost.count())))
+              toUnitInterval(this->self) * static_cast<double>(config::maxTakeoverDelay.count())))
 { }
 
-bool teller_board::relay::isHealthy(mono_time now) const
+bool relay_election::relay::isHealthy(mono_time now) const
 {
-    return now - receivedAt <= config::tellerSilence
+    return now - receivedAt <= config::relaySilenceLimit
             && std::ranges::all_of(kinds, [](const auto &kind) { return kind.second.isAnswered; });
 }
 
-void teller_board::hear(std::uint64_t sender, const store_news &update, mono_time now)
+void relay_election::receive(std::uint64_t sender, const store_update &update, mono_time now)
 {
     if (sender == self)
         return;
     relay &sending = relays[sender];
     sending.receivedAt = now;
     sending.kinds.clear();
-    for (const kind_news &one : update.kinds)
+    for (const kind_update &one : update.kinds)
         sending.kinds[one.kind] = {one.isAnswered, one.version, now - milliseconds(one.ageMs)};
 }
 
-bool teller_board::decide(bool isAble, std::size_t wantedRelays, mono_time now)
+bool relay_election::decide(bool isAble, std::size_t wantedRelays, mono_time now)
 {
     std::erase_if(relays, [now](const auto &entry) {
-        return now - entry.second.receivedAt > config::tellerMemory;
+        return now - entry.second.receivedAt > config::relayRetention;
     });
     std::size_t healthy = 0;
     std::size_t higherRanked = 0;
@@ -63,21 +63,21 @@
     return isRelay;
 }
 
-std::optional<mono_time> teller_board::standsInAt() const
+std::optional<mono_time> relay_election::takeoverAt() const
 {
     if (!shortageSince)
         return std::nullopt;
     return *shortageSince + takeoverDelay;
 }
 
-std::optional<mono_time> teller_board::coveredUntil(const known_kind &known, milliseconds maxAge,
-                                                    mono_time now) const
+std::optional<mono_time> relay_election::coveredUntil(const known_kind &known, milliseconds maxAge,
+                                                      mono_time now) const
 {
     std::optional<mono_time> until;
     for (const auto &entry : relays) {
         const relay &sending = entry.second;
         const auto found = sending.kinds.find(known.kind);
-        if (found == sending.kinds.end() || now - sending.receivedAt > config::tellerSilence)
+        if (found == sending.kinds.end() || now - sending.receivedAt > config::relaySilenceLimit)
             continue;
         const received_kind &received = found->second;
         if (received.version > known.version)
@@ -88,11 +88,11 @@
         // revisions, or the two instances use different stores. Relying on this relay, this
         // instance would wait for updates that never come.
         const bool isContradiction = received.version < known.version
-                && received.confirmedAt > known.confirmedAt + config::tellerMemory;
+                && received.confirmedAt > known.confirmedAt + config::relayRetention;
         if (!received.isAnswered || isPast || isContradiction)
             continue;
-        const mono_time end =
-                std::min(received.confirmedAt + maxAge, sending.receivedAt + config::tellerSilence);
+        const mono_time end = std::min(received.confirmedAt + maxAge,
+                                       sending.receivedAt + config::relaySilenceLimit);
         if (end > now)
             until = std::max(until.value_or(end), end);
     }
--- a/src/peer/replay_window.cpp
+++ b/src/peer/replay_window.cpp
@@ -31,16 +31,16 @@
     return true;
 }
 
-replay_verdict replay_guard::check(std::uint64_t sender, incarnation senderIncarnation,
+replay_verdict replay_guard::check(std::uint64_t sender, incarnation_number senderIncarnation,
                                    std::uint64_t counter, mono_time now)
 {
     if (!senders.contains(sender))
         makeRoom();
     sender_state &known = senders[sender];
-    if (senderIncarnation < known.life)
+    if (senderIncarnation < known.incarnation)
         return replay_verdict::OldIncarnation;
-    if (senderIncarnation > known.life) {
-        known.life = senderIncarnation;
+    if (senderIncarnation > known.incarnation) {
+        known.incarnation = senderIncarnation;
         known.window = replay_window{};
     }
     known.lastSeen = now;
--- a/src/peer/replay_window.h
+++ b/src/peer/replay_window.h
@@ -31,14 +31,14 @@
 class replay_guard
 {
 public:
-    replay_verdict check(std::uint64_t sender, incarnation senderIncarnation, std::uint64_t counter,
-                         mono_time now);
+    replay_verdict check(std::uint64_t sender, incarnation_number senderIncarnation,
+                         std::uint64_t counter, mono_time now);
     std::size_t size() const { return senders.size(); }
 
 private:
     struct sender_state
     {
-        incarnation life = 0;
+        incarnation_number incarnation = 0;
         replay_window window;
         mono_time lastSeen{};
     };
--- a/src/peer/store_news.cpp
+++ b/src/peer/store_update.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/peer/store_news.h"
+#include "poplarspool/peer/store_update.h"
 
 #include "peer/codec.h"
 #include "poplarspool/config.h"
@@ -16,30 +16,30 @@
 template <class Codec, class Update>
 void storeUpdateFields(Codec &codec, Update &update)
 {
-    codec.list(update.kinds, config::maxToldKinds, minKindBytes, [](Codec &each, auto &item) {
+    codec.list(update.kinds, config::maxUpdateKinds, minKindBytes, [](Codec &each, auto &item) {
         each.small(item.kind);
         each.small(item.isAnswered);
         each.small(item.since);
         each.small(item.version.epoch);
         each.small(item.version.revision);
         each.small(item.ageMs);
-        each.list(item.changes, config::maxToldChanges, minChangeBytes,
+        each.list(item.changes, config::maxRelayedChanges, minChangeBytes,
                   [](Codec &inner, auto &change) { inner.text(change, config::maxChangeBytes); });
     });
 }
 
 } // namespace
 
-result<std::string> encode(const store_news &update)
+result<std::string> encode(const store_update &update)
 {
-    return encoded([&update](encoder &out) { storeUpdateFields(out, update); });
+    return tryEncode([&update](encoder &out) { storeUpdateFields(out, update); });
 }
 
-result<store_news> decodeStoreNews(std::string_view payload)
+result<store_update> decodeStoreUpdate(std::string_view payload)
 {
     try {
         decoder in(payload);
-        store_news update;
+        store_update update;
         storeUpdateFields(in, update);
         in.finish();
         return update;
@@ -72,14 +72,14 @@
     }
     version = std::max(version, to);
     while (!batches.empty()
-           && (batches.size() > config::maxToldChanges
-               || now - batches.front().addedAt > config::toldChangeTime)) {
+           && (batches.size() > config::maxRelayedChanges
+               || now - batches.front().addedAt > config::relayedChangeRetention)) {
         baseRevision = std::max(baseRevision, batches.front().to);
         batches.pop_front();
     }
 }
 
-kind_news recent_changes::tell(std::size_t maxBytes) const
+kind_update recent_changes::makeUpdate(std::size_t maxBytes) const
 {
     auto first = batches.end();
     std::size_t bytes = 0;
@@ -88,11 +88,11 @@
         const change_batch &batch = *std::prev(first);
         bytes += batch.bytes;
         count += batch.changes.size();
-        if (bytes > maxBytes || count > config::maxToldChanges)
+        if (bytes > maxBytes || count > config::maxRelayedChanges)
             break;
         --first;
     }
-    kind_news update;
+    kind_update update;
     update.version = version;
     update.since = first == batches.begin() ? baseRevision : std::prev(first)->to;
     for (; first != batches.end(); ++first)
--- a/src/peer/store_relay.cpp
+++ b/src/peer/store_update_exchange.cpp
@@ -1,6 +1,6 @@
-#include "poplarspool/peer/store_relay.h"
+#include "poplarspool/peer/store_update_exchange.h"
 
-#include "peer/datagram_port.h"
+#include "peer/datagram_socket.h"
 #include "poplarspool/base/named_thread.h"
 #include "poplarspool/config.h"
 
@@ -11,13 +11,13 @@
 
 namespace poplarspool::peer {
 
-struct store_relay::state
+struct store_update_exchange::state
 {
-    state(datagram_settings settings, std::function<relay_turn()> collect,
-          std::function<void(std::uint64_t, const store_news &)> onUpdate,
+    state(datagram_settings settings, std::function<relay_iteration()> collect,
+          std::function<void(std::uint64_t, const store_update &)> onUpdate,
           metrics_registry &metrics, journal &events)
         : collect(std::move(collect)), onUpdate(std::move(onUpdate)),
-          faults(stepFaultsOf(events, metrics)),
+          faults(stepFailureReporterOf(events, metrics)),
           socket(std::move(settings), frame_kind::Store, metrics, "poplarspool_store_news_total")
     { }
 
@@ -26,11 +26,11 @@
     void receiveLoop();
     bool receive(std::uint64_t sender, std::string_view payload);
 
-    const std::function<relay_turn()> collect;
-    const std::function<void(std::uint64_t, const store_news &)> onUpdate;
-    const step_faults faults;
+    const std::function<relay_iteration()> collect;
+    const std::function<void(std::uint64_t, const store_update &)> onUpdate;
+    const step_failure_reporter faults;
     datagram_socket socket; ///< Sends on sendThread, receives on receiveThread.
-    raised_flag stopping;
+    pollable_flag stopping;
     std::thread sendThread;
     std::thread receiveThread;
     mutable std::mutex guard;
@@ -39,29 +39,30 @@
     std::vector<endpoint> peers;
 };
 
-store_relay::store_relay(datagram_settings settings, std::function<relay_turn()> collect,
-                         std::function<void(std::uint64_t, const store_news &)> onUpdate,
-                         metrics_registry &metrics, journal &events)
+store_update_exchange::store_update_exchange(
+        datagram_settings settings, std::function<relay_iteration()> collect,
+        std::function<void(std::uint64_t, const store_update &)> onUpdate,
+        metrics_registry &metrics, journal &events)
     : inner(std::make_unique<state>(std::move(settings), std::move(collect), std::move(onUpdate),
                                     metrics, events))
 { }
 
-store_relay::~store_relay()
+store_update_exchange::~store_update_exchange()
 {
     stop();
 }
 
-result<unit> store_relay::start()
+result<unit> store_update_exchange::start()
 {
     const auto opened = inner->socket.open();
     if (!succeeded(opened))
         return errorOf(opened);
-    inner->receiveThread = startNamed("store_news_hearing", [this] { inner->receiveLoop(); });
-    inner->sendThread = startNamed("store_news_telling", [this] { inner->sendLoop(); });
+    inner->receiveThread = startNamedThread("store_news_hearing", [this] { inner->receiveLoop(); });
+    inner->sendThread = startNamedThread("store_news_telling", [this] { inner->sendLoop(); });
     return unit{};
 }
 
-void store_relay::stop()
+void store_update_exchange::stop()
 {
     inner->stopping.raise();
     wake();
@@ -71,19 +72,19 @@
     }
 }
 
-void store_relay::setPeers(std::vector<endpoint> peers)
+void store_update_exchange::setPeers(std::vector<endpoint> peers)
 {
     const std::lock_guard lock(inner->guard);
     inner->peers = std::move(peers);
 }
 
-std::size_t store_relay::countPeers() const
+std::size_t store_update_exchange::peerCount() const
 {
     const std::lock_guard lock(inner->guard);
     return inner->peers.size();
 }
 
-void store_relay::wake()
+void store_update_exchange::wake()
 {
     const std::lock_guard lock(inner->guard);
     inner->isWakeRequested = true;
@@ -91,35 +92,36 @@
 }
 
 /// Each iteration collects its update anew, so that the next one makes up for one that failed.
-void store_relay::state::sendLoop()
+void store_update_exchange::state::sendLoop()
 {
     while (!stopping.isRaised()) {
-        if (!contained(faults, [this] { sendOnce(); }))
+        if (!runLoggingExceptions(faults, [this] { sendOnce(); }))
             waitForSocket(-1, 0, socket_clock::now() + config::failedStepPause,
                           stopping.descriptorNumber());
     }
 }
 
-void store_relay::state::sendOnce()
+void store_update_exchange::state::sendOnce()
 {
-    const relay_turn iteration = collect();
+    const relay_iteration iteration = collect();
     std::unique_lock lock(guard);
-    if (iteration.news) {
+    if (iteration.update) {
         const std::vector<endpoint> to = peers;
         lock.unlock();
-        socket.send(to, encode(*iteration.news));
+        socket.send(to, encode(*iteration.update));
         lock.lock();
     }
     changed.wait_for(lock, iteration.wait, [this] { return isWakeRequested; });
     isWakeRequested = false;
 }
 
-void store_relay::state::receiveLoop()
+void store_update_exchange::state::receiveLoop()
 {
     while (!stopping.isRaised()) {
         waitForSocket(socket.descriptorNumber(), POLLIN,
-                      socket_clock::now() + config::storeNewsIdleTime, stopping.descriptorNumber());
-        const bool isHandled = contained(faults, [this] {
+                      socket_clock::now() + config::storeUpdateIdleTime,
+                      stopping.descriptorNumber());
+        const bool isHandled = runLoggingExceptions(faults, [this] {
             socket.receive([this](std::uint64_t sender, std::string_view payload) {
                 return receive(sender, payload);
             });
@@ -132,12 +134,12 @@
 
 /// An update that the callback fails to handle counts as lost; the sender's next updates repeat
 /// it. No pause follows, because it would delay updates from other senders.
-bool store_relay::state::receive(std::uint64_t sender, std::string_view payload)
+bool store_update_exchange::state::receive(std::uint64_t sender, std::string_view payload)
 {
-    const auto update = decodeStoreNews(payload);
+    const auto update = decodeStoreUpdate(payload);
     if (!succeeded(update))
         return false;
-    return contained(faults, [&] { onUpdate(sender, valueOf(update)); });
+    return runLoggingExceptions(faults, [&] { onUpdate(sender, valueOf(update)); });
 }
 
 } // namespace poplarspool::peer
--- a/src/peer/news_picker.cpp
+++ b/src/peer/update_picker.cpp
@@ -1,4 +1,4 @@
-#include "peer/news_picker.h"
+#include "peer/update_picker.h"
 
 #include "peer/frame.h"
 
--- a/src/platform/call_gate.cpp
+++ b/src/platform/call_limiter.cpp
@@ -1,4 +1,4 @@
-#include "platform/call_gate.h"
+#include "platform/call_limiter.h"
 
 #include <algorithm>
 
@@ -92,7 +92,7 @@
 milliseconds call_limiter::drawBackoff(std::optional<milliseconds> requestedWait)
 {
     const auto doublings = std::min(consecutiveFailures, maxDoublings);
-    const auto ceiling = std::min(bounds.backoffMax, bounds.backoffFirst * (1 << doublings));
+    const auto ceiling = std::min(bounds.maxBackoff, bounds.initialBackoff * (1 << doublings));
     std::uniform_int_distribution<milliseconds::rep> draw(0, ceiling.count());
     return milliseconds(draw(random)) + requestedWait.value_or(milliseconds(0));
 }
--- a/src/platform/http_object_api.cpp
+++ b/src/platform/http_object_api.cpp
@@ -1,5 +1,5 @@
 #include "platform/json_call.h"
-#include "poplarspool/base/percent_text.h"
+#include "poplarspool/base/percent_encoding.h"
 
 #include "poplarspool/platform/object_store.h"
 
--- a/src/platform/object_store.cpp
+++ b/src/platform/object_store.cpp
@@ -1,6 +1,6 @@
 #include "poplarspool/platform/object_store.h"
 
-#include "platform/call_gate.h"
+#include "platform/call_limiter.h"
 
 #include "poplarspool/config.h"
 
@@ -216,7 +216,7 @@
                            [&] { return inner->api.remove(key, ifVersion); });
 }
 
-mono_time object_store::lastAnswer() const
+mono_time object_store::lastReplyAt() const
 {
     return inner->lastReplyAt.load();
 }
--- a/src/platform/weight_store.cpp
+++ b/src/platform/weight_store.cpp
@@ -1,7 +1,7 @@
 #include "poplarspool/platform/weight_store.h"
 
 #include "platform/json_call.h"
-#include "poplarspool/base/percent_text.h"
+#include "poplarspool/base/percent_encoding.h"
 
 namespace poplarspool::platform {
 
--- a/src/policy/addresses.cpp
+++ b/src/policy/addresses.cpp
@@ -49,7 +49,7 @@
     if (ranked.size() <= config::maxRankedAddresses)
         return;
     const auto limit = ranked.begin() + config::maxRankedAddresses;
-    const auto reserved = limit - config::minElsewhereAddresses;
+    const auto reserved = limit - config::minOtherZoneAddresses;
     const auto elsewhere = std::stable_partition(
             reserved, ranked.end(), [](const ranked_member &one) { return one.isElsewhere(); });
     std::sort(reserved, elsewhere);
--- a/src/policy/engine_estimate.cpp
+++ b/src/policy/engine_estimate.cpp
@@ -31,20 +31,21 @@
             std::max<double>(report.kvPiecesUsed, piecesTotal * config::unknownLoadShare);
     load.piecesFree =
             piecesTotal - used - sentPieces(rates, sent.open, sent.prefillTokensSinceReport);
-    load.ahead = std::max(report.running + 0.0, rates.slots * config::unknownLoadShare) + sent.open;
+    load.requestsAhead =
+            std::max(report.running + 0.0, rates.slots * config::unknownLoadShare) + sent.open;
     load.prefillTokens = static_cast<double>(sent.prefillTokensSinceReport);
     return load;
 }
 
 } // namespace
 
-load_question questionOf(std::uint32_t rank, mono_time time)
+load_query loadQueryFor(std::uint32_t rank, mono_time time)
 {
     return {time, static_cast<double>(rank) / (rank + 1.0)};
 }
 
 runner_load estimateLoad(const runner_rates &rates, const runner_state &state,
-                         const sent_work &sent, const load_question &query)
+                         const sent_work &sent, const load_query &query)
 {
     const load_report &report = state.report;
     const double piecesTotal = report.kvPiecesTotal > 0 ? report.kvPiecesTotal : rates.pieces;
@@ -54,7 +55,8 @@
     load.piecesTotal = piecesTotal;
     const double queued = report.queued * query.queueShare;
     // Requests that the report already includes must not be counted twice.
-    load.ahead = std::max<double>(report.running + queued + sent.openSinceReport, sent.open);
+    load.requestsAhead =
+            std::max<double>(report.running + queued + sent.openSinceReport, sent.open);
     const double age = secondsBetween(state.reportedAt, query.time);
     const double done = age * config::backlogDrainShare * rates.prefillTokensPerSecond;
     const double reported = static_cast<double>(report.prefillTokensQueued) * query.queueShare;
@@ -88,18 +90,18 @@
     const double prefillTokenSeconds = rates.prefillTokenSeconds / speed.prefill;
     const double decodeTokenSeconds = rates.decodeTokenSeconds / speed.decode;
     const double pieces = (1.0 * wanted.promptTokens + wanted.outputTokens) * rates.piecesPerToken;
-    double streamsToEnd = std::max(0.0, load.ahead + 1 - rates.slots);
+    double streamsToEnd = std::max(0.0, load.requestsAhead + 1 - rates.slots);
     // With long prompts KV memory is exhausted before slots are: a request that finds too few free
     // pieces waits in the engine until enough streams have ended.
     if (pieces > load.piecesFree) {
         const double held = std::max(0.0, load.piecesTotal - load.piecesFree);
-        const double perStream = std::max(1.0, held / std::max(1.0, load.ahead));
+        const double perStream = std::max(1.0, held / std::max(1.0, load.requestsAhead));
         const double needed = std::ceil((pieces - load.piecesFree) / perStream);
         streamsToEnd = std::max(streamsToEnd, needed);
     }
     const double wait = streamsToEnd * config::typicalOutputTokens * decodeTokenSeconds;
     const double prefill = (load.prefillTokens + wanted.promptTokens) * prefillTokenSeconds;
-    const double active = std::min(load.ahead + 1, rates.slots);
+    const double active = std::min(load.requestsAhead + 1, rates.slots);
     const double perToken = std::max(config::minTokenSeconds, active * decodeTokenSeconds);
     time_estimate estimate;
     estimate.fits = pieces <= load.piecesTotal;
@@ -113,9 +115,9 @@
 {
     const double turn = config::typicalServiceSeconds / rates.slots;
     time_estimate estimate;
-    estimate.startSeconds = std::max(0.0, load.ahead + 1 - rates.slots) * turn;
+    estimate.startSeconds = std::max(0.0, load.requestsAhead + 1 - rates.slots) * turn;
     estimate.endSeconds = estimate.startSeconds + config::typicalServiceSeconds;
-    estimate.score = estimate.endSeconds + load.ahead * turn;
+    estimate.score = estimate.endSeconds + load.requestsAhead * turn;
     return estimate;
 }
 
--- a/src/policy/engine_estimate.h
+++ b/src/policy/engine_estimate.h
@@ -8,7 +8,7 @@
 
 struct runner_load
 {
-    double ahead = 0; ///< Requests that hold a slot, or will get one before a new request.
+    double requestsAhead = 0; ///< Requests that hold a slot, or will get one before a new request.
     double prefillTokens = 0; ///< Prompt tokens to process before a new request's prompt.
     double piecesTotal = 0;
     double piecesFree = 0;
@@ -17,7 +17,7 @@
 };
 
 /// Inputs that are the same for all runners considered for one request.
-struct load_question
+struct load_query
 {
     mono_time time{};
     /// Share of a queue that is served before the request. Reports don't distinguish ranks, so
@@ -27,11 +27,11 @@
     double queueShare = 1;
 };
 
-load_question questionOf(std::uint32_t rank, mono_time time);
+load_query loadQueryFor(std::uint32_t rank, mono_time time);
 
 /// Treats a stale report as unknown load, never as an idle runner.
 runner_load estimateLoad(const runner_rates &rates, const runner_state &state,
-                         const sent_work &sent, const load_question &query);
+                         const sent_work &sent, const load_query &query);
 
 struct time_estimate
 {
--- a/src/policy/inventory.cpp
+++ b/src/policy/inventory.cpp
@@ -79,8 +79,8 @@
 void indexEngine(view_index &index, const runner_spec &runner, const pool_spec &pool,
                  indexed_candidate candidate)
 {
-    for (const model_version &supported : runner.mayCarry) {
-        candidate.facts.startsWithModel = servesModel(pool, supported.model);
+    for (const model_version &supported : runner.supportedModels) {
+        candidate.facts.isModelExpected = servesModel(pool, supported.model);
         addCandidate(index.models[supported.model], runner, candidate);
     }
 }
