--- a/src/policy/plan.cpp
+++ b/src/policy/plan.cpp
@@ -43,7 +43,8 @@
 {
     std::vector<model_version> wanted;
     for (const model_version &model : pool.serves)
-        if (std::find(spec.mayCarry.begin(), spec.mayCarry.end(), model) != spec.mayCarry.end())
+        if (std::find(spec.supportedModels.begin(), spec.supportedModels.end(), model)
+            != spec.supportedModels.end())
             wanted.push_back(model);
     return wanted;
 }
@@ -74,12 +75,12 @@
     return engines;
 }
 
-double secondsSince(const plan_memory &memory, mono_time time)
+double secondsSince(const planner_state &memory, mono_time time)
 {
-    if (memory.lookedAt == mono_time{})
+    if (memory.lastIterationAt == mono_time{})
         return 0;
-    const double passed = std::chrono::duration<double>(time - memory.lookedAt).count();
-    return std::clamp(passed, 0.0, config::maxLookSeconds);
+    const double passed = std::chrono::duration<double>(time - memory.lastIterationAt).count();
+    return std::clamp(passed, 0.0, config::maxIterationSeconds);
 }
 
 /// Updates an exponentially weighted mean and standard deviation with a sample.
@@ -92,15 +93,16 @@
     stdDev = std::sqrt(variance);
 }
 
-demand_estimate averageDemand(const plan_memory &memory, const demand_estimate &seen, double passed)
+demand_estimate averageDemand(const planner_state &memory, const demand_estimate &seen,
+                              double passed)
 {
-    if (memory.lookedAt == mono_time{})
+    if (memory.lastIterationAt == mono_time{})
         return seen;
-    const double weight = 1 - std::exp(-passed / config::demandSeconds);
+    const double weight = 1 - std::exp(-passed / config::demandTimeConstantSeconds);
     demand_estimate demand = memory.demand;
-    updateAverage(demand.prefillSeconds, demand.prefillSpread, seen.prefillSeconds,
-                  seen.prefillSpread, weight);
-    updateAverage(demand.decodeSeconds, demand.decodeSpread, seen.decodeSeconds, seen.decodeSpread,
+    updateAverage(demand.prefillSeconds, demand.prefillStdDev, seen.prefillSeconds,
+                  seen.prefillStdDev, weight);
+    updateAverage(demand.decodeSeconds, demand.decodeStdDev, seen.decodeSeconds, seen.decodeStdDev,
                   weight);
     return demand;
 }
@@ -110,11 +112,11 @@
 ///          would cause unnecessary role changes.
 demand_estimate withStdDevOfMean(demand_estimate demand)
 {
-    const double intervalSeconds = std::chrono::duration<double>(config::planTime).count();
-    const double weight = 1 - std::exp(-intervalSeconds / config::demandSeconds);
+    const double intervalSeconds = std::chrono::duration<double>(config::planInterval).count();
+    const double weight = 1 - std::exp(-intervalSeconds / config::demandTimeConstantSeconds);
     const double share = std::sqrt(weight / (2 - weight));
-    demand.prefillSpread *= share;
-    demand.decodeSpread *= share;
+    demand.prefillStdDev *= share;
+    demand.decodeStdDev *= share;
     return demand;
 }
 
@@ -207,7 +209,7 @@
     const bool isBetter = advice.gain > config::minPlanGain * engines;
     const double direction = directionOf(advice.moves);
     if (!isBetter || regret * direction < 0)
-        regret *= std::exp(-passed / config::regretFadeSeconds);
+        regret *= std::exp(-passed / config::regretDecaySeconds);
     return isBetter ? regret + direction * advice.gain * passed : regret;
 }
 
@@ -223,7 +225,7 @@
 /// @returns Factor by which the regret must exceed the cost of a change.
 double costFactor(const plan_rule &rule)
 {
-    return std::pow(config::mostPriceFactor, 1 - std::clamp(rule.goodputWeight, 0.0, 1.0));
+    return std::pow(config::maxPriceFactor, 1 - std::clamp(rule.goodputWeight, 0.0, 1.0));
 }
 
 /// @returns The serving engine of that role with the fewest running requests, which drains soonest,
@@ -250,8 +252,8 @@
                change_budget &budget, plan_step &step)
 {
     const double factor = costFactor(rule);
-    double remainingRegret = std::abs(step.memory.regretSeconds);
-    if (step.memory.regretSeconds * directionOf(advice.moves) <= 0)
+    double remainingRegret = std::abs(step.plannerState.regretSeconds);
+    if (step.plannerState.regretSeconds * directionOf(advice.moves) <= 0)
         return;
     for (const role_move &move : advice.moves) {
         const pool_engine *engine = cheapest(engines, move.from, step);
@@ -261,22 +263,22 @@
         if (remainingRegret < 0 || !budget.tryTake(*engine))
             return;
         step.changes.push_back({engine->runner, {move.to, engine->wanted}});
-        step.memory.regretSeconds = 0;
+        step.plannerState.regretSeconds = 0;
     }
 }
 
 } // namespace
 
 plan_step planPool(const view &now, const pool_id &pool, const plan_rule &rule,
-                   const plan_memory &memory, const demand_estimate &seen, mono_time time)
+                   const planner_state &memory, const demand_estimate &seen, mono_time time)
 {
     plan_step step{{}, memory};
     const pool_spec *spec = now.fleet ? findPool(*now.fleet, pool) : nullptr;
     if (!spec || spec->kind != runner_kind::Engine)
         return step;
     const double passed = secondsSince(memory, time);
-    step.memory.demand = averageDemand(memory, seen, passed);
-    step.memory.lookedAt = time;
+    step.plannerState.demand = averageDemand(memory, seen, passed);
+    step.plannerState.lastIterationAt = time;
     const pool_engines engines = enginesOf(now, *spec, time);
     change_budget budget(rule, engines);
     const bool isAnyMissing = planBaseState(engines, *spec, rule, budget, step);
@@ -284,9 +286,9 @@
     if (isAnyMissing || engines.inFlight > 0 || !rule.enabled)
         return step;
     const role_split split = splitOf(engines);
-    const split_advice advice =
-            adviseSplit(split, withStdDevOfMean(step.memory.demand), serving_mode::Whole);
-    step.memory.regretSeconds =
+    const split_advice advice = adviseSplit(split, withStdDevOfMean(step.plannerState.demand),
+                                            serving_mode::SingleEngine);
+    step.plannerState.regretSeconds =
             accumulateRegret(memory.regretSeconds, advice, split.total(), passed);
     if (advice.gain > config::minPlanGain * split.total())
         planRoles(engines, rule, advice, budget, step);
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -33,7 +33,7 @@
 } // namespace
 
 retry_budget::retry_budget(double share, double burst)
-    : perRequest(thousandthsOf(share)), most(thousandthsOf(burst)), saved(most)
+    : perRequest(thousandthsOf(share)), maxBalance(thousandthsOf(burst)), balance(maxBalance)
 { }
 
 void retry_budget::onRequest()
@@ -48,29 +48,29 @@
 
 void retry_budget::add(std::int64_t amount)
 {
-    std::int64_t now = saved.load(std::memory_order_relaxed);
-    std::int64_t next = std::min(now + amount, most);
-    while (next != now && !saved.compare_exchange_weak(now, next, std::memory_order_relaxed))
-        next = std::min(now + amount, most);
+    std::int64_t now = balance.load(std::memory_order_relaxed);
+    std::int64_t next = std::min(now + amount, maxBalance);
+    while (next != now && !balance.compare_exchange_weak(now, next, std::memory_order_relaxed))
+        next = std::min(now + amount, maxBalance);
 }
 
 bool retry_budget::tryTake()
 {
-    std::int64_t now = saved.load(std::memory_order_relaxed);
+    std::int64_t now = balance.load(std::memory_order_relaxed);
     while (now >= oneRetry)
-        if (saved.compare_exchange_weak(now, now - oneRetry, std::memory_order_relaxed))
+        if (balance.compare_exchange_weak(now, now - oneRetry, std::memory_order_relaxed))
             return true;
     return false;
 }
 
 bool retry_budget::hasRoom() const
 {
-    return saved.load(std::memory_order_relaxed) >= 0;
+    return balance.load(std::memory_order_relaxed) >= 0;
 }
 
-void retry_budget::takeAnyway()
+void retry_budget::takeUnconditionally()
 {
-    saved.fetch_sub(oneRetry, std::memory_order_relaxed);
+    balance.fetch_sub(oneRetry, std::memory_order_relaxed);
 }
 
 bool mayRetry(const error &failure, bool isRepeatable, std::uint32_t triesMade,
--- a/src/policy/role_split.cpp
+++ b/src/policy/role_split.cpp
@@ -56,15 +56,15 @@
     // between splits matters.
     const work_rate needed{work.prefill / config::usableEngineShare,
                            work.decode / config::usableEngineShare};
-    return mode == serving_mode::Whole ? lossSingleEngine(split, needed)
-                                       : lossWithHandoff(split, needed);
+    return mode == serving_mode::SingleEngine ? lossSingleEngine(split, needed)
+                                              : lossWithHandoff(split, needed);
 }
 
 bool isPlannable(engine_role role, serving_mode mode)
 {
     // Routing gives whole requests to decode engines only if there are no other engines. Without
     // prefill handoff an engine planned for decode would be idle.
-    return mode == serving_mode::HandedOver || role != engine_role::Decode;
+    return mode == serving_mode::PrefillHandoff || role != engine_role::Decode;
 }
 
 /// @returns The best role change of one engine; none if no change reduces the loss.
@@ -108,8 +108,8 @@
     for (std::size_t i = 0; i < points.size(); ++i)
         for (std::size_t j = 0; j < points.size(); ++j) {
             const work_rate work{
-                    std::max(0.0, demand.prefillSeconds + points[i] * demand.prefillSpread),
-                    std::max(0.0, demand.decodeSeconds + points[j] * demand.decodeSpread)};
+                    std::max(0.0, demand.prefillSeconds + points[i] * demand.prefillStdDev),
+                    std::max(0.0, demand.decodeSeconds + points[j] * demand.decodeStdDev)};
             loss += weights[i] * weights[j] * lossOf(split, work, mode);
         }
     return loss;
--- a/src/policy/role_split.h
+++ b/src/policy/role_split.h
@@ -23,8 +23,8 @@
 
 /// Whether a request can move to another engine between prefill and decode.
 enum class serving_mode {
-    Whole, ///< One engine does both phases.
-    HandedOver, ///< The KV cache is exported after prefill and imported by the decode engine.
+    SingleEngine, ///< One engine does both phases.
+    PrefillHandoff, ///< The KV cache is exported after prefill and imported by the decode engine.
 };
 
 struct role_move
--- a/src/policy/routing.cpp
+++ b/src/policy/routing.cpp
@@ -20,7 +20,7 @@
     const view &now;
     const route_request &wanted;
     std::span<const sent_work> sent;
-    load_question question;
+    load_query question;
     std::uint64_t tieBreak;
     std::uint32_t zone = UINT32_MAX;
     double secondsLeft = 0;
@@ -66,7 +66,7 @@
 {
     const runner_state &state = task.now.runners[candidate.runner.index];
     if (state.reportedAt == mono_time{})
-        return candidate.facts.startsWithModel;
+        return candidate.facts.isModelExpected;
     return std::any_of(
             state.report.models.begin(), state.report.models.end(),
             [&](const model_version &loaded) { return loaded.model == task.wanted.model; });
@@ -92,7 +92,7 @@
     const runner_rates &rates = candidate.facts.rates;
     const runner_load load =
             estimateLoad(rates, state, sentTo(task, candidate.runner), task.question);
-    scored_runner scored{&candidate, {}, load.ahead};
+    scored_runner scored{&candidate, {}, load.requestsAhead};
     if (task.wanted.service.empty())
         scored.estimate = estimateEngine(rates, roleOf(task, candidate), load, task.wanted);
     else
@@ -112,7 +112,7 @@
 {
     const mono_time reported = task.now.runners[candidate.runner.index].reportedAt;
     const auto age = std::clamp<std::chrono::nanoseconds>(task.question.time - reported, {},
-                                                          config::loadStaleTime);
+                                                          config::loadReportExpiry);
     return std::chrono::duration<double>(age).count();
 }
 
@@ -143,7 +143,7 @@
     const std::vector<indexed_candidate> &runners = list.runners;
     std::size_t at = runners.empty() ? 0 : mixBits(task.tieBreak) % runners.size();
     for (std::size_t left = runners.size(); left > 0; --left) {
-        if (found.count == found.runners.size() || found.tried == config::maxTriedRunners)
+        if (found.count == found.runners.size() || found.tried == config::maxEvaluatedRunners)
             return;
         const indexed_candidate &candidate = runners[at];
         at = at + 1 < runners.size() ? at + 1 : 0;
@@ -235,7 +235,7 @@
     const std::span<const double> scores(found.scores.data(), found.count);
     const double unseen =
             unseenRequests(task, found) * costOf(task, found.runners[0].candidate->facts.rates);
-    return found.runners[drawByLevel(scores, unseen, task.tieBreak)];
+    return found.runners[drawByWaterFilling(scores, unseen, task.tieBreak)];
 }
 
 milliseconds millisecondsOf(double seconds)
@@ -254,7 +254,7 @@
 {
     if (found.tried == 0)
         return notRun(error_code::Unavailable, "all runners that could are away",
-                      config::awayRetryAfter);
+                      config::noRunnerRetryAfter);
     if (!found.hasFitting)
         return notRun(error_code::TooLarge, "prompt and output exceed the KV memory of an engine");
     return notRun(error_code::Overloaded, "can't be done within the time limit",
@@ -284,7 +284,7 @@
     const auto list = table.find(isService ? wanted.service : wanted.model);
     if (list == table.end())
         return notRun(error_code::NotFound, "no runner for that model or service");
-    routing_task task{now, wanted, sent, questionOf(wanted.rank, time), tieBreak};
+    routing_task task{now, wanted, sent, loadQueryFor(wanted.rank, time), tieBreak};
     task.secondsLeft = std::chrono::duration<double>(wanted.timeLeft).count();
     if (const auto zone = index.zones.find(wanted.zone.text); zone != index.zones.end())
         task.zone = zone->second;
@@ -297,7 +297,7 @@
                            std::span<const sent_work> sent, mono_time time, std::uint64_t tieBreak)
 {
     if (!now.fleet || now.runners.size() != now.fleet->runners.size())
-        return notRun(error_code::Unavailable, "no inventory yet", config::awayRetryAfter);
+        return notRun(error_code::Unavailable, "no inventory yet", config::noRunnerRetryAfter);
     if (now.index && now.index->fleet == now.fleet)
         return routeByIndex(now, wanted, sent, time, tieBreak, *now.index);
     return routeByIndex(now, wanted, sent, time, tieBreak, indexOf(now.fleet));
@@ -310,9 +310,9 @@
 
 std::uint64_t prefixHashOf(std::string_view model, std::string_view prompt)
 {
-    if (prompt.size() < config::prefixBytes)
+    if (prompt.size() < config::affinityPrefixBytes)
         return 0;
-    const std::uint64_t hash = hashOf(prompt.substr(0, config::prefixBytes), hashOf(model));
+    const std::uint64_t hash = hashOf(prompt.substr(0, config::affinityPrefixBytes), hashOf(model));
     return hash != 0 ? hash : 1;
 }
 
--- a/src/policy/rules.cpp
+++ b/src/policy/rules.cpp
@@ -67,24 +67,24 @@
 /// Default if no rule matches: a call of a plain service may be repeated only if HTTP defines its
 /// method as idempotent. Otherwise a POST without a rule, such as an order, would be sent twice
 /// after a connection failure.
-repeat_rule defaultRepeat(const request_facts &facts)
+retry_policy defaultRepeat(const request_facts &facts)
 {
     constexpr std::array<std::string_view, 6> idempotent{"GET",    "HEAD",    "PUT",
                                                          "DELETE", "OPTIONS", "TRACE"};
     if (facts.service.empty())
-        return repeat_rule::Allowed;
+        return retry_policy::Allowed;
     const bool isIdempotent =
             std::find(idempotent.begin(), idempotent.end(), facts.method) != idempotent.end();
-    return isIdempotent ? repeat_rule::Allowed : repeat_rule::Never;
+    return isIdempotent ? retry_policy::Allowed : retry_policy::Never;
 }
 
 } // namespace
 
-request_ruling rulingOf(const rules &ruleSet, const request_facts &facts)
+effective_rules effectiveRulesOf(const rules &ruleSet, const request_facts &facts)
 {
     const request_rule *rule = findRule(ruleSet, facts);
     const priority_class *found = classOf(ruleSet, rule, findCaller(ruleSet, facts.caller));
-    request_ruling ruling;
+    effective_rules ruling;
     if (found) {
         ruling.priorityClass = found->name;
         ruling.rank = found->rank;
@@ -95,7 +95,7 @@
     return ruling;
 }
 
-result<caller_id> admitCaller(const rules &ruleSet, std::string_view bearerKey)
+result<caller_id> authenticateCaller(const rules &ruleSet, std::string_view bearerKey)
 {
     if (ruleSet.callers.empty())
         return caller_id{};
@@ -115,7 +115,7 @@
     return found->id;
 }
 
-bool mayUse(const rules &ruleSet, const caller_id &caller, const workspace_id &workspace)
+bool mayUseWorkspace(const rules &ruleSet, const caller_id &caller, const workspace_id &workspace)
 {
     if (ruleSet.callers.empty())
         return true;
--- a/src/policy/spread.cpp
+++ b/src/policy/spread.cpp
@@ -39,7 +39,8 @@
     return number ^ (number >> 32);
 }
 
-std::size_t drawByLevel(std::span<const double> scores, double unseenSeconds, std::uint64_t draw)
+std::size_t drawByWaterFilling(std::span<const double> scores, double unseenSeconds,
+                               std::uint64_t draw)
 {
     // With a minimum amount, runners with equal scores are drawn evenly even without unseen work.
     constexpr double minWork = 1e-6;
--- a/src/policy/spread.h
+++ b/src/policy/spread.h
@@ -15,7 +15,8 @@
 /// @param unseenSeconds Work that the scores don't include yet, in the unit of the scores.
 /// @param draw Any number; seeds the draw.
 /// @returns Index into scores.
-std::size_t drawByLevel(std::span<const double> scores, double unseenSeconds, std::uint64_t draw);
+std::size_t drawByWaterFilling(std::span<const double> scores, double unseenSeconds,
+                               std::uint64_t draw);
 
 /// Mixes the bits of a number, which may be a plain counter.
 std::uint64_t mixBits(std::uint64_t number);
--- a/src/policy/view.cpp
+++ b/src/policy/view.cpp
@@ -39,7 +39,7 @@
 
 bool isFreshReport(const runner_state &runner, mono_time time)
 {
-    return runner.reportedAt != mono_time{} && time - runner.reportedAt <= config::loadStaleTime;
+    return runner.reportedAt != mono_time{} && time - runner.reportedAt <= config::loadReportExpiry;
 }
 
 bool isOpenForWork(const view &now, runner_handle runner)
--- a/src/runner/engine_json.cpp
+++ b/src/runner/engine_json.cpp
@@ -92,7 +92,7 @@
     if (!reason || !outputTokens)
         return std::nullopt;
     if (*reason == "exported")
-        return stream_moved{*outputTokens};
+        return stream_exported{*outputTokens};
     const auto finish = reasonOf(*reason);
     const auto promptTokens = numberIn<std::uint32_t>(object, "prompt_tokens");
     if (!finish || !promptTokens)
@@ -229,7 +229,7 @@
     if (!incarnation || !sequence || !models)
         return std::nullopt;
     policy::load_report report;
-    report.life = *incarnation;
+    report.incarnation = *incarnation;
     report.sequence = *sequence;
     if (const auto name = textIn(*object, "role")) {
         const auto role = policy::engineRoleOf(*name);
--- a/src/runner/engine_json.h
+++ b/src/runner/engine_json.h
@@ -18,12 +18,12 @@
 };
 
 /// Last line of a stream whose KV was exported: the answer is continued on another engine.
-struct stream_moved
+struct stream_exported
 {
     std::uint32_t outputTokens = 0;
 };
 
-using stream_line = std::variant<stream_head, stream_token, stream_end, stream_moved>;
+using stream_line = std::variant<stream_head, stream_token, stream_end, stream_exported>;
 
 /// @returns BadRequest (NotRun) if a text is not valid UTF-8.
 result<std::string> encodeGenerate(const generate_request &request);
--- a/src/runner/http_engine.cpp
+++ b/src/runner/http_engine.cpp
@@ -105,11 +105,11 @@
     api.cancel = [pool](const endpoint &engine, const request_id &request,
                         const std::string &attempt) {
         const auto call = postJson("/cancel", encodeCancel(request, attempt));
-        return discardBody(exchange(*pool, engine, call, config::targetCallTime));
+        return discardBody(exchange(*pool, engine, call, config::targetCallTimeout));
     };
     api.load = [pool](const endpoint &engine) {
         const auto body =
-                exchange(*pool, engine, {"GET", "/load", {}, {}, {}}, config::targetCallTime);
+                exchange(*pool, engine, {"GET", "/load", {}, {}, {}}, config::targetCallTimeout);
         return parseReply(body, parseLoad, "load report");
     };
     api.order = [pool](const endpoint &engine, const engine_order &order, milliseconds timeLimit) {
@@ -118,16 +118,17 @@
     };
     api.exportKv = [pool](const endpoint &engine, const request_id &request) {
         const auto call = postJson("/kv/export", encodeExport(request));
-        return parseReply(exchange(*pool, engine, call, config::kvMoveTime), parseExport, "export");
+        return parseReply(exchange(*pool, engine, call, config::kvTransferTimeout), parseExport,
+                          "export");
     };
     api.importKv = [pool](const endpoint &engine, const std::string &handle) {
         const auto call = postJson("/kv/import", encodeImport(handle));
-        return discardBody(exchange(*pool, engine, call, config::kvMoveTime));
+        return discardBody(exchange(*pool, engine, call, config::kvTransferTimeout));
     };
     api.cacheEvents = [pool](const endpoint &engine, std::uint64_t after) -> result<cache_events> {
         const std::string path = "/cache-events?after=" + std::to_string(after);
         const auto body =
-                exchange(*pool, engine, {"GET", path, {}, {}, {}}, config::targetCallTime);
+                exchange(*pool, engine, {"GET", path, {}, {}, {}}, config::targetCallTimeout);
         if (!succeeded(body))
             return errorOf(body);
         auto events = parseCacheEvents(valueOf(body), after);
--- a/src/runner/http_service.cpp
+++ b/src/runner/http_service.cpp
@@ -97,7 +97,7 @@
 
 result<policy::load_report> load(http_pool &pool, const endpoint &service)
 {
-    const auto reply = pool.send(service, {"GET", "/load", {}, {}, {}}, config::targetCallTime);
+    const auto reply = pool.send(service, {"GET", "/load", {}, {}, {}}, config::targetCallTimeout);
     if (!succeeded(reply))
         return errorOf(reply);
     const int status = valueOf(reply).status;
--- a/src/runner/stream_reader.cpp
+++ b/src/runner/stream_reader.cpp
@@ -83,7 +83,7 @@
     return true;
 }
 
-bool stream_reader::handle(const stream_moved &exported)
+bool stream_reader::handle(const stream_exported &exported)
 {
     if (exported.outputTokens != nextIndex)
         return fail(error_code::Broken,
--- a/src/runner/stream_reader.h
+++ b/src/runner/stream_reader.h
@@ -27,7 +27,7 @@
     bool handle(const stream_head &head);
     bool handle(const stream_token &token);
     bool handle(const stream_end &endEvent);
-    bool handle(const stream_moved &exported);
+    bool handle(const stream_exported &exported);
     bool fail(error_code code, std::string message);
 
     const generate_request &request;
--- a/src/scaling/fleet_plan.cpp
+++ b/src/scaling/fleet_plan.cpp
@@ -31,10 +31,10 @@
 ///          service or must stay.
 std::uint32_t spotWanted(const fleet_traits &traits, const zone_fleet &zone, std::size_t zones)
 {
-    const std::uint32_t retained = std::max(traits.least, zone.regular);
-    const std::uint32_t room = traits.most - std::min(traits.most, retained);
+    const std::uint32_t retained = std::max(traits.minRunners, zone.regular);
+    const std::uint32_t room = traits.maxRunners - std::min(traits.maxRunners, retained);
     const std::uint32_t size = sizeWithSpare(zone.size, zones);
-    const std::uint32_t replaced = size - std::min(size, traits.least);
+    const std::uint32_t replaced = size - std::min(size, traits.minRunners);
     return std::min(replaced, room);
 }
 
@@ -47,7 +47,7 @@
         wanted += one.size;
         present += std::min(one.size, one.regular + one.spot);
     }
-    return present < wanted * config::fleetLeastShare;
+    return present < wanted * config::minFleetShare;
 }
 
 /// @returns Regular runners to order in a zone. Each spot runner that starts to serve replaces a
@@ -58,13 +58,13 @@
     const std::uint32_t present = zone.regularOrdered.value_or(zone.regular);
     const std::uint32_t lacking = zone.size - std::min(zone.size, zone.spot);
     const std::uint32_t wanted = areShort ? std::max(present, lacking) : std::min(present, lacking);
-    return std::clamp(wanted, traits.least, std::max(traits.least, traits.most));
+    return std::clamp(wanted, traits.minRunners, std::max(traits.minRunners, traits.maxRunners));
 }
 
-json encodeOrders(const std::vector<given_order> &orders)
+json encodeOrders(const std::vector<issued_order> &orders)
 {
     json made = json::array();
-    for (const given_order &one : orders)
+    for (const issued_order &one : orders)
         made.push_back({{serviceKey, one.service},
                         {zoneKey, one.order.zone.text},
                         {spotKey, one.order.isSpot},
@@ -72,9 +72,9 @@
     return made;
 }
 
-std::vector<given_order> decodeOrders(const json &entries)
+std::vector<issued_order> decodeOrders(const json &entries)
 {
-    std::vector<given_order> made;
+    std::vector<issued_order> made;
     for (const json &entry : entries)
         made.push_back({entry.at(serviceKey).get<std::string>(),
                         {{entry.at(zoneKey).get<std::string>()},
@@ -88,14 +88,14 @@
 std::vector<fleet_order> planFleet(const fleet_traits &traits, std::span<const zone_fleet> zones)
 {
     std::vector<fleet_order> orders;
-    if (traits.spotPrice > config::spotPriceMost)
+    if (traits.spotPrice > config::maxSpotPrice)
         return orders;
     const bool areShort = isShort(zones);
     for (const zone_fleet &zone : zones) {
         const std::uint32_t spot = spotWanted(traits, zone, zones.size());
         // An order with a lower number would remove runners that are in service.
         const bool wantsMore = spot > zone.spotOrdered.value_or(0);
-        if (wantsMore && !zone.isSpotDry)
+        if (wantsMore && !zone.isSpotUnavailable)
             orders.push_back({zone.zone, true, spot});
         const std::uint32_t regular = regularWanted(traits, zone, areShort);
         if (regular != zone.regularOrdered.value_or(zone.regular))
@@ -104,18 +104,18 @@
     return orders;
 }
 
-std::string encode(const fleet_note &checkpoint)
+std::string encode(const fleet_checkpoint &checkpoint)
 {
-    return json{{issuedKey, encodeOrders(checkpoint.given)},
+    return json{{issuedKey, encodeOrders(checkpoint.issued)},
                 {sizesKey, encodeOrders(checkpoint.sizes)}}
             .dump();
 }
 
-std::optional<fleet_note> decodeFleetNote(std::string_view text)
+std::optional<fleet_checkpoint> decodeFleetCheckpoint(std::string_view text)
 {
     try {
         const json read = parseJsonOrThrow(text);
-        return fleet_note{decodeOrders(read.at(issuedKey)), decodeOrders(read.at(sizesKey))};
+        return fleet_checkpoint{decodeOrders(read.at(issuedKey)), decodeOrders(read.at(sizesKey))};
     } catch (const json::exception &) {
         return std::nullopt;
     }
--- a/src/standin/batch.cpp
+++ b/src/standin/batch.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-bool batch::goes_first::operator()(const sequence_ptr &left, const sequence_ptr &right) const
+bool batch::priority_order::operator()(const sequence_ptr &left, const sequence_ptr &right) const
 {
     return std::tie(left->rank, left->arrival) < std::tie(right->rank, right->arrival);
 }
@@ -33,7 +33,7 @@
 
 bool batch::fits(const sequence &candidate) const
 {
-    return piecesFor(candidate.contextTokens + candidate.wantedTokens) <= cache.total();
+    return piecesFor(candidate.contextTokens + candidate.outputTokens) <= cache.total();
 }
 
 void batch::add(sequence_ptr added)
@@ -45,7 +45,7 @@
 {
     if (removed->isRunning) {
         running.erase(removed);
-        dropPieces(*removed);
+        releasePieces(*removed);
         removed->isRunning = false;
     } else {
         queue.erase(removed);
@@ -73,11 +73,11 @@
     return tokens;
 }
 
-bool batch::holdPieces(sequence &next)
+bool batch::acquirePieces(sequence &next)
 {
     // At least one token must be computed to produce the next one, so the cache never supplies all.
     const std::uint32_t reusable = (next.knownTokens() - 1) / options.pieceTokens;
-    next.sharedPieces = cache.holdPrefix(next.hashes, reusable);
+    next.sharedPieces = cache.acquirePrefix(next.hashes, reusable);
     const std::uint32_t missing = piecesFor(next.knownTokens()) - next.sharedPieces;
     const std::uint32_t reserve = running.empty() ? 0 : cache.total() / admissionReserveDivisor;
     if (cache.available() >= missing + reserve && cache.allocate(missing)) {
@@ -85,15 +85,15 @@
         next.computed = next.sharedPieces * options.pieceTokens;
         return true;
     }
-    dropPieces(next);
+    releasePieces(next);
     return false;
 }
 
-void batch::dropPieces(sequence &owner)
+void batch::releasePieces(sequence &owner)
 {
     for (std::uint32_t i = 0; i < owner.sharedPieces; ++i)
-        cache.unhold(owner.hashes[i]);
-    cache.release(owner.privatePieces);
+        cache.releaseShared(owner.hashes[i]);
+    cache.releasePrivate(owner.privatePieces);
     owner.sharedPieces = 0;
     owner.privatePieces = 0;
     owner.computed = 0;
@@ -108,7 +108,7 @@
 
 bool batch::admit(const sequence_ptr &next)
 {
-    while (running.size() >= options.maxRunning || !holdPieces(*next)) {
+    while (running.size() >= options.maxRunning || !acquirePieces(*next)) {
         if (running.empty())
             return false;
         const sequence_ptr lowest = *running.rbegin();
@@ -118,7 +118,7 @@
     }
     queue.erase(next);
     next->isRunning = true;
-    next->hasBegun = true;
+    next->hasStarted = true;
     running.insert(next);
     return true;
 }
@@ -198,7 +198,7 @@
             continue;
         ++one->produced;
         advanced.push_back(one);
-        if (one->produced == one->wantedTokens)
+        if (one->produced == one->outputTokens)
             remove(one);
     }
     return advanced;
--- a/src/standin/batch.h
+++ b/src/standin/batch.h
@@ -35,14 +35,14 @@
     std::uint64_t arrival = 0;
     std::vector<std::uint64_t> hashes; ///< Prefix hashes of the full pieces of the context.
     std::uint32_t contextTokens = 0; ///< Prompt tokens and tokens emitted earlier.
-    std::uint32_t wantedTokens = 0; ///< Tokens to generate here.
+    std::uint32_t outputTokens = 0; ///< Tokens to generate here.
 
     std::uint32_t produced = 0;
     std::uint32_t computed = 0; ///< Tokens whose KV is in memory.
     std::uint32_t sharedPieces = 0;
     std::uint32_t privatePieces = 0;
     bool isRunning = false;
-    bool hasBegun = false;
+    bool hasStarted = false;
 
     std::uint32_t knownTokens() const { return contextTokens + produced; }
     std::uint32_t remaining() const { return knownTokens() - computed; }
@@ -92,17 +92,17 @@
     std::vector<sequence_ptr> finish(const batch_step &step);
 
 private:
-    struct goes_first
+    struct priority_order
     {
         bool operator()(const sequence_ptr &left, const sequence_ptr &right) const;
     };
-    using ordered_sequences = std::set<sequence_ptr, goes_first>;
+    using ordered_sequences = std::set<sequence_ptr, priority_order>;
 
     std::uint32_t piecesFor(std::uint32_t tokens) const;
     void admitAll();
     bool admit(const sequence_ptr &next);
-    bool holdPieces(sequence &next);
-    void dropPieces(sequence &owner);
+    bool acquirePieces(sequence &next);
+    void releasePieces(sequence &owner);
     void preempt(const sequence_ptr &victim);
     /// Allocates the pieces that the next token needs, preempting sequences of lowest priority.
     /// @returns False if the sequence itself was preempted.
--- a/src/standin/cache_event_log.cpp
+++ b/src/standin/cache_event_log.cpp
@@ -22,7 +22,7 @@
     ring.push_back({last, isStored, hash, now});
     if (ring.size() <= ringSize)
         return;
-    dropped = ring.front().sequence;
+    lastDropped = ring.front().sequence;
     ring.pop_front();
 }
 
@@ -30,7 +30,7 @@
                                        std::chrono::steady_clock::time_point now) const
 {
     cache_event_page page;
-    page.hasGap = after < dropped || after > last;
+    page.hasGap = after < lastDropped || after > last;
     const std::uint64_t from = after > last ? 0 : after;
     page.next = from;
     for (const logged_cache_event &entry : ring) {
@@ -48,7 +48,7 @@
 {
     ring.clear();
     last = 0;
-    dropped = 0;
+    lastDropped = 0;
 }
 
 } // namespace poplarspool::standin
--- a/src/standin/cache_event_log.h
+++ b/src/standin/cache_event_log.h
@@ -40,7 +40,7 @@
     std::chrono::nanoseconds delay;
     std::uint32_t gapEvery;
     std::uint64_t last = 0;
-    std::uint64_t dropped = 0; ///< Highest number that was dropped because the log was full.
+    std::uint64_t lastDropped = 0; ///< Highest number that was dropped because the log was full.
     std::deque<logged_cache_event> ring;
 };
 
--- a/src/standin/engine.cpp
+++ b/src/standin/engine.cpp
@@ -164,7 +164,7 @@
         return okReply(recordsText(core.records()));
     if (request.path != "/standin/fault")
         return std::nullopt;
-    const auto fault = readFault(request.body);
+    const auto fault = parseFault(request.body);
     if (!fault)
         return refusalReply(badRequest);
     core.setFault(*fault);
@@ -189,7 +189,7 @@
     if (request.path == "/kv/export")
         return exportKv(request);
     if (request.path == "/kv/import")
-        return importKv(readText(request.body, "handle"));
+        return importKv(parseStringField(request.body, "handle"));
     if (request.path.starts_with("/kv/blob?"))
         return serveBlob(request);
     if (request.path.starts_with("/cache-events"))
@@ -200,7 +200,7 @@
 std::optional<http_reply> engine_standin::state::generate(const http_request &request,
                                                           http_sink &sink)
 {
-    auto spec = readStreamSpec(request.body);
+    auto spec = parseStreamSpec(request.body);
     if (!spec)
         return refusalReply(badRequest);
     // If the KV cannot be fetched any more, the prefill is computed again.
@@ -214,23 +214,24 @@
 
 http_reply engine_standin::state::order(const http_request &request)
 {
-    const auto parsed = readOrder(request.body);
+    const auto parsed = parseOrder(request.body);
     if (!parsed)
         return refusalReply(badRequest);
-    const auto refusal = core.order(parsed->fence, parsed->nonce, parsed->wanted);
+    const auto refusal = core.order(parsed->fence, parsed->nonce, parsed->setup);
     return refusal ? refusalReply(*refusal) : okReply("{}");
 }
 
 http_reply engine_standin::state::cancel(const http_request &request)
 {
-    if (core.cancel(readText(request.body, "request"), readText(request.body, "attempt")))
+    if (core.cancel(parseStringField(request.body, "request"),
+                    parseStringField(request.body, "attempt")))
         return okReply("{}");
     return refusalReply({404, "not_found", "no such stream"});
 }
 
 http_reply engine_standin::state::exportKv(const http_request &request)
 {
-    const auto exported = core.exportKv(readText(request.body, "request"));
+    const auto exported = core.exportKv(parseStringField(request.body, "request"));
     if (const auto *refusal = std::get_if<engine_refusal>(&exported))
         return refusalReply(*refusal);
     const auto &blob = std::get<kv_blob>(exported);
@@ -254,7 +255,7 @@
     const auto reply = kvSources.send(valueOf(source), {"GET", path, {}, {}, {}}, blobFetchTimeout);
     if (!succeeded(reply) || valueOf(reply).status != 200)
         return refusalReply({404, "not_found", "KV could not be fetched"});
-    const auto blob = readBlob(valueOf(reply).body);
+    const auto blob = parseBlob(valueOf(reply).body);
     if (!blob)
         return refusalReply({404, "not_found", "malformed KV reply"});
     const auto refusal = core.importKv(blob->hashes);
--- a/src/standin/engine_control.cpp
+++ b/src/standin/engine_control.cpp
@@ -40,10 +40,10 @@
     lastFence = options.respectsFence ? fence : std::max(fence, lastFence);
     lastNonce = nonce;
     record.wasObeyed = true;
-    const engine_setup &latestSetup = changingTo ? *changingTo : setup;
+    const engine_setup &latestSetup = pendingSetup ? *pendingSetup : setup;
     if (!(latestSetup == requested)) {
-        counts.ordersDuringChange += changingTo ? 1 : 0;
-        record.streamsCut = closeAll();
+        counts.ordersDuringChange += pendingSetup ? 1 : 0;
+        record.streamsCut = closeAllStreams();
         startChange(requested);
     }
     counts.orders.push_back(record);
@@ -56,7 +56,7 @@
     const std::uint64_t before = interruptions;
     const auto isInterrupted = [&] { return interruptions != before; };
     if (isCrashPlanned) {
-        if (changed.wait_until(guard, changeEnds - half, isInterrupted))
+        if (changed.wait_until(guard, changeEndsAt - half, isInterrupted))
             return;
         if (options.crashInChange == crash_mode::Exit)
             std::_Exit(crashExitStatus);
@@ -64,13 +64,13 @@
         crash();
         return;
     }
-    if (changed.wait_until(guard, changeEnds, isInterrupted))
+    if (changed.wait_until(guard, changeEndsAt, isInterrupted))
         return;
     finishChange();
-    noteReport();
+    recordReport();
 }
 
-std::uint64_t engine_core::newLife(std::uint64_t last)
+std::uint64_t engine_core::nextIncarnation(std::uint64_t last)
 {
     const auto wall = systemClock().wall().time_since_epoch();
     return std::max(last + 1, static_cast<std::uint64_t>(wall.count()));
@@ -78,8 +78,8 @@
 
 void engine_core::startChange(const engine_setup &requested)
 {
-    changingTo = requested;
-    changeEnds = steady::now() + scaled(options.changeTime);
+    pendingSetup = requested;
+    changeEndsAt = steady::now() + scaled(options.changeTime);
     ++interruptions;
     changed.notify_all();
 }
@@ -88,22 +88,22 @@
 {
     // Loading weights lays out the memory again, so no KV survives a change.
     cache.clear();
-    setup = *changingTo;
-    changingTo.reset();
+    setup = *pendingSetup;
+    pendingSetup.reset();
     ++counts.changes;
 }
 
 void engine_core::crash()
 {
-    closeAll();
+    closeAllStreams();
     cache.clear();
     events.restart();
     reports.clear();
     reportSequence = 0;
     blobs.clear();
-    changingTo.reset();
+    pendingSetup.reset();
     setup = options.setup;
-    life = newLife(life);
+    incarnation = nextIncarnation(incarnation);
     isDown = true;
     downUntil = steady::now() + scaled(options.changeTime);
     ++interruptions;
@@ -139,7 +139,7 @@
     if (!stream)
         return engine_refusal{404, "not_found", "no such stream"};
     const stream_spec &spec = stream->spec;
-    piece_chain chain(spec.model, options.batch.pieceTokens);
+    prefix_hash_chain chain(spec.model, options.batch.pieceTokens);
     chain.addPrompt(spec.prompt);
     for (const std::string &token : spec.emitted)
         chain.add(token);
@@ -155,7 +155,7 @@
     work.remove(stream->work);
     stream->record->wasExported = true;
     ++counts.exported;
-    forget(stream, stream_state::Exported);
+    closeStream(stream, stream_state::Exported);
     return blob;
 }
 
@@ -176,8 +176,8 @@
                                                  / options.kvPiecesPerSecond);
     const auto end =
             steady::now() + scaled(std::chrono::duration_cast<std::chrono::nanoseconds>(transfer));
-    changed.wait_until(guard, end, [this] { return isStopping || isDown || changingTo; });
-    if (isStopping || isDown || changingTo)
+    changed.wait_until(guard, end, [this] { return isStopping || isDown || pendingSetup; });
+    if (isStopping || isDown || pendingSetup)
         return engine_refusal{409, "unavailable", "engine is changing its role or models"};
     for (const std::uint64_t hash : hashes) {
         if (!cache.insert(hash))
@@ -194,29 +194,29 @@
 
 // --- Reports -----------------------------------------------------------------------------------
 
-engine_report engine_core::reportNow()
+engine_report engine_core::makeReport()
 {
     engine_report now;
-    now.life = life;
+    now.incarnation = incarnation;
     now.sequence = ++reportSequence;
     now.setup = setup;
-    now.isChanging = changingTo.has_value();
+    now.isChanging = pendingSetup.has_value();
     now.running = work.runningCount();
     now.queued = work.queuedCount();
-    now.kvPiecesUsed = cache.held();
+    now.kvPiecesUsed = cache.inUse();
     now.kvPiecesTotal = cache.total();
     now.prefillTokensQueued = work.prefillTokensLeft();
     now.lastFence = lastFence;
     return now;
 }
 
-void engine_core::noteReport()
+void engine_core::recordReport()
 {
     const auto now = steady::now();
     const auto spacing = scaled(options.loadLag) / reportsPerLag;
     const bool isDue = reports.empty() || reports.back().first + spacing <= now;
     if (options.loadLag > std::chrono::milliseconds::zero() && isDue)
-        reports.emplace_back(now, reportNow());
+        reports.emplace_back(now, makeReport());
     if (reports.size() > maxReports)
         reports.pop_front();
 }
@@ -225,7 +225,7 @@
 {
     const std::lock_guard guard(lock);
     const auto now = steady::now();
-    reports.emplace_back(now, reportNow());
+    reports.emplace_back(now, makeReport());
     const auto lag = scaled(options.loadLag);
     const auto isOldEnough = [&](std::size_t index) { return reports[index].first + lag <= now; };
     while (reports.size() > 1 && (isOldEnough(1) || reports.size() > maxReports))
@@ -239,7 +239,7 @@
     engine_records copy = counts;
     copy.preempted = work.preemptedCount();
     for (const auto &entry : streams)
-        entry.second->record->hasBegun = entry.second->work->hasBegun;
+        entry.second->record->hasStarted = entry.second->work->hasStarted;
     copy.requests.reserve(requests.size());
     for (const auto &record : requests)
         copy.requests.push_back(*record);
--- a/src/standin/engine_core.cpp
+++ b/src/standin/engine_core.cpp
@@ -22,7 +22,7 @@
             [this](bool isStored, std::uint64_t hash) {
                 events.add(isStored, hash, steady::now());
             }),
-      work(this->options.batch, cache), life(newLife(0)), setup(this->options.setup),
+      work(this->options.batch, cache), incarnation(nextIncarnation(0)), setup(this->options.setup),
       isCrashPlanned(this->options.crashInChange != crash_mode::None),
       lastFence(this->options.lastFence)
 { }
@@ -43,7 +43,7 @@
         const std::lock_guard guard(lock);
         isStopping = true;
         ++interruptions;
-        closeAll();
+        closeAllStreams();
         changed.notify_all();
     }
     if (thread.joinable())
@@ -64,9 +64,9 @@
         if (isDown) {
             changed.wait_until(guard, downUntil);
             isDown = !isStopping && steady::now() < downUntil;
-        } else if (fault.mode == fault_mode::Freeze || (work.isEmpty() && !changingTo)) {
+        } else if (fault.mode == fault_mode::Freeze || (work.isEmpty() && !pendingSetup)) {
             changed.wait(guard);
-        } else if (changingTo) {
+        } else if (pendingSetup) {
             waitForChange(guard);
         } else {
             runIteration(guard);
@@ -74,7 +74,7 @@
     }
 }
 
-role_rates engine_core::ratesNow() const
+role_rates engine_core::currentRates() const
 {
     const double slowness = fault.mode == fault_mode::Slow ? fault.factor : 1.0;
     const double own = options.ownWorkShare / slowness;
@@ -88,7 +88,7 @@
 
 void engine_core::runIteration(guard_type &guard)
 {
-    const batch_step step = work.plan(ratesNow());
+    const batch_step step = work.plan(currentRates());
     const std::uint64_t before = interruptions;
     // Counted from the end of the last iteration, so that the time in which this process delivers
     // tokens to its connections does not slow down the emulated engine.
@@ -100,7 +100,7 @@
             changed.wait_until(guard, iterationEnd, [&] { return interruptions != before; });
     if (!interrupted)
         deliver(work.finish(step));
-    noteReport();
+    recordReport();
 }
 
 void engine_core::deliver(const std::vector<sequence_ptr> &advanced)
@@ -112,36 +112,36 @@
         const engine_stream_ptr stream = found->second;
         stream->record->produced = one->produced;
         stream->channel.advance();
-        if (one->produced < one->wantedTokens)
+        if (one->produced < one->outputTokens)
             continue;
         stream->record->hasEnded = true;
         ++counts.finished;
-        forget(stream, stream_state::Finished);
+        closeStream(stream, stream_state::Finished);
     }
 }
 
 // --- Streams -----------------------------------------------------------------------------------
 
-bool engine_core::carries(const std::string &model) const
+bool engine_core::isModelLoaded(const std::string &model) const
 {
     return std::any_of(setup.models.begin(), setup.models.end(),
                        [&](const engine_model &entry) { return entry.model == model; });
 }
 
-std::optional<engine_refusal> engine_core::refusalNow(const stream_spec &spec) const
+std::optional<engine_refusal> engine_core::admissionRefusal(const stream_spec &spec) const
 {
     if (isStopping)
         return engine_refusal{503, "unavailable", "engine is stopping"};
-    if (changingTo)
+    if (pendingSetup)
         return engine_refusal{409, "unavailable", "engine is changing its role or models"};
-    if (!carries(spec.model))
+    if (!isModelLoaded(spec.model))
         return engine_refusal{409, "unavailable", "model is not loaded: " + spec.model};
     if (work.queuedCount() >= options.maxQueue)
         return engine_refusal{429, "overloaded", "queue is full"};
     return std::nullopt;
 }
 
-std::optional<engine_refusal> engine_core::takeRequestFault(engine_stream &stream)
+std::optional<engine_refusal> engine_core::consumeRequestFault(engine_stream &stream)
 {
     const bool isPerRequest = fault.mode != fault_mode::None && fault.mode != fault_mode::Crash
             && fault.mode != fault_mode::Freeze && fault.mode != fault_mode::Slow;
@@ -162,7 +162,7 @@
     auto stream = std::make_shared<engine_stream>();
     stream->spec = std::move(spec);
     const stream_spec &requested = stream->spec;
-    piece_chain chain(requested.model, options.batch.pieceTokens);
+    prefix_hash_chain chain(requested.model, options.batch.pieceTokens);
     chain.addPrompt(requested.prompt);
     for (const std::string &token : requested.emitted)
         chain.add(token);
@@ -171,7 +171,7 @@
     one->rank = requested.rank;
     one->hashes = chain.hashes();
     one->contextTokens = std::max(1U, promptTokensOf(requested.prompt) + emitted);
-    one->wantedTokens = requested.maxTokens - std::min(requested.maxTokens, emitted);
+    one->outputTokens = requested.maxTokens - std::min(requested.maxTokens, emitted);
     stream->work = one;
     stream->record = std::make_shared<request_record>();
     stream->record->request = requested.request;
@@ -179,9 +179,9 @@
     stream->record->resumedFrom = emitted;
 
     const std::lock_guard guard(lock);
-    auto refusal = refusalNow(requested);
+    auto refusal = admissionRefusal(requested);
     if (!refusal)
-        refusal = takeRequestFault(*stream);
+        refusal = consumeRequestFault(*stream);
     if (!refusal && !work.fits(*one))
         refusal = engine_refusal{413, "too_large", "request exceeds the KV memory"};
     if (refusal) {
@@ -193,7 +193,7 @@
     if (requests.size() > maxRequestRecords)
         requests.pop_front();
     ++counts.started;
-    if (one->wantedTokens == 0) {
+    if (one->outputTokens == 0) {
         stream->record->hasEnded = true;
         ++counts.finished;
         stream->channel.close(stream_state::Finished);
@@ -205,9 +205,9 @@
     return stream;
 }
 
-void engine_core::forget(const engine_stream_ptr &stream, stream_state state)
+void engine_core::closeStream(const engine_stream_ptr &stream, stream_state state)
 {
-    stream->record->hasBegun = stream->work->hasBegun;
+    stream->record->hasStarted = stream->work->hasStarted;
     streams.erase(stream->work.get());
     stream->channel.close(state);
 }
@@ -220,7 +220,7 @@
     work.remove(stream->work);
     stream->record->wasCancelled = true;
     ++counts.cancelled;
-    forget(stream, stream_state::Cut);
+    closeStream(stream, stream_state::Cut);
 }
 
 engine_stream_ptr engine_core::findStream(const std::string &request,
@@ -256,20 +256,20 @@
     if (streams.count(stream->work.get()) == 0)
         return;
     work.remove(stream->work);
-    forget(stream, stream_state::Cut);
+    closeStream(stream, stream_state::Cut);
 }
 
-std::uint32_t engine_core::closeAll()
+std::uint32_t engine_core::closeAllStreams()
 {
     work.clear();
     std::uint32_t cutStreams = 0;
     const auto open = streams;
     for (const auto &entry : open) {
         const engine_stream_ptr &stream = entry.second;
-        const bool hasBegun = stream->work->hasBegun;
+        const bool hasBegun = stream->work->hasStarted;
         stream->record->wasCut = hasBegun;
         cutStreams += hasBegun ? 1 : 0;
-        forget(stream, hasBegun ? stream_state::Cut : stream_state::Refused);
+        closeStream(stream, hasBegun ? stream_state::Cut : stream_state::Refused);
     }
     counts.cut += cutStreams;
     return cutStreams;
--- a/src/standin/engine_core.h
+++ b/src/standin/engine_core.h
@@ -104,19 +104,19 @@
     void finishChange();
     void crash();
     /// @returns How many of the closed streams had started.
-    std::uint32_t closeAll();
-    void forget(const engine_stream_ptr &stream, stream_state state);
-    std::optional<engine_refusal> refusalNow(const stream_spec &spec) const;
-    std::optional<engine_refusal> takeRequestFault(engine_stream &stream);
+    std::uint32_t closeAllStreams();
+    void closeStream(const engine_stream_ptr &stream, stream_state state);
+    std::optional<engine_refusal> admissionRefusal(const stream_spec &spec) const;
+    std::optional<engine_refusal> consumeRequestFault(engine_stream &stream);
     void startChange(const engine_setup &requested);
     /// @returns An incarnation number above the last one, of this process or an earlier one.
-    static std::uint64_t newLife(std::uint64_t last);
+    static std::uint64_t nextIncarnation(std::uint64_t last);
     engine_stream_ptr findStream(const std::string &request, const std::string &attempt) const;
-    bool carries(const std::string &model) const;
-    role_rates ratesNow() const;
-    engine_report reportNow();
+    bool isModelLoaded(const std::string &model) const;
+    role_rates currentRates() const;
+    engine_report makeReport();
     /// Stores a report for delayed delivery (`loadLag`).
-    void noteReport();
+    void recordReport();
     std::chrono::nanoseconds scaled(std::chrono::nanoseconds time) const;
 
     const engine_options options;
@@ -133,10 +133,10 @@
     std::uint64_t arrivals = 0;
     time_point iterationEnd{};
 
-    std::uint64_t life;
+    std::uint64_t incarnation;
     engine_setup setup;
-    std::optional<engine_setup> changingTo;
-    time_point changeEnds{};
+    std::optional<engine_setup> pendingSetup;
+    time_point changeEndsAt{};
     bool isCrashPlanned;
     bool isDown = false;
     time_point downUntil{};
--- a/src/standin/engine_types.h
+++ b/src/standin/engine_types.h
@@ -88,7 +88,7 @@
     std::string attempt;
     std::uint32_t resumedFrom = 0;
     std::uint32_t produced = 0;
-    bool hasBegun = false;
+    bool hasStarted = false;
     bool hasEnded = false;
     bool wasCut = false;
     bool wasCancelled = false;
@@ -99,7 +99,7 @@
 {
     std::uint64_t fence = 0;
     std::string nonce;
-    engine_setup wanted;
+    engine_setup setup;
     bool wasStale = false; ///< Below the highest number seen, or that number with another nonce.
     bool wasObeyed = false;
     std::uint32_t streamsCut = 0;
@@ -124,7 +124,7 @@
 
 struct engine_report
 {
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
     engine_setup setup;
     bool isChanging = false;
--- a/src/standin/engine_wire.cpp
+++ b/src/standin/engine_wire.cpp
@@ -75,7 +75,7 @@
             {"attempt", record.attempt},
             {"resumed_from", record.resumedFrom},
             {"produced", record.produced},
-            {"began", record.hasBegun},
+            {"began", record.hasStarted},
             {"ended", record.hasEnded},
             {"cut", record.wasCut},
             {"cancelled", record.wasCancelled},
@@ -88,8 +88,8 @@
     return {
             {"fence", order.fence},
             {"nonce", order.nonce},
-            {"role", order.wanted.role},
-            {"models", modelsJson(order.wanted.models)},
+            {"role", order.setup.role},
+            {"models", modelsJson(order.setup.models)},
             {"stale", order.wasStale},
             {"obeyed", order.wasObeyed},
             {"streams_cut", order.streamsCut},
@@ -98,7 +98,7 @@
 
 } // namespace
 
-std::optional<stream_spec> readStreamSpec(std::string_view body)
+std::optional<stream_spec> parseStreamSpec(std::string_view body)
 {
     return parseWith<stream_spec>(body, [](const json &object) {
         stream_spec spec;
@@ -114,26 +114,26 @@
     });
 }
 
-std::optional<order_spec> readOrder(std::string_view body)
+std::optional<order_spec> parseOrder(std::string_view body)
 {
     auto order = parseWith<order_spec>(body, [](const json &object) {
         order_spec parsed;
         parsed.fence = object.at("fence").get<std::uint64_t>();
         parsed.nonce = object.at("nonce").get<std::string>();
-        parsed.wanted.role = object.at("role").get<std::string>();
-        parsed.wanted.models.clear();
+        parsed.setup.role = object.at("role").get<std::string>();
+        parsed.setup.models.clear();
         for (const json &entry : object.at("models"))
-            parsed.wanted.models.push_back({entry.at("model"), entry.at("version")});
+            parsed.setup.models.push_back({entry.at("model"), entry.at("version")});
         return parsed;
     });
-    if (order && !isRole(order->wanted.role))
+    if (order && !isRole(order->setup.role))
         return std::nullopt;
     return order;
 }
 
-std::optional<engine_fault> readFault(std::string_view body)
+std::optional<engine_fault> parseFault(std::string_view body)
 {
-    const std::string modeName = readText(body, "mode");
+    const std::string modeName = parseStringField(body, "mode");
     for (const fault_name &entry : faultNames) {
         if (entry.name != modeName)
             continue;
@@ -149,14 +149,14 @@
     return std::nullopt;
 }
 
-std::string readText(std::string_view body, const char *key)
+std::string parseStringField(std::string_view body, const char *key)
 {
     const auto text = parseWith<std::string>(
             body, [&](const json &object) { return object.at(key).get<std::string>(); });
     return text.value_or(std::string{});
 }
 
-std::optional<kv_blob> readBlob(std::string_view body)
+std::optional<kv_blob> parseBlob(std::string_view body)
 {
     return parseWith<kv_blob>(body, [](const json &object) {
         kv_blob blob;
@@ -204,7 +204,7 @@
 std::string reportText(const engine_report &report)
 {
     const json body = {
-            {"life", report.life},
+            {"life", report.incarnation},
             {"sequence", report.sequence},
             {"role", report.setup.role},
             {"changing", report.isChanging},
--- a/src/standin/engine_wire.h
+++ b/src/standin/engine_wire.h
@@ -15,15 +15,15 @@
 {
     std::uint64_t fence = 0;
     std::string nonce;
-    engine_setup wanted;
+    engine_setup setup;
 };
 
-std::optional<stream_spec> readStreamSpec(std::string_view body);
-std::optional<order_spec> readOrder(std::string_view body);
-std::optional<engine_fault> readFault(std::string_view body);
+std::optional<stream_spec> parseStreamSpec(std::string_view body);
+std::optional<order_spec> parseOrder(std::string_view body);
+std::optional<engine_fault> parseFault(std::string_view body);
 /// @returns The string at that key of a JSON object; empty if there is none.
-std::string readText(std::string_view body, const char *key);
-std::optional<kv_blob> readBlob(std::string_view body);
+std::string parseStringField(std::string_view body, const char *key);
+std::optional<kv_blob> parseBlob(std::string_view body);
 
 std::string headLine(const std::string &request, const std::string &attempt);
 std::string tokenLine(std::uint32_t index, const std::string &text);
--- a/src/standin/kv_cache.cpp
+++ b/src/standin/kv_cache.cpp
@@ -7,11 +7,11 @@
 
 namespace poplarspool::standin {
 
-piece_chain::piece_chain(std::string_view model, std::uint32_t pieceTokens)
+prefix_hash_chain::prefix_hash_chain(std::string_view model, std::uint32_t pieceTokens)
     : pieceTokens(pieceTokens), last(hashOf(model))
 { }
 
-void piece_chain::add(std::string_view token)
+void prefix_hash_chain::add(std::string_view token)
 {
     piece.append(token);
     ++pending;
@@ -23,7 +23,7 @@
     pending = 0;
 }
 
-void piece_chain::addPrompt(std::string_view prompt)
+void prefix_hash_chain::addPrompt(std::string_view prompt)
 {
     while (!prompt.empty()) {
         const std::string_view token = prompt.substr(0, bytesPerToken);
@@ -32,42 +32,42 @@
     }
 }
 
-kv_cache::kv_cache(std::uint32_t pieces, change_receiver onChange)
+kv_cache::kv_cache(std::uint32_t pieces, change_callback onChange)
     : pieces(pieces), onChange(std::move(onChange))
 { }
 
-void kv_cache::hold(shared_piece &piece)
+void kv_cache::acquire(shared_piece &piece)
 {
-    if (piece.holders == 0) {
-        idle.erase(piece.idleAt);
-        ++heldShared;
+    if (piece.refCount == 0) {
+        idle.erase(piece.idlePosition);
+        ++sharedInUse;
     }
-    ++piece.holders;
+    ++piece.refCount;
 }
 
 void kv_cache::makeIdle(std::uint64_t hash, shared_piece &piece)
 {
-    piece.idleAt = idle.insert(idle.end(), hash);
+    piece.idlePosition = idle.insert(idle.end(), hash);
 }
 
-std::uint32_t kv_cache::holdPrefix(const std::vector<std::uint64_t> &hashes, std::uint32_t limit)
+std::uint32_t kv_cache::acquirePrefix(const std::vector<std::uint64_t> &hashes, std::uint32_t limit)
 {
     std::uint32_t count = 0;
     while (count < limit && count < hashes.size()) {
         const auto found = shared.find(hashes[count]);
         if (found == shared.end())
             break;
-        hold(found->second);
+        acquire(found->second);
         ++count;
     }
     return count;
 }
 
-bool kv_cache::makeRoom(std::uint32_t count)
+bool kv_cache::evictUntilFree(std::uint32_t count)
 {
     if (available() < count)
         return false;
-    while (pieces - held() - idle.size() < count) {
+    while (pieces - inUse() - idle.size() < count) {
         const std::uint64_t oldest = idle.front();
         idle.pop_front();
         shared.erase(oldest);
@@ -78,7 +78,7 @@
 
 bool kv_cache::allocate(std::uint32_t count)
 {
-    if (!makeRoom(count))
+    if (!evictUntilFree(count))
         return false;
     privatePieces += count;
     return true;
@@ -89,20 +89,20 @@
     --privatePieces;
     const auto [place, isNew] = shared.try_emplace(hash);
     if (!isNew) {
-        hold(place->second);
+        acquire(place->second);
         return;
     }
-    place->second.holders = 1;
-    ++heldShared;
+    place->second.refCount = 1;
+    ++sharedInUse;
     onChange(true, hash);
 }
 
-void kv_cache::unhold(std::uint64_t hash)
+void kv_cache::releaseShared(std::uint64_t hash)
 {
     const auto found = shared.find(hash);
-    if (found == shared.end() || --found->second.holders > 0)
+    if (found == shared.end() || --found->second.refCount > 0)
         return;
-    --heldShared;
+    --sharedInUse;
     makeIdle(hash, found->second);
 }
 
@@ -110,7 +110,7 @@
 {
     if (shared.count(hash) > 0)
         return true;
-    if (!makeRoom(1))
+    if (!evictUntilFree(1))
         return false;
     makeIdle(hash, shared[hash]);
     onChange(true, hash);
@@ -124,7 +124,7 @@
     shared.clear();
     idle.clear();
     privatePieces = 0;
-    heldShared = 0;
+    sharedInUse = 0;
 }
 
 } // namespace poplarspool::standin
--- a/src/standin/kv_cache.h
+++ b/src/standin/kv_cache.h
@@ -12,10 +12,10 @@
 
 /// Prefix hashes of the full pieces of a token sequence: each hash covers its piece and all pieces
 /// before it.
-class piece_chain
+class prefix_hash_chain
 {
 public:
-    piece_chain(std::string_view model, std::uint32_t pieceTokens);
+    prefix_hash_chain(std::string_view model, std::uint32_t pieceTokens);
 
     void add(std::string_view token);
     /// Splits a prompt into tokens and adds them.
@@ -36,25 +36,25 @@
 {
 public:
     /// Called for each shared piece that is stored or evicted.
-    using change_receiver = std::function<void(bool isStored, std::uint64_t hash)>;
+    using change_callback = std::function<void(bool isStored, std::uint64_t hash)>;
 
-    kv_cache(std::uint32_t pieces, change_receiver onChange);
+    kv_cache(std::uint32_t pieces, change_callback onChange);
 
     std::uint32_t total() const { return pieces; }
     /// @returns Pieces in use by sequences.
-    std::uint32_t held() const { return privatePieces + heldShared; }
-    std::uint32_t available() const { return pieces - held(); }
+    std::uint32_t inUse() const { return privatePieces + sharedInUse; }
+    std::uint32_t available() const { return pieces - inUse(); }
 
     /// Acquires the leading pieces that are cached.
     /// @param limit Maximum number of pieces.
     /// @returns The number of acquired pieces.
-    std::uint32_t holdPrefix(const std::vector<std::uint64_t> &hashes, std::uint32_t limit);
+    std::uint32_t acquirePrefix(const std::vector<std::uint64_t> &hashes, std::uint32_t limit);
     /// Allocates private pieces, evicting cached ones if needed; all or none.
     bool allocate(std::uint32_t count);
-    void release(std::uint32_t privateCount) { privatePieces -= privateCount; }
+    void releasePrivate(std::uint32_t privateCount) { privatePieces -= privateCount; }
     /// Turns a private piece into a shared one; its owner keeps using it.
     void publish(std::uint64_t hash);
-    void unhold(std::uint64_t hash);
+    void releaseShared(std::uint64_t hash);
     /// Adds an imported piece to the cache, not in use by any sequence.
     /// @returns False if there is no free memory.
     bool insert(std::uint64_t hash);
@@ -64,20 +64,20 @@
 private:
     struct shared_piece
     {
-        std::uint32_t holders = 0;
-        std::list<std::uint64_t>::iterator idleAt;
+        std::uint32_t refCount = 0;
+        std::list<std::uint64_t>::iterator idlePosition;
     };
 
-    void hold(shared_piece &piece);
+    void acquire(shared_piece &piece);
     void makeIdle(std::uint64_t hash, shared_piece &piece);
     /// Evicts cached pieces until that many are free.
     /// @returns False if there are not enough.
-    bool makeRoom(std::uint32_t count);
+    bool evictUntilFree(std::uint32_t count);
 
     std::uint32_t pieces;
-    change_receiver onChange;
+    change_callback onChange;
     std::uint32_t privatePieces = 0;
-    std::uint32_t heldShared = 0;
+    std::uint32_t sharedInUse = 0;
     std::unordered_map<std::uint64_t, shared_piece> shared;
     std::list<std::uint64_t> idle; ///< Least recently used first.
 };
--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -3,7 +3,7 @@
 #include "poplarspool/base/http.h"
 #include "poplarspool/base/metrics.h"
 #include "standin/platform_faults.h"
-#include "standin/platform_lines.h"
+#include "standin/platform_instance_list.h"
 #include "standin/platform_objects.h"
 #include "standin/platform_paths.h"
 
@@ -69,7 +69,7 @@
     return {{"objects", std::move(objects)}, {"version", list.version}};
 }
 
-json jsonOf(const instance_line &entry)
+json jsonOf(const instance_entry &entry)
 {
     return {{"id", entry.id},
             {"zone", entry.zone},
@@ -77,7 +77,7 @@
             {"leaving", entry.isLeaving}};
 }
 
-instance_line instanceEntryOf(const json &entry)
+instance_entry instanceEntryOf(const json &entry)
 {
     return {entry.at("id").get<std::string>(), entry.at("zone").get<std::string>(),
             entry.at("peer").get<std::string>(), entry.value("leaving", false)};
@@ -95,7 +95,7 @@
 
 http_reply writeReply(const write_outcome &outcome)
 {
-    return replyOf(outcome.isDone ? 200 : 409, {{"version", outcome.version}});
+    return replyOf(outcome.isApplied ? 200 : 409, {{"version", outcome.version}});
 }
 
 } // namespace
@@ -130,8 +130,8 @@
 
     metrics_registry metrics;
     object_table objects;
-    lagging_list instanceList;
-    fault_switch faults;
+    delayed_instance_list instanceList;
+    fault_injector faults;
     rate_limit weightRate;
     std::atomic<std::uint64_t> gets{0};
     std::atomic<std::uint64_t> lists{0};
@@ -150,7 +150,7 @@
         if (target.path.starts_with("/standin/"))
             return serveControl(request, target);
         faults.delay();
-        if (faults.isOut())
+        if (faults.isOutage())
             return std::nullopt;
         return serveWithinEpoch(request, target);
     } catch (const json::exception &fault) {
@@ -199,16 +199,16 @@
                                                            const request_target &target)
 {
     if (target.path == "/standin/copy") {
-        objects.keepCopy();
+        objects.takeSnapshot();
         return 200;
     }
     if (target.path == "/standin/go_back")
-        return objects.goBack() ? 200 : 409;
+        return objects.restoreSnapshot() ? 200 : 409;
     if (target.path != "/standin/write_again")
         return std::nullopt;
     const json body = json::parse(request.body);
     for (const json &prefix : body.at("prefixes"))
-        objects.writeAgain(prefix.get<std::string>());
+        objects.replayLostWrites(prefix.get<std::string>());
     return 200;
 }
 
@@ -265,7 +265,7 @@
 
 optional_reply platform_standin::state::serveWrite(const http_reply &reply)
 {
-    if (faults.takesAnswer())
+    if (faults.takeLostAnswer())
         return std::nullopt;
     return reply;
 }
@@ -300,9 +300,9 @@
         return refusal(400, "prefix, after and wait_ms are required");
     const auto waitMs = std::min<std::uint64_t>(*wait, maxWatchTime.count());
     const auto changes = objects.watch(prefix->second, *after, std::chrono::milliseconds(waitMs));
-    if (faults.isOut())
+    if (faults.isOutage())
         return std::nullopt;
-    if (changes.isGone)
+    if (changes.isVersionUnknown)
         return refusal(410, "no such version in this epoch");
     return replyOf(200, jsonOf(changes));
 }
@@ -311,7 +311,7 @@
 {
     ++instanceLists;
     json entries = json::array();
-    for (const instance_line &entry : instanceList.seen())
+    for (const instance_entry &entry : instanceList.visible())
         entries.push_back(jsonOf(entry));
     return replyOf(200, {{"instances", std::move(entries)}});
 }
@@ -322,7 +322,7 @@
     const auto slash = modelAndVersion.rfind('/');
     if (slash == std::string::npos)
         return refusal(404, "MODEL/VERSION is required");
-    if (!weightRate.take()) {
+    if (!weightRate.tryTake()) {
         http_reply reply = refusal(429, "rate limit of the weight store exceeded");
         reply.headers.emplace_back("Retry-After", std::to_string(weightRate.secondsLeft()));
         return reply;
@@ -336,7 +336,7 @@
 void platform_standin::state::setFault(const platform_fault_setting &setting)
 {
     faults.set(setting);
-    objects.wakeAll();
+    objects.wakeWatches();
 }
 
 platform_records platform_standin::state::records() const
@@ -360,8 +360,8 @@
 
 void platform_standin::stop()
 {
-    inner->faults.end();
-    inner->objects.end();
+    inner->faults.shutDown();
+    inner->objects.shutDown();
     inner->server.stop();
 }
 
--- a/src/standin/platform_faults.cpp
+++ b/src/standin/platform_faults.cpp
@@ -5,20 +5,20 @@
 
 namespace poplarspool::standin {
 
-void fault_switch::set(const platform_fault_setting &next)
+void fault_injector::set(const platform_fault_setting &next)
 {
     const std::lock_guard guard(lock);
     setting = next;
     changed.notify_all();
 }
 
-bool fault_switch::isOut() const
+bool fault_injector::isOutage() const
 {
     const std::lock_guard guard(lock);
     return setting.mode == platform_fault::Outage;
 }
 
-void fault_switch::delay()
+void fault_injector::delay()
 {
     std::unique_lock guard(lock);
     if (setting.mode != platform_fault::Slow)
@@ -28,7 +28,7 @@
                      [&] { return isEnding || setting != before; });
 }
 
-bool fault_switch::takesAnswer()
+bool fault_injector::takeLostAnswer()
 {
     const std::lock_guard guard(lock);
     if (setting.mode != platform_fault::LoseAnswers || setting.count == 0)
@@ -37,7 +37,7 @@
     return true;
 }
 
-void fault_switch::end()
+void fault_injector::shutDown()
 {
     const std::lock_guard guard(lock);
     isEnding = true;
@@ -55,7 +55,7 @@
     tokens = std::min(std::max(1.0, perSecond), tokens + elapsed.count() * perSecond);
 }
 
-bool rate_limit::take()
+bool rate_limit::tryTake()
 {
     const std::lock_guard guard(lock);
     refill();
--- a/src/standin/platform_faults.h
+++ b/src/standin/platform_faults.h
@@ -9,16 +9,16 @@
 namespace poplarspool::standin {
 
 /// Applies the current fault to calls. Thread-safe.
-class fault_switch
+class fault_injector
 {
 public:
     void set(const platform_fault_setting &next);
-    bool isOut() const;
+    bool isOutage() const;
     /// Delays a call if the fault is Slow. A change of the fault or shutDown() ends the delay.
     void delay();
     /// @returns Whether the reply of this write must be lost; decrements the count if so.
-    bool takesAnswer();
-    void end();
+    bool takeLostAnswer();
+    void shutDown();
 
 private:
     mutable std::mutex lock;
@@ -33,7 +33,7 @@
 public:
     explicit rate_limit(double perSecond);
 
-    bool take();
+    bool tryTake();
     /// @returns Seconds until the next call is allowed, rounded up; for Retry-After.
     std::uint32_t secondsLeft();
 
--- a/src/standin/platform_main.cpp
+++ b/src/standin/platform_main.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/base/end_signal.h"
+#include "poplarspool/base/process_signal.h"
 #include "standin/platform.h"
 
 #include <csignal>
@@ -26,7 +26,7 @@
 
 int serveUntilSignal(const endpoint &bind, double rate)
 {
-    blockEndSignals();
+    blockTerminationSignals();
     platform_standin standin(bind, rate);
     const auto address = standin.start();
     if (!succeeded(address)) {
@@ -34,7 +34,7 @@
         return 1;
     }
     std::cout << "listening " << textOf(valueOf(address)) << std::endl;
-    waitForEndSignal();
+    waitForTerminationSignal();
     standin.stop();
     return 0;
 }
--- a/src/standin/platform_objects.cpp
+++ b/src/standin/platform_objects.cpp
@@ -70,7 +70,7 @@
     std::unique_lock guard(lock);
     const std::uint64_t wakesBefore = wakes;
     stored_list changes;
-    if (epochs > 0 && after > version)
+    if (rollbackCount > 0 && after > version)
         return {{}, version, true};
     changed.wait_for(guard, wait, [&] {
         changes.objects = changedSince(prefix, after);
@@ -80,43 +80,43 @@
     return changes;
 }
 
-void object_table::keepCopy()
+void object_table::takeSnapshot()
 {
     const std::lock_guard guard(lock);
-    copied = objects;
-    copiedVersion = version;
+    snapshot = objects;
+    snapshotVersion = version;
 }
 
-bool object_table::goBack()
+bool object_table::restoreSnapshot()
 {
     const std::lock_guard guard(lock);
-    if (!copied)
+    if (!snapshot)
         return false;
     for (const auto &[key, object] : objects) {
-        if (object.version > copiedVersion)
-            lost[key] = object;
+        if (object.version > snapshotVersion)
+            lostWrites[key] = object;
     }
-    objects = *copied;
-    version = copiedVersion;
-    backVersion = version;
-    ++epochs;
+    objects = *snapshot;
+    version = snapshotVersion;
+    rollbackVersion = version;
+    ++rollbackCount;
     ++wakes;
     changed.notify_all();
     return true;
 }
 
-void object_table::writeAgain(const std::string &prefix)
+void object_table::replayLostWrites(const std::string &prefix)
 {
     const std::lock_guard guard(lock);
-    auto at = lost.lower_bound(prefix);
-    while (at != lost.end() && at->first.starts_with(prefix)) {
+    auto at = lostWrites.lower_bound(prefix);
+    while (at != lostWrites.end() && at->first.starts_with(prefix)) {
         const auto current = objects.find(at->first);
-        const bool isNewer = current != objects.end() && current->second.version > backVersion;
+        const bool isNewer = current != objects.end() && current->second.version > rollbackVersion;
         if (!isNewer) {
             at->second.version = ++version;
             objects[at->first] = at->second;
         }
-        at = lost.erase(at);
+        at = lostWrites.erase(at);
     }
     changed.notify_all();
 }
@@ -124,17 +124,17 @@
 std::uint64_t object_table::epoch() const
 {
     const std::lock_guard guard(lock);
-    return epochs;
+    return rollbackCount;
 }
 
-void object_table::wakeAll()
+void object_table::wakeWatches()
 {
     const std::lock_guard guard(lock);
     ++wakes;
     changed.notify_all();
 }
 
-void object_table::end()
+void object_table::shutDown()
 {
     const std::lock_guard guard(lock);
     isEnding = true;
--- a/src/standin/platform_objects.h
+++ b/src/standin/platform_objects.h
@@ -26,13 +26,13 @@
 {
     std::vector<stored_object> objects;
     std::uint64_t version = 0;
-    bool isGone = false; ///< Only for a watch: the version is not of this epoch.
+    bool isVersionUnknown = false; ///< Only for a watch: the version is not of this epoch.
 };
 
 /// Outcome of a conditional write.
 struct write_outcome
 {
-    bool isDone = false;
+    bool isApplied = false;
     std::uint64_t version = 0; ///< The new version, or the current one if the condition failed.
 
     bool operator==(const write_outcome &) const = default;
@@ -52,19 +52,19 @@
     stored_list watch(const std::string &prefix, std::uint64_t after,
                       std::chrono::milliseconds wait);
     /// Takes a snapshot of all objects, which replaces the previous one.
-    void keepCopy();
+    void takeSnapshot();
     /// Rolls the store back to the snapshot and starts a new epoch: writes acknowledged since then
     /// are lost, and their versions are assigned again.
     /// @returns False if there is no snapshot.
-    bool goBack();
+    bool restoreSnapshot();
     /// Writes the lost objects under the prefix again, except those written since the rollback.
-    void writeAgain(const std::string &prefix);
+    void replayLostWrites(const std::string &prefix);
     /// @returns Number of rollbacks.
     std::uint64_t epoch() const;
     /// Ends the watches that are waiting now; they return no change.
-    void wakeAll();
+    void wakeWatches();
     /// Ends all current and later watches immediately.
-    void end();
+    void shutDown();
 
 private:
     using object_map = std::map<std::string, stored_object>;
@@ -77,11 +77,12 @@
     std::condition_variable changed;
     object_map objects;
     std::uint64_t version = 0;
-    std::uint64_t epochs = 0;
-    std::optional<object_map> copied;
-    std::uint64_t copiedVersion = 0;
-    std::uint64_t backVersion = 0; ///< Store version after the last rollback.
-    object_map lost; ///< Latest version of each object lost in a rollback and not replayed yet.
+    std::uint64_t rollbackCount = 0;
+    std::optional<object_map> snapshot;
+    std::uint64_t snapshotVersion = 0;
+    std::uint64_t rollbackVersion = 0; ///< Store version after the last rollback.
+    object_map
+            lostWrites; ///< Latest version of each object lost in a rollback and not replayed yet.
     std::uint64_t wakes = 0;
     bool isEnding = false;
 };
--- a/src/standin_app/main.cpp
+++ b/src/standin_app/main.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/base/end_signal.h"
+#include "poplarspool/base/process_signal.h"
 #include "standin/engine.h"
 #include "standin/platform.h"
 #include "standin/service.h"
@@ -23,7 +23,7 @@
 template <class Standin, class Options>
 int serveUntilSignal(const Options &options)
 {
-    blockEndSignals();
+    blockTerminationSignals();
     Standin standin(options);
     const auto address = standin.start();
     if (!succeeded(address)) {
@@ -31,7 +31,7 @@
         return exitFailure;
     }
     std::cout << "listening " << textOf(valueOf(address)) << std::endl;
-    waitForEndSignal();
+    waitForTerminationSignal();
     standin.stop();
     return 0;
 }
--- a/tests/adapter/ending_request_test.cpp
+++ b/tests/adapter/crashing_request_test.cpp
@@ -1,5 +1,5 @@
-#include "adapter/ending_runners.h"
-#include "adapter/following_instance.h"
+#include "adapter/crashing_runners.h"
+#include "adapter/follower_fixture.h"
 #include "platform/adapter.h"
 #include "poplarspool/base/http.h"
 
--- a/tests/adapter/ending_runners.h
+++ b/tests/adapter/crashing_runners.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "adapter/small_store.h"
+#include "adapter/fake_store.h"
 #include "base/http_fixture.h"
 
 #include <atomic>
@@ -83,7 +83,7 @@
                 return crash();
             }
             sendAll(fd, "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nwhole",
-                    poplarspool::test::safetyEnd(), -1);
+                    poplarspool::test::testDeadline(), -1);
         }
     }
 
--- a/tests/adapter/decode_bounds_test.cpp
+++ b/tests/adapter/decode_bounds_test.cpp
@@ -30,7 +30,7 @@
 }
 
 /// Decodes a table of three routes, the second of which is the given entry.
-read_routes decodeWith(const json &entry)
+decoded_routes decodeWith(const json &entry)
 {
     return valueOf(decodeRoutes(specOf({routeEntry("a"), entry, routeEntry("c")})));
 }
@@ -52,7 +52,7 @@
     json split = json::array();
     for (const std::string &number : numbers)
         split.push_back({{"service", "s"}, {"weight", json::parse(number)}});
-    const read_routes decoded = decodeWith(routeWithValue("split", split));
+    const decoded_routes decoded = decodeWith(routeWithValue("split", split));
     std::vector<std::uint32_t> weights;
     for (const auto &one : decoded.table.routes[1].services)
         weights.push_back(one.weight);
@@ -102,17 +102,17 @@
             json bad = routeWithValue(key, value);
             if (key == "resumable")
                 bad["kind"] = "streaming";
-            const read_routes decoded = decodeWith(bad);
+            const decoded_routes decoded = decodeWith(bad);
             const std::string description = key + " " + value.dump();
             CPPUNIT_ASSERT_EQUAL_MESSAGE(description, std::size_t{3}, decoded.table.routes.size());
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(description, std::size_t{1}, decoded.refused.size());
-            const std::string &reason = decoded.refused[0].message;
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(description, std::size_t{1}, decoded.rejected.size());
+            const std::string &reason = decoded.rejected[0].message;
             const std::string expectedPrefix =
                     key == "name" ? "route  at place 1:" : "route b at place 1:";
             CPPUNIT_ASSERT_MESSAGE(reason, reason.starts_with(expectedPrefix));
             const gateway::route &second = decoded.table.routes[1];
             CPPUNIT_ASSERT(second.host == "h" && second.pathPrefix == "/b/");
-            CPPUNIT_ASSERT(second.services.empty() && !second.isUnplaced);
+            CPPUNIT_ASSERT(second.services.empty() && !second.hasInvalidMatch);
             for (const std::size_t place : {0U, 2U})
                 CPPUNIT_ASSERT_EQUAL(std::size_t{1}, decoded.table.routes[place].services.size());
         }
@@ -126,9 +126,9 @@
         noHost.erase("host");
         for (const json &bad : {noHost, routeWithValue("pathPrefix", 1), routeWithValue("host", 5),
                                 json(3), json("b"), json(), json::array()}) {
-            const read_routes decoded = decodeWith(bad);
-            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, decoded.refused.size());
-            CPPUNIT_ASSERT(decoded.table.routes[1].isUnplaced);
+            const decoded_routes decoded = decodeWith(bad);
+            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, decoded.rejected.size());
+            CPPUNIT_ASSERT(decoded.table.routes[1].hasInvalidMatch);
             CPPUNIT_ASSERT(decoded.table.routes[1].services.empty());
         }
     }
@@ -138,8 +138,8 @@
         json spec = specOf({routeEntry("a")});
         spec["services"] = json::parse(R"([{"name":"x","engine":{"slots":-1}},{"name":7},3,
             {"name":"y","engine":{"slots":9,"kvCapacity":1e300}}])");
-        const read_routes decoded = valueOf(decodeRoutes(spec));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, decoded.refused.size());
+        const decoded_routes decoded = valueOf(decodeRoutes(spec));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, decoded.rejected.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, decoded.table.services.size());
         CPPUNIT_ASSERT_EQUAL(9U, decoded.table.services[0].engine->batch);
     }
@@ -200,7 +200,7 @@
         // Spreads the draws over the 64-bit range.
         constexpr std::uint64_t stride = 0x9e3779b97f4a7c15;
         for (std::uint64_t i = 0; i < 30'000; ++i)
-            ++counts[drawService(split, i * stride).text];
+            ++counts[pickServiceByWeight(split, i * stride).text];
         for (const char *name : {"a", "b", "c"})
             CPPUNIT_ASSERT(counts[name] > 9'000 && counts[name] < 11'000);
     }
@@ -211,7 +211,7 @@
         CPPUNIT_ASSERT_EQUAL(UINT32_MAX, withPriority.table.routes[1].rank);
         const auto withAttempts = decodeWith(routeWithValue("attempts", json::parse("4294967297")));
         CPPUNIT_ASSERT_EQUAL(UINT32_MAX, withAttempts.table.routes[1].maxRunners);
-        CPPUNIT_ASSERT(withPriority.refused.empty() && withAttempts.refused.empty());
+        CPPUNIT_ASSERT(withPriority.rejected.empty() && withAttempts.rejected.empty());
     }
 
     /// A route whose weights are all 0 selects an empty service name, which must match no runner.
@@ -234,10 +234,10 @@
             json spec = specOf(routes);
             for (int i = 1; i < 60; ++i)
                 spec["services"].push_back({{"name", "s" + std::to_string(i)}});
-            const read_routes decoded = valueOf(decodeRoutes(spec));
+            const decoded_routes decoded = valueOf(decodeRoutes(spec));
             CPPUNIT_ASSERT_EQUAL(count, decoded.table.routes.size());
             CPPUNIT_ASSERT_EQUAL(std::size_t{60}, decoded.table.services.size());
-            CPPUNIT_ASSERT(decoded.refused.empty());
+            CPPUNIT_ASSERT(decoded.rejected.empty());
         }
     }
 };
--- a/tests/adapter/decode_test.cpp
+++ b/tests/adapter/decode_test.cpp
@@ -46,16 +46,16 @@
         const auto table = valueOf(decodeRoutes(sampleRoutes())).table;
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, table.version);
         CPPUNIT_ASSERT(table.routes[0].isStream && table.routes[0].isResumable);
-        CPPUNIT_ASSERT(table.routes[0].repeats == gateway::repeat_rule::Idempotent);
-        CPPUNIT_ASSERT(table.routes[0].timeLimit == 3s && table.routes[0].objective == 1s);
-        CPPUNIT_ASSERT(table.routes[1].repeats == gateway::repeat_rule::AtMostOnce);
+        CPPUNIT_ASSERT(table.routes[0].retryPolicy == gateway::retry_policy::Idempotent);
+        CPPUNIT_ASSERT(table.routes[0].timeLimit == 3s && table.routes[0].latencyObjective == 1s);
+        CPPUNIT_ASSERT(table.routes[1].retryPolicy == gateway::retry_policy::AtMostOnce);
         CPPUNIT_ASSERT_EQUAL(90U, table.routes[1].services[0].weight);
         CPPUNIT_ASSERT_EQUAL(2U, table.routes[1].maxRunners);
         // An unknown kind runs at most once, whatever else the route says.
-        CPPUNIT_ASSERT(table.routes[2].repeats == gateway::repeat_rule::AtMostOnce);
+        CPPUNIT_ASSERT(table.routes[2].retryPolicy == gateway::retry_policy::AtMostOnce);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{808015}, table.services[0].engine->kvTokens);
         CPPUNIT_ASSERT(!table.services[1].engine);
-        CPPUNIT_ASSERT(table.bounds.idleTime == 15s);
+        CPPUNIT_ASSERT(table.callerLimits.idleTimeout == 15s);
     }
 
     void errorOfInvalidRoutesNamesTheKey()
@@ -74,7 +74,7 @@
         const json good = json::parse(R"({"service":"llm","address":"10.128.0.9:8080","zone":"a",
             "slots":16,"state":"in_service","stage":"decode","born":1700000000000})");
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1700000000000},
-                             valueOf(decodeRunner("i-1", good)).bornMs);
+                             valueOf(decodeRunner("i-1", good)).startedAtMs);
         const std::vector<std::pair<std::string, json>> faults{
                 {"service", 7},          {"service", nullptr}, {"address", 80}, {"address", "?"},
                 {"zone", json::array()}, {"slots", "many"},    {"slots", -1},   {"slots", 0},
@@ -129,12 +129,12 @@
     {
         const gateway::dialect engineDialect = platformDialect();
         CPPUNIT_ASSERT(
-                engineDialect.readReport(R"({"stage":"decode","busy":true,"seq":2,"queued":1})")
+                engineDialect.parseReport(R"({"stage":"decode","busy":true,"seq":2,"queued":1})")
                 == (gateway::engine_report{true, 2}));
-        CPPUNIT_ASSERT(!engineDialect.readReport("{}"));
-        CPPUNIT_ASSERT(!engineDialect.readReport("nonsense"));
-        const http_request order =
-                engineDialect.orderStage({gateway::engine_stage::Prefill, {"edge-1"}, 41, 2});
+        CPPUNIT_ASSERT(!engineDialect.parseReport("{}"));
+        CPPUNIT_ASSERT(!engineDialect.parseReport("nonsense"));
+        const http_request order = engineDialect.stageOrderRequest(
+                {gateway::engine_stage::Prefill, {"edge-1"}, 41, 2});
         CPPUNIT_ASSERT_EQUAL(std::string("POST"), order.method);
         CPPUNIT_ASSERT(json::parse(order.body)
                        == json::parse(R"({"opType":"stage","stage":"prefill","holder":"edge-1",
--- a/tests/adapter/decode_workspaces_test.cpp
+++ b/tests/adapter/decode_workspaces_test.cpp
@@ -23,7 +23,7 @@
     return made;
 }
 
-read_routes decodeWith(const char *workspaces)
+decoded_routes decodeWith(const char *workspaces)
 {
     return valueOf(decodeRoutes(configWith(json::parse(workspaces))));
 }
@@ -46,10 +46,10 @@
         const auto table = decodeWith(R"([{"name":"a","apiKeys":["k1","k2"],"priority":1},
             {"name":"\u0c15\u0c4a","apiKeys":[]}])")
                                    .table;
-        CPPUNIT_ASSERT(table.needsKeys && !table.hasUnreadKeys);
+        CPPUNIT_ASSERT(table.needsKeys && !table.hasUnreadableKeys);
         CPPUNIT_ASSERT(table.workspaces[0].keys.at(1) == digest128Of("k2"));
         CPPUNIT_ASSERT(table.workspaces[0].rank == 1U && !table.workspaces[1].rank);
-        CPPUNIT_ASSERT(!table.routes[0].isAnonymous && table.routes[1].isAnonymous);
+        CPPUNIT_ASSERT(!table.routes[0].allowsAnonymous && table.routes[1].allowsAnonymous);
     }
 
     void keysAreNotRequiredWithoutWorkspaces()
@@ -66,8 +66,8 @@
         const auto decoded = decodeWith(R"([7,{"name":"a","apiKeys":["k1",4]},{"name":"b"},
             {"name":"c","apiKeys":["k3"]}])");
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, decoded.table.workspaces.size());
-        CPPUNIT_ASSERT(decoded.table.hasUnreadKeys);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, decoded.refused.size());
+        CPPUNIT_ASSERT(decoded.table.hasUnreadableKeys);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, decoded.rejected.size());
     }
 
     /// The messages are logged: guards against keys in the log.
@@ -75,8 +75,8 @@
     {
         const auto decoded = decodeWith(R"([{"name":"a","apiKeys":"secret-1"},{"name":7,
             "apiKeys":["secret-2"]},"secret-3",{"name":"c","apiKeys":[["secret-4"]]}])");
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, decoded.refused.size());
-        for (const error &one : decoded.refused)
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, decoded.rejected.size());
+        for (const error &one : decoded.rejected)
             CPPUNIT_ASSERT_MESSAGE(one.message, one.message.find("secret") == std::string::npos);
     }
 
@@ -85,7 +85,7 @@
     {
         const auto decoded = decodeWith(R"([{"name":"a\r\nX: y","apiKeys":["k1"]},
             {"name":"","apiKeys":["k2"]}])");
-        CPPUNIT_ASSERT(decoded.table.workspaces.empty() && decoded.table.hasUnreadKeys);
+        CPPUNIT_ASSERT(decoded.table.workspaces.empty() && decoded.table.hasUnreadableKeys);
     }
 };
 
--- a/tests/adapter/duty_client_test.cpp
+++ b/tests/adapter/duty_client_test.cpp
@@ -77,7 +77,7 @@
         scripted_runner platform({{"", script_end::Stay}});
         client_fixture fixture;
         CPPUNIT_ASSERT(errorOf(fixture.report(platform)).ran == verdict::MayHaveRun);
-        while (!platform.wasLeft())
+        while (!platform.wasDisconnected())
             std::this_thread::sleep_for(1ms);
     }
 };
--- a/tests/adapter/small_store.h
+++ b/tests/adapter/fake_store.h
@@ -46,7 +46,7 @@
         std::string kind;
         std::string objectName; ///< Only of writes.
         std::chrono::steady_clock::time_point receivedAt;
-        bool isRefused = false; ///< Received during an outage.
+        bool isConnectionRefused = false; ///< Received during an outage.
     };
 
     /// @param connections Max concurrent connections.
@@ -160,12 +160,12 @@
     std::optional<http_reply> answer(const http_request &request)
     {
         call arrived = callOf(request);
-        arrived.isRefused = isDown;
+        arrived.isConnectionRefused = isDown;
         {
             const std::lock_guard lock(callsGuard);
             calls.push_back(arrived);
         }
-        if (arrived.isRefused)
+        if (arrived.isConnectionRefused)
             return std::nullopt;
         auto made = answerWhileUp(request);
         return isDown ? std::nullopt : std::move(made);
--- a/tests/adapter/following_instance.h
+++ b/tests/adapter/follower_fixture.h
@@ -34,7 +34,7 @@
                 ownSettings.peerAddress,
                 {},
                 ownSettings.zone,
-                gateway::newsAddressOf(ownSettings),
+                gateway::updateAddressOf(ownSettings),
                 {}};
     }
 
@@ -51,9 +51,9 @@
     const gateway::gateway_settings ownSettings;
     metrics_registry metrics;
     journal events;
-    gateway::catalogue_hub publisher{gateway::catalogue{}};
+    gateway::catalogue_publisher publisher{gateway::catalogue{}};
     store_client client;
-    gateway::catalogue_keeper catalogueUpdater;
+    gateway::catalogue_updater catalogueUpdater;
     store_follower follower;
 };
 
--- a/tests/adapter/pair_of_instances.h
+++ b/tests/adapter/follower_pair.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "adapter/following_instance.h"
-#include "adapter/small_store.h"
+#include "adapter/fake_store.h"
+#include "adapter/follower_fixture.h"
 
 #include <cppunit/TestAssert.h>
 #include <memory>
@@ -15,7 +15,7 @@
     made.instance.text = name;
     made.zone.text = "a";
     made.peerAddress = {"127.0.0.1", port};
-    made.sharesStoreNews = true;
+    made.sharesStoreUpdates = true;
     made.storeAddress = store.address();
     return made;
 }
@@ -45,8 +45,8 @@
             isStarted = succeeded(one->follower.start()) && succeeded(two->follower.start());
         }
         CPPUNIT_ASSERT(isStarted);
-        one->follower.setListed({one->entry(), two->entry()});
-        two->follower.setListed({one->entry(), two->entry()});
+        one->follower.setInstances({one->entry(), two->entry()});
+        two->follower.setInstances({one->entry(), two->entry()});
     }
 
     static gateway::gateway_settings changed(gateway::gateway_settings made,
--- a/tests/adapter/instances_test.cpp
+++ b/tests/adapter/instances_test.cpp
@@ -1,5 +1,5 @@
-#include "adapter/following_instance.h"
-#include "adapter/small_store.h"
+#include "adapter/fake_store.h"
+#include "adapter/follower_fixture.h"
 #include "platform/adapter.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/adapter/kind_watch_test.cpp
+++ b/tests/adapter/kind_watch_test.cpp
@@ -1,4 +1,4 @@
-#include "adapter/following_instance.h"
+#include "adapter/follower_fixture.h"
 #include "adapter/scripted_store.h"
 #include "platform/kind_watch.h"
 #include "platform/names.h"
@@ -21,7 +21,7 @@
 using test::scripted_store;
 
 /// Bounds with a watch time of 10 s, longer than any of these tests.
-constexpr news_bounds longBounds{1min, 1min};
+constexpr staleness_bounds longBounds{1min, 1min};
 
 /// A watch of one kind, with a record of its handler calls.
 struct watch_fixture
@@ -39,16 +39,16 @@
             listSizes.push_back(objects.size());
             throwIfRemaining(throwingLists);
         };
-        handlers.onChanges = [this](const std::vector<store_change> &, store_span) {
+        handlers.onChanges = [this](const std::vector<store_change> &, revision_range) {
             throwIfRemaining(throwingChanges);
         };
-        handlers.onAnswer = [this](const store_answer &answer) {
+        handlers.onConfirmation = [this](const store_confirmation &answer) {
             const std::lock_guard lock(guard);
             revisions.push_back(answer.version.revision);
             confirmed.notify_all();
         };
         handlers.onFailure = [](mono_time) {};
-        handlers.onOlderCopy = [](mono_time) {};
+        handlers.onStoreRollback = [](mono_time) {};
         kind_watch watch("k", longBounds, client, handlers, {}, systemClock(), store.metrics,
                          events);
         watch.start();
@@ -82,10 +82,10 @@
 {
     kind_handlers made;
     made.onList = [](const std::vector<store_object> &, store_version) {};
-    made.onChanges = [](const std::vector<store_change> &, store_span) {};
-    made.onAnswer = [](const store_answer &) {};
+    made.onChanges = [](const std::vector<store_change> &, revision_range) {};
+    made.onConfirmation = [](const store_confirmation &) {};
     made.onFailure = [&failures](mono_time) { ++failures; };
-    made.onOlderCopy = [](mono_time) {};
+    made.onStoreRollback = [](mono_time) {};
     return made;
 }
 
@@ -168,11 +168,11 @@
         const auto other = jsonReply(R"({"items":[{"metadata":{"name":"b"}}],
                                          "truncated":true,"currentRev":5})");
         std::deque<http_reply> alternating;
-        for (std::size_t i = 0; i <= config::storeListPagesMost; ++i)
+        for (std::size_t i = 0; i <= config::maxStoreListPages; ++i)
             alternating.push_back(i % 2 == 0 ? same : other);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pagesUntilBroken({nameless, nameless}));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, pagesUntilBroken({same, same, same}));
-        CPPUNIT_ASSERT_EQUAL(config::storeListPagesMost, pagesUntilBroken(alternating));
+        CPPUNIT_ASSERT_EQUAL(config::maxStoreListPages, pagesUntilBroken(alternating));
     }
 
     /// Another writer puts objects into the list that have invalid UTF-8 or lack required keys.
@@ -277,18 +277,19 @@
     /// `afterChange` after it left: the two times do not add up.
     void unansweredWatchMeetsTheStalenessBounds()
     {
-        for (const news_bounds &bounds :
-             {news_bounds{3s, 2s}, news_bounds{4s, 3s}, news_bounds{5s, 4s}, news_bounds{2s, 3s}}) {
+        for (const staleness_bounds &bounds :
+             {staleness_bounds{3s, 2s}, staleness_bounds{4s, 3s}, staleness_bounds{5s, 4s},
+              staleness_bounds{2s, 3s}}) {
             const milliseconds detectedAfter =
-                    watchTimeFor(bounds) + config::storeReadTime + config::storeNoticeTime;
-            const milliseconds maxDelay = std::max(bounds.settle, bounds.inForce);
+                    watchTimeFor(bounds) + config::storeReadTimeout + config::watchLossLag;
+            const milliseconds maxDelay = std::max(bounds.afterRecovery, bounds.afterChange);
             CPPUNIT_ASSERT_MESSAGE("detected after " + std::to_string(detectedAfter.count())
                                            + " ms",
                                    detectedAfter == maxDelay);
         }
         CPPUNIT_ASSERT(watchTimeFor({5s, 4s}) > watchTimeFor({3s, 2s}));
-        CPPUNIT_ASSERT(watchTimeFor({500ms, 500ms}) == config::gatewayWatchTimeLeast);
-        CPPUNIT_ASSERT(watchTimeFor({1min, 1min}) == config::gatewayWatchTimeMost);
+        CPPUNIT_ASSERT(watchTimeFor({500ms, 500ms}) == config::minGatewayWatchTime);
+        CPPUNIT_ASSERT(watchTimeFor({1min, 1min}) == config::maxGatewayWatchTime);
     }
 
     /// An instance that follows a kind itself is informed that another one has lost the store.
@@ -300,9 +301,9 @@
                          systemClock(), fixture.store.metrics, fixture.events);
         watch.start();
         CPPUNIT_ASSERT(test::waitUntil([&] { return watch.state().isListed; }));
-        watch.takeRelayed({5, {0, 6}}, systemClock().mono(), [] { return true; });
+        watch.applyRelayed({5, {0, 6}}, systemClock().mono(), [] { return true; });
         const int before = failures;
-        watch.noteLossElsewhere();
+        watch.recordRelayStoreLoss();
         CPPUNIT_ASSERT(failures > before);
         fixture.client.stop();
         watch.stop();
--- a/tests/adapter/other_version_test.cpp
+++ b/tests/adapter/mixed_versions_test.cpp
@@ -1,5 +1,5 @@
-#include "adapter/pair_of_instances.h"
-#include "poplarspool/peer/store_relay.h"
+#include "adapter/follower_pair.h"
+#include "poplarspool/peer/store_update_exchange.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -26,7 +26,7 @@
 }
 
 /// Routes of version 99 and a runner i-9, which the store never had.
-peer::store_news updateFor(const follower_fixture &one)
+peer::store_update updateFor(const follower_fixture &one)
 {
     const auto before = one.publisher.current()->table;
     gateway::route_table after = *before;
@@ -67,15 +67,15 @@
         metrics_registry metrics;
         journal events({"other"}, systemClock(), 16);
         const gateway::gateway_settings other = settingsFor(store, "edge-2", port + 2);
-        peer::store_relay exchange(
-                {other.instance, gateway::lifeOf(systemClock()), gateway::newsAddressOf(other),
-                 gateway::peerKeyOf(other)},
+        peer::store_update_exchange exchange(
+                {other.instance, gateway::incarnationOf(systemClock()),
+                 gateway::updateAddressOf(other), gateway::peerKeyOf(other)},
                 [update = updateFor(*one)] {
-                    return peer::relay_turn{update, 50ms};
+                    return peer::relay_iteration{update, 50ms};
                 },
-                [](std::uint64_t, const peer::store_news &) {}, metrics, events);
+                [](std::uint64_t, const peer::store_update &) {}, metrics, events);
         CPPUNIT_ASSERT(succeeded(exchange.start()));
-        exchange.setPeers({gateway::newsAddressOf(one->ownSettings)});
+        exchange.setPeers({gateway::updateAddressOf(one->ownSettings)});
         CPPUNIT_ASSERT(waitUntil([&] { return one->find("i-9") != nullptr; }));
         CPPUNIT_ASSERT(hasRoutes(*one, 4));
         store.put(wire::configKind, wire::configName, configSpec(6, 3));
--- a/tests/adapter/nested_json_test.cpp
+++ b/tests/adapter/nested_json_test.cpp
@@ -1,5 +1,5 @@
 #include "adapter/scripted_store.h"
-#include "own_process.h"
+#include "clean_exit.h"
 #include "platform/dialect.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-using poplarspool::test::expectEndsWell;
+using poplarspool::test::expectCleanExit;
 using test::jsonReply;
 using test::scripted_store;
 
@@ -37,7 +37,7 @@
     /// restart.
     void nestedObjectDoesNotHideOthers()
     {
-        expectEndsWell([] {
+        expectCleanExit([] {
             scripted_store store({jsonReply(
                     R"({"items":[{"metadata":{"name":"a"},"spec":)" + nested()
                     + R"(},{"metadata":{"name":"b"},"spec":{"x":1}}],)" + R"("currentRev":5})")});
@@ -50,7 +50,7 @@
 
     void nestedChangeDoesNotHideOthers()
     {
-        expectEndsWell([] {
+        expectCleanExit([] {
             scripted_store store(
                     {jsonReply(R"({"events":[{"object":{"metadata":)" + nested()
                                + R"(}},{"object":{"metadata":{"name":"b"},"spec":{"x":1}}}],)"
@@ -64,7 +64,7 @@
 
     void nestedConflictReplyIsDecoded()
     {
-        expectEndsWell([] {
+        expectCleanExit([] {
             const std::string storedObject =
                     R"({"metadata":{"name":"n"},"spec":{"x":)" + nested() + "}}";
             scripted_store store({jsonReply(storedObject, 409), jsonReply("{}")});
@@ -75,11 +75,11 @@
 
     void nestedRunnerRepliesAreRejected()
     {
-        expectEndsWell([] {
+        expectCleanExit([] {
             const gateway::dialect engineDialect = platformDialect();
-            return !engineDialect.readReport(R"({"seq":)" + nested() + "}")
-                    && !engineDialect.readReport(R"({"busy":)" + nested() + R"(,"seq":1})")
-                    && !engineDialect.readHandle(R"({"kvHandle":)" + nested() + "}");
+            return !engineDialect.parseReport(R"({"seq":)" + nested() + "}")
+                    && !engineDialect.parseReport(R"({"busy":)" + nested() + R"(,"seq":1})")
+                    && !engineDialect.parseHandle(R"({"kvHandle":)" + nested() + "}");
         });
     }
 };
--- a/tests/adapter/odd_numbers_test.cpp
+++ b/tests/adapter/number_range_test.cpp
@@ -2,7 +2,7 @@
 #include "platform/decode.h"
 #include "platform/dialect.h"
 #include "platform/store_wire.h"
-#include "poplarspool/gateway/catalogue_keeper.h"
+#include "poplarspool/gateway/catalogue_updater.h"
 
 #include <array>
 #include <cppunit/extensions/HelperMacros.h>
@@ -64,7 +64,7 @@
             for (const json &number : {json(-1), json(-1.5), json(-1e300)}) {
                 const auto decoded = decodeRoutes(routesWith(pointer, number));
                 CPPUNIT_ASSERT_MESSAGE(pointer,
-                                       !succeeded(decoded) || !valueOf(decoded).refused.empty());
+                                       !succeeded(decoded) || !valueOf(decoded).rejected.empty());
             }
         }
     }
@@ -79,7 +79,8 @@
             CPPUNIT_ASSERT(withTimeLimit.routes[0].timeLimit == 24h);
             const auto withIdleTimeout =
                     valueOf(decodeRoutes(routesWith("/limits/idleTimeoutMs", number))).table;
-            CPPUNIT_ASSERT(gateway::callerLimitsOf(withIdleTimeout.bounds).keepAliveTime >= 24h);
+            CPPUNIT_ASSERT(gateway::callerLimitsOf(withIdleTimeout.callerLimits).keepAliveTimeout
+                           >= 24h);
             CPPUNIT_ASSERT(succeeded(gateway::encode(withTimeLimit, {})));
             CPPUNIT_ASSERT(valueOf(gateway::decodeRouteTable(
                                    valueOf(gateway::encode(withTimeLimit, {})), {}))
@@ -97,7 +98,7 @@
             const auto withBodyLimit =
                     valueOf(decodeRoutes(routesWith("/limits/maxBodyBytes", number))).table;
             CPPUNIT_ASSERT_EQUAL(std::size_t{std::numeric_limits<std::uint32_t>::max()},
-                                 withBodyLimit.bounds.bodyBytes);
+                                 withBodyLimit.callerLimits.bodyBytes);
         }
     }
 
@@ -112,7 +113,7 @@
         CPPUNIT_ASSERT(!succeeded(decodeLease({{"holder", "a"}, {"fence", -1}}, {})));
         CPPUNIT_ASSERT_EQUAL(std::numeric_limits<std::uint64_t>::max(),
                              valueOf(decodeLease({{"holder", "a"}, {"fence", 1e300}}, {})).fence);
-        CPPUNIT_ASSERT(!platformDialect().readReport(R"({"busy":false,"seq":-1})"));
+        CPPUNIT_ASSERT(!platformDialect().parseReport(R"({"busy":false,"seq":-1})"));
     }
 
     void negativeRevisionsAreRejected()
--- a/tests/adapter/short_bounds_test.cpp
+++ b/tests/adapter/short_staleness_bounds_test.cpp
@@ -1,5 +1,5 @@
-#include "adapter/pair_of_instances.h"
-#include "own_process.h"
+#include "adapter/follower_pair.h"
+#include "clean_exit.h"
 #include "poplarspool/config.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -43,14 +43,14 @@
     });
     if (!waitUntil([&] { return both.bothHave(4, false); }))
         return false;
-    std::this_thread::sleep_for(2 * config::standInTimeMost);
+    std::this_thread::sleep_for(2 * config::maxTakeoverDelay);
     store.put(wire::configKind, wire::configName, configSpec(9));
     if (!waitUntil([&] { return both.bothHave(9, false); }))
         return false;
     store.stop();
     if (!waitUntil([&] { return haveBothLogged(both, "store_lost"); }))
         return false;
-    std::this_thread::sleep_for(2 * config::storeNewsTime);
+    std::this_thread::sleep_for(2 * config::storeUpdateInterval);
     return !hasAnyLogged(both, "store_telling_began")
             && !hasAnyLogged(both, "store_followed_by_others");
 }
@@ -70,7 +70,7 @@
     void storeLossDoesNotTerminateInstances()
     {
         for (int i = 0; i < losses; ++i)
-            poplarspool::test::expectEndsWell(followAndLoseStore);
+            poplarspool::test::expectCleanExit(followAndLoseStore);
     }
 
     /// The kind with a long bound is still followed by one instance for both.
--- a/tests/adapter/store_follower_test.cpp
+++ b/tests/adapter/store_follower_test.cpp
@@ -1,4 +1,4 @@
-#include "adapter/pair_of_instances.h"
+#include "adapter/follower_pair.h"
 #include "platform/kind_watch.h"
 #include "platform/names.h"
 #include "poplarspool/config.h"
@@ -73,11 +73,11 @@
     void confirmationsLastUntilTheNextOne()
     {
         for (const milliseconds bound : {2s, 3s, 4s}) {
-            const news_bounds bounds{bound + 1s, bound};
-            const milliseconds cycle = tellersWatchTimeFor(bounds) + config::tellersWatchGap
-                    + config::storeConfirmDelay + config::storeNewsTime;
+            const staleness_bounds bounds{bound + 1s, bound};
+            const milliseconds cycle = relayWatchTimeFor(bounds) + config::relayWatchGap
+                    + config::storeConfirmDelay + config::storeUpdateInterval;
             CPPUNIT_ASSERT(cycle < trustTimeFor(bounds));
-            CPPUNIT_ASSERT(trustTimeFor(bounds) + config::untoldNoticeTime <= bound);
+            CPPUNIT_ASSERT(trustTimeFor(bounds) + config::confirmationLossLag <= bound);
         }
         CPPUNIT_ASSERT(trustTimeFor({1s, 1s}) == 0ms);
     }
--- a/tests/adapter/turned_away_test.cpp
+++ b/tests/adapter/store_refusal_test.cpp
@@ -1,4 +1,4 @@
-#include "adapter/following_instance.h"
+#include "adapter/follower_fixture.h"
 #include "adapter/scripted_store.h"
 #include "platform/kind_watch.h"
 #include "platform/names.h"
@@ -112,21 +112,21 @@
     {
         kind_handlers made;
         made.onList = [](const std::vector<store_object> &, store_version) {};
-        made.onChanges = [](const std::vector<store_change> &, store_span) {};
-        made.onAnswer = [](const store_answer &) {};
+        made.onChanges = [](const std::vector<store_change> &, revision_range) {};
+        made.onConfirmation = [](const store_confirmation &) {};
         made.onFailure = [this](mono_time sentAt) { failures.push_back(sentAt); };
-        made.onOlderCopy = [](mono_time) {};
+        made.onStoreRollback = [](mono_time) {};
         return made;
     }
 
-    news_sources callbacks(const manual_clock &clock) const
+    relay_callbacks callbacks(const manual_clock &clock) const
     {
-        news_sources made;
-        made.isShared = true;
+        relay_callbacks made;
+        made.mayBeRelayed = true;
         made.coveredUntil = [this, &clock](const kind_state &) {
             return isCovered ? std::optional(clock.now() + 1h) : std::nullopt;
         };
-        made.isTelling = [] { return false; };
+        made.isRelay = [] { return false; };
         return made;
     }
 
@@ -178,7 +178,7 @@
         CPPUNIT_ASSERT(waitUntil([&] { return one.hasLogged("store_regained"); }));
         const auto entry = one.find("i-1");
         const mono_time lastArrival =
-                (entry ? entry->keptUntil : clock.now()) + config::forgivenMargin;
+                (entry ? entry->retainedUntil : clock.now()) + config::gracePeriodMargin;
         const milliseconds after =
                 std::chrono::duration_cast<milliseconds>(lastArrival - recoveredAt);
         CPPUNIT_ASSERT_MESSAGE("used for " + std::to_string(after.count())
@@ -197,11 +197,11 @@
         relayed_watch one(store, clock);
         one.watch.start();
         CPPUNIT_ASSERT(waitUntil([&] { return one.isIdle(); }));
-        one.watch.takeRelayed({5, {0, 6}}, clock.now(), [] { return true; });
+        one.watch.applyRelayed({5, {0, 6}}, clock.now(), [] { return true; });
         const mono_time lastUpdateAt = clock.now();
         clock.advance(9s);
         one.isCovered = false;
-        one.watch.noteLossElsewhere();
+        one.watch.recordRelayStoreLoss();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, one.failures.size());
         CPPUNIT_ASSERT(one.failures.front() <= lastUpdateAt);
     }
--- a/tests/adapter/older_copy_herd_test.cpp
+++ b/tests/adapter/store_rollback_load_test.cpp
@@ -1,4 +1,4 @@
-#include "adapter/small_store.h"
+#include "adapter/fake_store.h"
 #include "platform/adapter.h"
 #include "platform/names.h"
 
@@ -55,7 +55,7 @@
     for (endpoint *each : {&made.callerAddress, &made.readinessAddress, &made.directoryAddress,
                            &made.loadAddress, &made.metricsAddress, &made.peerAddress})
         *each = {host, port++};
-    made.sharesStoreNews = true;
+    made.sharesStoreUpdates = true;
     made.storeAddress = store.address();
     made.leaveSeconds = 1;
     return made;
@@ -97,13 +97,13 @@
 {
     call_statistics made;
     for (const fake_store::call &one : calls) {
-        if (one.isRefused) {
+        if (one.isConnectionRefused) {
             ++made.refused;
         } else if (one.receivedAt >= restoredAt) {
             ++made.counts[nameOf(one)];
             ++made.byBucket[nameOf(one)][(one.receivedAt - restoredAt) / bucketTime];
         }
-        if (one.type == operation::Write && !one.isRefused)
+        if (one.type == operation::Write && !one.isConnectionRefused)
             ++made.writes[one.objectName];
     }
     return made;
--- a/tests/adapter/older_copy_stress_test.cpp
+++ b/tests/adapter/store_rollback_stress_test.cpp
@@ -1,5 +1,5 @@
-#include "adapter/following_instance.h"
-#include "adapter/small_store.h"
+#include "adapter/fake_store.h"
+#include "adapter/follower_fixture.h"
 #include "platform/names.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -41,7 +41,7 @@
 bool isUsed(const follower_fixture &one, int runner)
 {
     const auto entry = one.find(nameOf(runner));
-    return entry && !entry->isDraining && entry->keptUntil == mono_time::max();
+    return entry && !entry->isDraining && entry->retainedUntil == mono_time::max();
 }
 
 /// Instances that follow one store and send each other updates, and the actual state of the
@@ -74,7 +74,8 @@
         registerRunner(runner);
     }
 
-    /// Restores the snapshot of a random earlier round. writeAgain() writes the lost changes again.
+    /// Restores the snapshot of a random earlier round. replayLostWrites() writes the lost changes
+    /// again.
     void rollBack() { store.restoreSnapshot(snapshots[generator() % snapshots.size()]); }
 
     void takeSnapshot() { snapshots.push_back(store.takeSnapshot()); }
@@ -113,7 +114,7 @@
         if (!succeeded(newInstance.follower.start()))
             return false;
         return waitUntil([&] {
-            newInstance.follower.setListed(listedInstances());
+            newInstance.follower.setInstances(listedInstances());
             return newInstance.hasLogged("runners_listed") && !isUsed(newInstance, runner);
         });
     }
@@ -140,7 +141,7 @@
         std::vector<gateway::listed_gateway> listed;
         for (const auto &one : instances) {
             listed.push_back(one->entry());
-            listed.back().outdated = one->follower.marksToTell();
+            listed.back().outdated = one->follower.markersToPublish();
         }
         return listed;
     }
@@ -173,14 +174,14 @@
             made.instance.text = "edge-" + std::to_string(i);
             made.zone.text = "a";
             made.peerAddress = {"127.0.0.1", static_cast<std::uint16_t>(firstPort + 2 * i)};
-            made.sharesStoreNews = true;
+            made.sharesStoreUpdates = true;
             made.storeAddress = store.address();
             instances.push_back(std::make_unique<follower_fixture>(made));
             isStarted = isStarted && succeeded(instances.back()->follower.start());
             listed.push_back(instances.back()->entry());
         }
         for (const auto &one : instances)
-            one->follower.setListed(listed);
+            one->follower.setInstances(listed);
     }
 
     std::mt19937 generator;
--- a/tests/adapter/older_copy_test.cpp
+++ b/tests/adapter/store_rollback_test.cpp
@@ -1,5 +1,5 @@
-#include "adapter/following_instance.h"
-#include "adapter/small_store.h"
+#include "adapter/fake_store.h"
+#include "adapter/follower_fixture.h"
 #include "platform/adapter.h"
 #include "platform/names.h"
 
@@ -77,7 +77,8 @@
     follower_fixture one(reader);
     for (const gateway::listed_gateway &each : listInstances(one)) {
         if (each.id.text == instance
-            && std::ranges::find(each.outdated, runner_id{runner}, &gateway::entry_mark::id)
+            && std::ranges::find(each.outdated, runner_id{runner},
+                                 &gateway::outdated_entry_marker::id)
                     != each.outdated.end())
             return true;
     }
@@ -169,7 +170,7 @@
         putRunner(store, "a", "in_service", 2);
         CPPUNIT_ASSERT(waitUntil([&] {
             const auto entry = one.find("a");
-            return entry && entry->writes == 2 && entry->keptUntil == mono_time::max();
+            return entry && entry->writes == 2 && entry->retainedUntil == mono_time::max();
         }));
     }
 
@@ -272,7 +273,7 @@
         const int writeCount = store.writes;
         follower_fixture newInstance(settingsFor(store));
         CPPUNIT_ASSERT(succeeded(newInstance.follower.start()));
-        newInstance.follower.setListed(listInstances(newInstance));
+        newInstance.follower.setInstances(listInstances(newInstance));
         const bool isAvoided = waitUntil(
                 [&] { return isUsed(newInstance, "stays") && !isUsed(newInstance, "gone"); });
         markingInstance.leave();
--- a/tests/adapter/store_wire_test.cpp
+++ b/tests/adapter/store_wire_test.cpp
@@ -38,8 +38,8 @@
     void deeplyNestedObjectsDoNotHideOthers()
     {
         for (const std::string &deep : {nested(100'000), "{\"a\":" + nested(100'000) + "}"}) {
-            const auto body = parsedAnswer(R"({"items":[{"metadata":{"name":"a"},"spec":)" + deep
-                                           + R"(},{"metadata":{"name":"[b"},"spec":[[1]]}],
+            const auto body = parseStoreReply(R"({"items":[{"metadata":{"name":"a"},"spec":)" + deep
+                                              + R"(},{"metadata":{"name":"[b"},"spec":[[1]]}],
                                                "currentRev":9})");
             const auto page = pageOf(nlohmann::json(body), 0);
             CPPUNIT_ASSERT(page.has_value());
@@ -54,7 +54,7 @@
     void unreadableEventDoesNotHideOthers()
     {
         const auto watched = changesOf(
-                parsedAnswer(R"({"events":[{"object":{"metadata":{"name":"a"}},"removed":"no"},7,
+                parseStoreReply(R"({"events":[{"object":{"metadata":{"name":"a"}},"removed":"no"},7,
                                            {"removed":true},
                                            {"object":{"metadata":{"name":"b"}},"removed":true}],
                                  "currentRev":9})"),
@@ -103,10 +103,10 @@
     void handlesInvalidInHeadersAreRejected()
     {
         const gateway::dialect engineDialect = platformDialect();
-        CPPUNIT_ASSERT(engineDialect.readHandle(R"({"kvHandle":"a-1"})") == "a-1");
+        CPPUNIT_ASSERT(engineDialect.parseHandle(R"({"kvHandle":"a-1"})") == "a-1");
         for (const char *body : {R"({"kvHandle":"a\r\nX: y"})", R"({"kvHandle":"a b"})",
                                  R"({"kvHandle":""})", R"({"kvHandle":"\u0000"})"})
-            CPPUNIT_ASSERT(!engineDialect.readHandle(body));
+            CPPUNIT_ASSERT(!engineDialect.parseHandle(body));
     }
 };
 
--- a/tests/adapter/table_sizes_test.cpp
+++ b/tests/adapter/table_sizes_test.cpp
@@ -1,4 +1,4 @@
-#include "adapter/pair_of_instances.h"
+#include "adapter/follower_pair.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/adapter/swallowed_watch_test.cpp
+++ b/tests/adapter/unanswered_watch_test.cpp
@@ -124,8 +124,8 @@
         const milliseconds requestedWait = store.awaitWatchTime();
         instance.leave();
         // After its time-out follow a pause and a short watch, which is answered at once.
-        const milliseconds replacedAfter = requestedWait + config::storeReadTime
-                + 2 * config::gatewayStorePauseFirst + config::storeProbeWatchTime;
+        const milliseconds replacedAfter = requestedWait + config::storeReadTimeout
+                + 2 * config::initialGatewayStorePause + config::storeProbeWatchTime;
         CPPUNIT_ASSERT_MESSAGE("unanswered watch replaced after "
                                        + std::to_string(replacedAfter.count()) + " ms",
                                replacedAfter < maxRecoveryDelay);
--- a/tests/base/scarce_memory.cpp
+++ b/tests/base/allocation_limit.cpp
@@ -1,4 +1,4 @@
-#include "base/scarce_memory.h"
+#include "base/allocation_limit.h"
 
 #include <atomic>
 #include <cstdlib>
@@ -43,12 +43,12 @@
 
 namespace poplarspool::test {
 
-scarce_memory::scarce_memory(std::size_t maxBytes)
+allocation_limit::allocation_limit(std::size_t maxBytes)
 {
     maxAllocation = maxBytes;
 }
 
-scarce_memory::~scarce_memory()
+allocation_limit::~allocation_limit()
 {
     maxAllocation = std::numeric_limits<std::size_t>::max();
 }
--- a/tests/base/bounded_json_test.cpp
+++ b/tests/base/bounded_json_test.cpp
@@ -33,11 +33,11 @@
         const std::string deepest = nested(config::maxJsonDepth);
         CPPUNIT_ASSERT_EQUAL(deepest, parseJson(deepest).dump());
         CPPUNIT_ASSERT_EQUAL(deepest, parseJsonOrThrow(deepest).dump());
-        CPPUNIT_ASSERT_EQUAL(deepest, parseJsonCut(deepest).dump());
+        CPPUNIT_ASSERT_EQUAL(deepest, parseJsonPruned(deepest).dump());
         const std::string tooDeep = nested(config::maxJsonDepth + 1);
         CPPUNIT_ASSERT(parseJson(tooDeep).is_discarded());
         CPPUNIT_ASSERT_THROW(parseJsonOrThrow(tooDeep), json::exception);
-        CPPUNIT_ASSERT_EQUAL(nested(config::maxJsonDepth, "null"), parseJsonCut(tooDeep).dump());
+        CPPUNIT_ASSERT_EQUAL(nested(config::maxJsonDepth, "null"), parseJsonPruned(tooDeep).dump());
     }
 
     void ignoresBracketsInStrings()
@@ -53,7 +53,7 @@
     {
         const std::string deep = nested(config::maxJsonDepth - 1, R"({"]":"}"},7,{"a":[[1],2]})");
         const std::string text = R"([{"b":1},)" + deep + R"(,{"c":"]"}])";
-        const json kept = parseJsonCut(text);
+        const json kept = parseJsonPruned(text);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, kept.size());
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"b":1})"), kept[0].dump());
         CPPUNIT_ASSERT_EQUAL(nested(config::maxJsonDepth - 1, "null,7,null"), kept[1].dump());
@@ -64,7 +64,7 @@
     {
         for (const char *text : {"", "]", "[", "{]", "[1", "\"", "[}]"}) {
             CPPUNIT_ASSERT(parseJson(text).is_discarded());
-            CPPUNIT_ASSERT(parseJsonCut(text).is_discarded());
+            CPPUNIT_ASSERT(parseJsonPruned(text).is_discarded());
             CPPUNIT_ASSERT_THROW(parseJsonOrThrow(text), json::exception);
         }
     }
--- a/tests/base/connection_threads_test.cpp
+++ b/tests/base/connection_threads_test.cpp
@@ -17,7 +17,7 @@
     {
         metrics_registry metrics;
         journal events({"edge-1"}, systemClock(), 8);
-        connection_threads threads("calls", 1, stepFaultsOf(events, metrics));
+        connection_threads threads("calls", 1, stepFailureReporterOf(events, metrics));
         std::atomic<int> done{0};
         for (int wanted = 1; wanted <= 3; ++wanted) {
             const auto job = [&] {
--- a/tests/base/http_fixture.h
+++ b/tests/base/http_fixture.h
@@ -18,17 +18,17 @@
 using namespace std::chrono_literals;
 
 /// Time limit of every wait for an expected event. The test fails when it expires.
-constexpr milliseconds safetyTime = 20s;
+constexpr milliseconds testTimeout = 20s;
 
-inline socket_deadline safetyEnd()
+inline socket_deadline testDeadline()
 {
-    return socket_clock::now() + safetyTime;
+    return socket_clock::now() + testTimeout;
 }
 
 template <class T>
 T await(std::future<T> &future)
 {
-    if (future.wait_for(safetyTime) != std::future_status::ready)
+    if (future.wait_for(testTimeout) != std::future_status::ready)
         CPPUNIT_FAIL("no result within the test timeout");
     return future.get();
 }
@@ -40,7 +40,7 @@
     std::string all;
     std::array<char, 4096> bytes{};
     while (text.empty() || all.find(text) == std::string::npos) {
-        const received some = receiveSome(fd, bytes.data(), bytes.size(), safetyEnd(), -1);
+        const receive_result some = receiveSome(fd, bytes.data(), bytes.size(), testDeadline(), -1);
         CPPUNIT_ASSERT(some.fault != socket_fault::TimedOut);
         if (isReset != nullptr)
             *isReset = some.fault == socket_fault::Closed && !some.isEnd;
@@ -56,12 +56,12 @@
 public:
     explicit raw_caller(const endpoint &to)
     {
-        auto outcome = connectTo(to, safetyEnd(), -1);
+        auto outcome = connectTo(to, testDeadline(), -1);
         CPPUNIT_ASSERT(succeeded(outcome));
         connection = std::move(valueOf(outcome));
     }
 
-    void send(std::string_view bytes) { sendAll(connection.get(), bytes, safetyEnd(), -1); }
+    void send(std::string_view bytes) { sendAll(connection.get(), bytes, testDeadline(), -1); }
 
     void endSending() { shutdown(connection.get(), SHUT_WR); }
     std::string readToEnd() { return readUntil(connection.get(), {}, &isReset); }
@@ -108,7 +108,7 @@
         if (!connection.isOpen())
             return;
         readUntil(connection.get(), "\r\n\r\n");
-        sendAll(connection.get(), reply, safetyEnd(), -1);
+        sendAll(connection.get(), reply, testDeadline(), -1);
     }
 
     descriptor listener;
--- a/tests/base/http_pool_test.cpp
+++ b/tests/base/http_pool_test.cpp
@@ -34,7 +34,7 @@
     {
         sink.begin(200, {}, "text/plain");
         entered.set_value();
-        release.get_future().wait_for(safetyTime);
+        release.get_future().wait_for(testTimeout);
         return std::nullopt;
     }
 
@@ -66,14 +66,14 @@
             const scripted_server taken("");
             closed = taken.address();
         }
-        const auto outcome = pool.send(closed, get, safetyTime);
+        const auto outcome = pool.send(closed, get, testTimeout);
         CPPUNIT_ASSERT(errorOf(outcome).code == error_code::Unavailable);
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::NotRun);
     }
 
     void hostNamesAreRejected()
     {
-        const auto outcome = pool.send({"localhost", 1}, get, safetyTime);
+        const auto outcome = pool.send({"localhost", 1}, get, testTimeout);
         CPPUNIT_ASSERT(errorOf(outcome).code == error_code::BadRequest);
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::NotRun);
     }
@@ -84,14 +84,14 @@
     {
         blocking_server server(metrics);
         auto call = std::async(std::launch::async,
-                               [&] { return pool.send(server.at, get, safetyTime * 2); });
+                               [&] { return pool.send(server.at, get, testTimeout * 2); });
         auto isIn = server.entered.get_future();
         await(isIn);
         pool.stop();
         const auto outcome = await(call);
         CPPUNIT_ASSERT(errorOf(outcome).code == error_code::Unavailable);
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::MayHaveRun);
-        CPPUNIT_ASSERT(errorOf(pool.send(server.at, get, safetyTime)).ran == verdict::NotRun);
+        CPPUNIT_ASSERT(errorOf(pool.send(server.at, get, testTimeout)).ran == verdict::NotRun);
     }
 
     // The server writes endlessly and faster than the client reads, so no single read blocks. The
@@ -103,7 +103,7 @@
                 [](const http_request &, http_sink &sink) -> std::optional<http_reply> {
                     sink.begin(200, {}, "text/plain");
                     const std::string piece(64 * 1024, 'x');
-                    const socket_deadline end = safetyEnd();
+                    const socket_deadline end = testDeadline();
                     while (sink.write(piece) && socket_clock::now() < end) { }
                     return std::nullopt;
                 },
@@ -124,11 +124,11 @@
         CPPUNIT_ASSERT(socketpair(AF_UNIX, SOCK_STREAM, 0, ends.data()) == 0);
         const descriptor reader(ends[0]);
         const descriptor writer(ends[1]);
-        sendAll(writer.get(), "bytes", safetyEnd(), -1);
+        sendAll(writer.get(), "bytes", testDeadline(), -1);
         char byte = 0;
-        const received late = receiveSome(reader.get(), &byte, 1, socket_clock::now(), -1);
+        const receive_result late = receiveSome(reader.get(), &byte, 1, socket_clock::now(), -1);
         CPPUNIT_ASSERT(late.fault == socket_fault::TimedOut);
-        const received inTime = receiveSome(reader.get(), &byte, 1, safetyEnd(), -1);
+        const receive_result inTime = receiveSome(reader.get(), &byte, 1, testDeadline(), -1);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), inTime.bytes);
     }
 
@@ -153,7 +153,7 @@
         };
         for (const std::string &reply : replies) {
             scripted_server server(reply);
-            const auto outcome = pool.send(server.address(), get, safetyTime);
+            const auto outcome = pool.send(server.address(), get, testTimeout);
             CPPUNIT_ASSERT_MESSAGE(reply, !succeeded(outcome));
             CPPUNIT_ASSERT_MESSAGE(reply, errorOf(outcome).code == error_code::Broken);
             CPPUNIT_ASSERT_MESSAGE(reply, errorOf(outcome).ran == verdict::MayHaveRun);
@@ -163,7 +163,7 @@
     void replyWithoutLengthIsMarked()
     {
         scripted_server server("HTTP/1.0 200 OK\r\n\r\nbody");
-        const auto outcome = pool.send(server.address(), get, safetyTime);
+        const auto outcome = pool.send(server.address(), get, testTimeout);
         CPPUNIT_ASSERT(succeeded(outcome));
         CPPUNIT_ASSERT_EQUAL(std::string("body"), valueOf(outcome).body);
         CPPUNIT_ASSERT(!valueOf(outcome).isDelimited);
@@ -176,7 +176,7 @@
             request.method = status == "200" ? "HEAD" : "GET";
             scripted_server server("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 " + status
                                    + "\r\nContent-Length: 7\r\nConnection: close\r\n\r\n");
-            const auto outcome = pool.send(server.address(), request, safetyTime);
+            const auto outcome = pool.send(server.address(), request, testTimeout);
             CPPUNIT_ASSERT_MESSAGE(status, succeeded(outcome));
             CPPUNIT_ASSERT_EQUAL(std::stoi(status), valueOf(outcome).status);
             CPPUNIT_ASSERT(valueOf(outcome).body.empty());
@@ -189,7 +189,7 @@
     {
         const std::string reply = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine";
         scripted_server server(reply + reply);
-        CPPUNIT_ASSERT(succeeded(pool.send(server.address(), get, safetyTime)));
+        CPPUNIT_ASSERT(succeeded(pool.send(server.address(), get, testTimeout)));
         CPPUNIT_ASSERT_EQUAL(std::int64_t(0), metrics.gaugeOf("poplarspool_pool_idle").get());
     }
 
@@ -207,8 +207,8 @@
                 },
                 metrics);
         const endpoint at = valueOf(server.start());
-        CPPUNIT_ASSERT(succeeded(pool.send(at, get, safetyTime)));
-        const auto outcome = pool.send(at, get, safetyTime);
+        CPPUNIT_ASSERT(succeeded(pool.send(at, get, testTimeout)));
+        const auto outcome = pool.send(at, get, testTimeout);
         CPPUNIT_ASSERT(errorOf(outcome).code == error_code::Broken);
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::MayHaveRun);
         CPPUNIT_ASSERT_EQUAL(2, runs.load());
--- a/tests/base/http_test.cpp
+++ b/tests/base/http_test.cpp
@@ -77,14 +77,14 @@
         start([](const http_request &request, http_sink &) {
             return textReply(request.method + " " + request.path + " " + request.body);
         });
-        const auto reply = pool.send(at, post("/a/b?c=%20d", "text"), safetyTime);
+        const auto reply = pool.send(at, post("/a/b?c=%20d", "text"), testTimeout);
         CPPUNIT_ASSERT(succeeded(reply));
         CPPUNIT_ASSERT_EQUAL(200, valueOf(reply).status);
         CPPUNIT_ASSERT_EQUAL(std::string("POST /a/b?c=%20d text"), valueOf(reply).body);
         CPPUNIT_ASSERT_EQUAL(std::string("text/plain"), valueOf(reply).contentType);
         http_request request = post("/", "");
         request.method = "HEAD";
-        const auto head = pool.send(at, request, safetyTime);
+        const auto head = pool.send(at, request, testTimeout);
         CPPUNIT_ASSERT(headerOf(valueOf(head).headers, "content-length") == "7");
         CPPUNIT_ASSERT(valueOf(head).body.empty());
     }
@@ -105,7 +105,7 @@
                            {"X-Key", "a%0d%0aX-Smuggled: 1"},
                            {"Range", "bytes=0-1"},
                            {"Accept-Encoding", "gzip"}};
-        const auto reply = pool.send(at, request, safetyTime);
+        const auto reply = pool.send(at, request, testTimeout);
         CPPUNIT_ASSERT(succeeded(reply));
         CPPUNIT_ASSERT_EQUAL(207, valueOf(reply).status);
         CPPUNIT_ASSERT_EQUAL(request.contentType, valueOf(reply).body);
@@ -113,7 +113,7 @@
         CPPUNIT_ASSERT(headerOf(headers, "x-key") == "a%0d%0aX-Smuggled: 1");
         CPPUNIT_ASSERT(headerOf(headers, "x-smuggled").empty());
         request.headers = {{"X-Key", "a\r\nX-Smuggled: 1"}};
-        const auto refused = pool.send(at, request, safetyTime);
+        const auto refused = pool.send(at, request, testTimeout);
         CPPUNIT_ASSERT(errorOf(refused).code == error_code::BadRequest);
         CPPUNIT_ASSERT(errorOf(refused).ran == verdict::NotRun);
     }
@@ -131,7 +131,7 @@
         http_reply head;
         std::string body;
         const auto outcome = pool.stream(
-                at, post("/", ""), safetyTime,
+                at, post("/", ""), testTimeout,
                 [&](const http_reply &seen) {
                     head = seen;
                     return true;
@@ -152,7 +152,7 @@
         start([](const http_request &request, http_sink &) { return textReply(request.body); });
         for (int i = 0; i < 5; ++i) {
             const std::string text = std::to_string(i);
-            const auto reply = pool.send(at, post("/", text), safetyTime);
+            const auto reply = pool.send(at, post("/", text), testTimeout);
             CPPUNIT_ASSERT_EQUAL(text, valueOf(reply).body);
         }
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), countOf("poplarspool_pool_connects_total"));
@@ -189,7 +189,7 @@
         start([](const http_request &, http_sink &) -> std::optional<http_reply> {
             throw std::runtime_error("fault");
         });
-        const auto reply = pool.send(at, post("/", ""), safetyTime);
+        const auto reply = pool.send(at, post("/", ""), testTimeout);
         CPPUNIT_ASSERT_EQUAL(500, valueOf(reply).status);
         CPPUNIT_ASSERT(contains(valueOf(reply).body, "\"verdict\":\"may_have_run\""));
     }
@@ -203,7 +203,7 @@
             sink.write("half");
             return std::nullopt;
         });
-        const auto reply = pool.send(at, post("/", ""), safetyTime);
+        const auto reply = pool.send(at, post("/", ""), testTimeout);
         CPPUNIT_ASSERT(!succeeded(reply));
         CPPUNIT_ASSERT(errorOf(reply).code == error_code::Broken);
         CPPUNIT_ASSERT(errorOf(reply).ran == verdict::MayHaveRun);
@@ -218,7 +218,7 @@
         start([go](const http_request &request, http_sink &sink) -> std::optional<http_reply> {
             sink.begin(200, {}, "text/plain");
             sink.write("half");
-            go.wait_for(safetyTime);
+            go.wait_for(testTimeout);
             if (request.path == "/whole")
                 sink.end();
             return std::nullopt;
@@ -231,8 +231,8 @@
         whole.readTo("half");
         seen.set_value();
         char byte = 0;
-        CPPUNIT_ASSERT(!receiveSome(cut.fd(), &byte, 1, safetyEnd(), -1).isEnd);
-        CPPUNIT_ASSERT(receiveSome(whole.fd(), &byte, 1, safetyEnd(), -1).isEnd);
+        CPPUNIT_ASSERT(!receiveSome(cut.fd(), &byte, 1, testDeadline(), -1).isEnd);
+        CPPUNIT_ASSERT(receiveSome(whole.fd(), &byte, 1, testDeadline(), -1).isEnd);
     }
 
     // A caller sends single bytes, so that no single read times out. The time limit applies to the
@@ -240,7 +240,7 @@
     // meanwhile.
     void slowRequestTimesOut()
     {
-        limits.readTime = 300ms;
+        limits.readTimeout = 300ms;
         start([](const http_request &, http_sink &) { return textReply("served"); });
         raw_caller slow(at);
         std::string reply;
@@ -248,9 +248,9 @@
         slow.send("GET /");
         while (reply.empty()) {
             slow.send("a");
-            CPPUNIT_ASSERT_EQUAL(200, valueOf(pool.send(at, post("/", ""), safetyTime)).status);
-            const received some = receiveSome(slow.fd(), bytes.data(), bytes.size(),
-                                              socket_clock::now() + 20ms, -1);
+            CPPUNIT_ASSERT_EQUAL(200, valueOf(pool.send(at, post("/", ""), testTimeout)).status);
+            const receive_result some = receiveSome(slow.fd(), bytes.data(), bytes.size(),
+                                                    socket_clock::now() + 20ms, -1);
             CPPUNIT_ASSERT(some.fault != socket_fault::Closed);
             reply.assign(bytes.data(), some.bytes);
         }
@@ -323,11 +323,11 @@
         std::promise<void> release;
         start([&](const http_request &, http_sink &) {
             entered.set_value();
-            release.get_future().wait_for(safetyTime);
+            release.get_future().wait_for(testTimeout);
             return textReply("served");
         });
         auto first = std::async(std::launch::async,
-                                [&] { return pool.send(at, post("/", ""), safetyTime); });
+                                [&] { return pool.send(at, post("/", ""), testTimeout); });
         auto isIn = entered.get_future();
         await(isIn);
         raw_caller second(at);
@@ -348,18 +348,18 @@
         std::promise<void> release;
         start([&](const http_request &, http_sink &) {
             entered.set_value();
-            release.get_future().wait_for(safetyTime);
+            release.get_future().wait_for(testTimeout);
             return textReply("served");
         });
         auto running = std::async(std::launch::async,
-                                  [&] { return pool.send(at, post("/", ""), safetyTime); });
+                                  [&] { return pool.send(at, post("/", ""), testTimeout); });
         auto isIn = entered.get_future();
         await(isIn);
         auto stopping = std::async(std::launch::async, [&] { server->stop(); });
-        const socket_deadline end = safetyEnd();
+        const socket_deadline end = testDeadline();
         while (succeeded(connectTo(at, end, -1)) && socket_clock::now() < end)
             std::this_thread::yield();
-        const auto refused = pool.send(at, post("/", ""), safetyTime);
+        const auto refused = pool.send(at, post("/", ""), testTimeout);
         release.set_value();
         await(stopping);
         CPPUNIT_ASSERT(errorOf(refused).ran == verdict::NotRun);
@@ -374,12 +374,12 @@
             return textReply(request.body);
         };
         start(echo);
-        CPPUNIT_ASSERT(succeeded(pool.send(at, post("/", "1"), safetyTime)));
+        CPPUNIT_ASSERT(succeeded(pool.send(at, post("/", "1"), testTimeout)));
         server->stop();
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(0), server->openConnections());
         server = std::make_unique<http_server>("test", at, limits, echo, metrics);
         CPPUNIT_ASSERT(succeeded(server->start()));
-        const auto reply = pool.send(at, post("/", "2"), safetyTime);
+        const auto reply = pool.send(at, post("/", "2"), testTimeout);
         CPPUNIT_ASSERT(succeeded(reply));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), countOf("poplarspool_pool_connects_total"));
     }
@@ -392,7 +392,7 @@
         start([&](const http_request &, http_sink &sink) -> std::optional<http_reply> {
             sink.begin(200, {}, "text/plain");
             sink.write("first");
-            const socket_deadline end = safetyEnd();
+            const socket_deadline end = testDeadline();
             while (!sink.isGone() && socket_clock::now() < end)
                 std::this_thread::yield();
             if (sink.isGone() && !sink.write("second"))
@@ -400,7 +400,7 @@
             return std::nullopt;
         });
         const auto outcome = pool.stream(
-                at, post("/", ""), safetyTime, [](const http_reply &) { return true; },
+                at, post("/", ""), testTimeout, [](const http_reply &) { return true; },
                 [](std::string_view) { return false; });
         CPPUNIT_ASSERT(errorOf(outcome).code == error_code::Cancelled);
         CPPUNIT_ASSERT(errorOf(outcome).ran == verdict::MayHaveRun);
@@ -418,10 +418,10 @@
         open.send("GET /1 HTTP/1.1\r\n\r\n");
         open.readTo("\r\n\r\n");
         failAccept();
-        const socket_deadline end = safetyEnd();
-        result<http_reply> reply = pool.send(at, post("/", "2"), safetyTime);
+        const socket_deadline end = testDeadline();
+        result<http_reply> reply = pool.send(at, post("/", "2"), testTimeout);
         while (!succeeded(reply) && socket_clock::now() < end)
-            reply = pool.send(at, post("/", "2"), safetyTime);
+            reply = pool.send(at, post("/", "2"), testTimeout);
         CPPUNIT_ASSERT(succeeded(reply));
         open.send("GET /3 HTTP/1.1\r\nConnection: close\r\n\r\n");
         CPPUNIT_ASSERT(open.readToEnd().starts_with("HTTP/1.1 200"));
--- a/tests/base/journal_test.cpp
+++ b/tests/base/journal_test.cpp
@@ -1,6 +1,6 @@
 #include "poplarspool/base/journal.h"
 
-#include "base/line_budget.h"
+#include "base/log_rate_limiter.h"
 #include "poplarspool/config.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -140,7 +140,7 @@
     /// requests that follow.
     void linesPerSecondAreLimited()
     {
-        line_budget limiter(2);
+        log_rate_limiter limiter(2);
         std::uint64_t droppedLines = 0;
         CPPUNIT_ASSERT(limiter.tryAcquire(7, droppedLines) && limiter.tryAcquire(7, droppedLines));
         CPPUNIT_ASSERT(!limiter.tryAcquire(7, droppedLines)
--- a/tests/base/metrics_test.cpp
+++ b/tests/base/metrics_test.cpp
@@ -59,7 +59,7 @@
     void latencyIsWrittenAsHistogram()
     {
         metrics_registry metrics;
-        latency &times = metrics.latencyOf("wait_seconds{pool=\"p\"}");
+        latency_histogram &times = metrics.latencyOf("wait_seconds{pool=\"p\"}");
         times.record(500us);
         times.record(5ms);
         times.record(5ms);
@@ -75,7 +75,7 @@
 
     void quantileIsUpperBinEdge()
     {
-        latency times;
+        latency_histogram times;
         CPPUNIT_ASSERT(times.quantile(0.5) == 0ns);
         for (int number = 0; number < 98; ++number)
             times.record(2ms);
@@ -87,7 +87,7 @@
 
     void valuesOutsideTheAxisAreCounted()
     {
-        latency times;
+        latency_histogram times;
         times.record(0ns);
         times.record(-5ms);
         CPPUNIT_ASSERT(times.quantile(1.0) == 10us);
@@ -99,7 +99,7 @@
     void concurrentRecordsAreAllCounted()
     {
         constexpr int perThread = 5000;
-        latency times;
+        latency_histogram times;
         const auto work = [&times] {
             for (int number = 0; number < perThread; ++number)
                 times.record(std::chrono::microseconds(number));
--- a/tests/base/named_thread_test.cpp
+++ b/tests/base/named_thread_test.cpp
@@ -44,34 +44,34 @@
 {
     failing_clock clock;
     journal events({"edge-1"}, clock.source(), 8);
-    const uncaught_log uncaught(events);
+    const uncaught_exception_logger uncaught(events);
     clock.isFailing = true;
-    startNamed("watch", [&] { events.emit("any"); }).join();
+    startNamedThread("watch", [&] { events.emit("any"); }).join();
 }
 
 void throwOnTwoThreads()
 {
     journal events({"edge-1"}, systemClock(), 8);
-    const uncaught_log uncaught(events);
-    std::thread first = startNamed("first", [] { throw slow_exception(); });
+    const uncaught_exception_logger uncaught(events);
+    std::thread first = startNamedThread("first", [] { throw slow_exception(); });
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
-    startNamed("second", [] { throw std::runtime_error("too"); }).join();
+    startNamedThread("second", [] { throw std::runtime_error("too"); }).join();
     first.join();
 }
 
 void throwWithTwoLoggers()
 {
     journal events({"edge-1"}, systemClock(), 8);
-    const uncaught_log uncaught(events);
-    const uncaught_log again(events);
-    startNamed("watch", [] { throw std::length_error("too many"); }).join();
+    const uncaught_exception_logger uncaught(events);
+    const uncaught_exception_logger again(events);
+    startNamedThread("watch", [] { throw std::length_error("too many"); }).join();
 }
 
 void throwOnOneThread()
 {
     journal events({"edge-1"}, systemClock(), 8);
-    const uncaught_log uncaught(events);
-    startNamed("watch", [] { throw std::length_error("too many"); }).join();
+    const uncaught_exception_logger uncaught(events);
+    startNamedThread("watch", [] { throw std::length_error("too many"); }).join();
 }
 
 /// Runs `run` in a child process, which an exception on a named thread must terminate.
@@ -119,7 +119,7 @@
     void threadsHaveNames()
     {
         std::string seen;
-        startNamed("watch", [&] { seen = threadName(); }).join();
+        startNamedThread("watch", [&] { seen = threadName(); }).join();
         CPPUNIT_ASSERT_EQUAL(std::string("watch"), seen);
         CPPUNIT_ASSERT_EQUAL(std::string("unnamed"), std::string(threadName()));
     }
@@ -164,12 +164,13 @@
     {
         metrics_registry metrics;
         journal events({"edge-1"}, systemClock(), 8);
-        const step_faults faults = stepFaultsOf(events, metrics);
+        const step_failure_reporter faults = stepFailureReporterOf(events, metrics);
         std::vector<bool> outcomes;
-        startNamed("watch", [&] {
-            outcomes.push_back(contained(faults, [] { throw std::length_error("too many"); }));
-            outcomes.push_back(contained(faults, [] { throw 7; }));
-            outcomes.push_back(contained(faults, [] {}));
+        startNamedThread("watch", [&] {
+            outcomes.push_back(
+                    runLoggingExceptions(faults, [] { throw std::length_error("too many"); }));
+            outcomes.push_back(runLoggingExceptions(faults, [] { throw 7; }));
+            outcomes.push_back(runLoggingExceptions(faults, [] {}));
         }).join();
         CPPUNIT_ASSERT(outcomes == (std::vector<bool>{false, false, true}));
         const auto failed = events.events({"step_failed", {}, {}});
--- a/tests/base/end_signal_test.cpp
+++ b/tests/base/process_signal_test.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/base/end_signal.h"
+#include "poplarspool/base/process_signal.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <csignal>
@@ -25,7 +25,7 @@
             raise(SIGHUP);
             isReload = waitForSignal() == process_signal::Reload;
             raise(SIGTERM);
-            isEnd = waitForSignal() == process_signal::End;
+            isEnd = waitForSignal() == process_signal::Terminate;
         });
         serving.join();
         CPPUNIT_ASSERT(isReload && isEnd);
--- a/tests/base/request_reader_test.cpp
+++ b/tests/base/request_reader_test.cpp
@@ -1,6 +1,6 @@
+#include "base/allocation_limit.h"
 #include "base/http_fixture.h"
-#include "base/scarce_memory.h"
-#include "own_process.h"
+#include "clean_exit.h"
 
 #include <limits>
 
@@ -10,9 +10,9 @@
 
 using namespace std::chrono_literals;
 
-using test::expectEndsWell;
+using test::allocation_limit;
+using test::expectCleanExit;
 using test::raw_caller;
-using test::scarce_memory;
 
 /// A running server that replies "served" to each request.
 struct running_server
@@ -64,7 +64,7 @@
     /// the resulting exception terminated the process.
     void largestChunkSizeIsAccepted()
     {
-        expectEndsWell([] {
+        expectCleanExit([] {
             const running_server run(std::numeric_limits<std::size_t>::max());
             const std::string reply = run.answerTo("POST / HTTP/1.1\r\n"
                                                    "Transfer-Encoding: chunked\r\n\r\n"
@@ -77,12 +77,12 @@
     /// connection.
     void exceptionEndsOnlyItsConnection()
     {
-        expectEndsWell([] {
+        expectCleanExit([] {
             constexpr std::size_t bodyBytes = 4'000'000;
             running_server run(bodyBytes);
             const std::string request = "POST / HTTP/1.1\r\nContent-Length: "
                     + std::to_string(bodyBytes) + "\r\n\r\n" + std::string(bodyBytes, 'x');
-            const scarce_memory limit(bodyBytes / 4);
+            const allocation_limit limit(bodyBytes / 4);
             const bool hasNoReply = run.answerTo(request).empty();
             const auto faults =
                     run.metrics.counterOf("poplarspool_http_faults_total{server=\"test\"}").get();
--- a/tests/bench/answer_test.cpp
+++ b/tests/bench/answer_test.cpp
@@ -123,19 +123,19 @@
                                  R"({"error":{"code":"overloaded","message":"m",)"
                                  R"("verdict":"not_run"}})",
                                  "application/json"};
-        CPPUNIT_ASSERT(failureIn(refused)
+        CPPUNIT_ASSERT(parseFailure(refused)
                        == notRun(error_code::Overloaded, "m", std::chrono::seconds(2)));
-        CPPUNIT_ASSERT(failureIn({502, {}, "<html>", "text/html"}).ran == verdict::MayHaveRun);
+        CPPUNIT_ASSERT(parseFailure({502, {}, "<html>", "text/html"}).ran == verdict::MayHaveRun);
     }
 
     void recordsRevealDoubledLostAndFalseNotRun()
     {
-        const key_ends ends{{"once", call_end::Whole},
-                            {"twice", call_end::Whole},
-                            {"lost", call_end::Whole},
-                            {"denied", call_end::Refused},
-                            {"truly refused", call_end::Refused},
-                            {"unknown", call_end::MayHaveRun}};
+        const key_outcomes ends{{"once", call_end::Whole},
+                                {"twice", call_end::Whole},
+                                {"lost", call_end::Whole},
+                                {"denied", call_end::Refused},
+                                {"truly refused", call_end::Refused},
+                                {"unknown", call_end::MayHaveRun}};
         const run_counts runs{
                 {"once", 1}, {"twice", 2}, {"denied", 1}, {"unknown", 1}, {"not of ours", 5}};
         CPPUNIT_ASSERT(compareRecords(runs, ends) == (record_faults{1, 1, 1}));
--- a/tests/bench/figures_test.cpp
+++ b/tests/bench/figures_test.cpp
@@ -1,7 +1,7 @@
 #include "bench/command.h"
 #include "bench/load_plan.h"
 #include "bench/metrics_text.h"
-#include "bench/process_stat.h"
+#include "bench/process_usage.h"
 #include "bench/sample_stats.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -52,12 +52,12 @@
     void processFilesAreParsed()
     {
         const std::string stat = "77 (a) b (c)) S 1 77 77 0 -1 4194560 500 0 0 0 150 50 0 0 20 0";
-        const auto cpuTime = cpuTimeIn(stat, 100);
+        const auto cpuTime = parseCpuTime(stat, 100);
         CPPUNIT_ASSERT(succeeded(cpuTime) && valueOf(cpuTime) == 2s);
-        CPPUNIT_ASSERT(!succeeded(cpuTimeIn("77 (x) S 1", 100)));
-        const auto resident = residentKbIn("Name:\tx\nVmRSS:\t   12345 kB\nRssAnon:\t 1 kB\n");
+        CPPUNIT_ASSERT(!succeeded(parseCpuTime("77 (x) S 1", 100)));
+        const auto resident = parseResidentKb("Name:\tx\nVmRSS:\t   12345 kB\nRssAnon:\t 1 kB\n");
         CPPUNIT_ASSERT(succeeded(resident) && valueOf(resident) == 12345);
-        CPPUNIT_ASSERT(!succeeded(residentKbIn("Name:\tx\n")));
+        CPPUNIT_ASSERT(!succeeded(parseResidentKb("Name:\tx\n")));
     }
 
     void metricsAreSummedByNameSuffix()
@@ -66,7 +66,7 @@
                 parseMetrics("# TYPE a_bytes_total counter\na_bytes_total 5\n"
                              "a_bytes_total{to=\"x y\"} 7\nb_bytes_total 1\nbytes 100\n"
                              "c{le=\"a_bytes_total\"} 100\n");
-        CPPUNIT_ASSERT_EQUAL(13.0, sumOfSuffix(samples, "_bytes_total"));
+        CPPUNIT_ASSERT_EQUAL(13.0, sumBySuffix(samples, "_bytes_total"));
     }
 
     void mixIsParsedOrRejected()
@@ -88,8 +88,8 @@
         std::set<std::string> keys;
         std::set<std::string> prompts;
         for (std::uint64_t number = 0; number < 200; ++number) {
-            const load_call call = callOf(plan, number, 0ns);
-            CPPUNIT_ASSERT(call == callOf(plan, number, 5s));
+            const load_call call = makeCall(plan, number, 0ns);
+            CPPUNIT_ASSERT(call == makeCall(plan, number, 5s));
             CPPUNIT_ASSERT(call.model.empty() != call.service.empty());
             CPPUNIT_ASSERT(prompts.insert(call.prompt).second);
             if (!call.idempotencyKey.empty())
@@ -105,9 +105,9 @@
         plan.models = {"m"};
         plan.shift = 10s;
         for (std::uint64_t number = 0; number < 20; ++number) {
-            CPPUNIT_ASSERT_EQUAL(10U, callOf(plan, number, 9s).maxTokens);
-            CPPUNIT_ASSERT_EQUAL(5U, callOf(plan, number, 10s).maxTokens);
-            CPPUNIT_ASSERT_EQUAL(10U, callOf(plan, number, 25s).maxTokens);
+            CPPUNIT_ASSERT_EQUAL(10U, makeCall(plan, number, 9s).maxTokens);
+            CPPUNIT_ASSERT_EQUAL(5U, makeCall(plan, number, 10s).maxTokens);
+            CPPUNIT_ASSERT_EQUAL(10U, makeCall(plan, number, 25s).maxTokens);
         }
     }
 };
--- a/tests/bench/load_call_test.cpp
+++ b/tests/bench/load_call_test.cpp
@@ -50,7 +50,7 @@
         answers = script;
         http_pool pool(4, milliseconds(1000), metrics);
         const caller_identity identity{"tester", "", ""};
-        address_book cache({address}, identity, pool);
+        address_cache cache({address}, identity, pool);
         return performCall(call, identity, cache, pool, systemClock().mono());
     }
 
--- a/tests/caller/caller_server_test.cpp
+++ b/tests/caller/caller_server_test.cpp
@@ -33,11 +33,11 @@
         handlers.models = [](const request_head &) {
             return result<std::vector<std::string>>(std::vector<std::string>{"m1", "m2"});
         };
-        handlers.complete = [](const completion_ask &request, completion_sink &sink) {
+        handlers.complete = [](const completion_request &request, completion_sink &sink) {
             sink.token(request.prompt);
             sink.finish({"stop", 1, 1});
         };
-        handlers.callService = [this](const service_ask &request, http_sink &sink) {
+        handlers.callService = [this](const service_request &request, http_sink &sink) {
             serviceRequest = request;
             sink.begin(201, {{"X-Served", "yes"}, {"Poplarspool-Request-Id", "forged"}},
                        "text/plain");
@@ -131,7 +131,7 @@
     // get status 500 with the verdict may_have_run, and no text of the exception.
     void throwingHandlerGivesInternalError()
     {
-        handlers.complete = [](const completion_ask &, completion_sink &) {
+        handlers.complete = [](const completion_request &, completion_sink &) {
             throw std::runtime_error("boom");
         };
         handlers.models = [](const request_head &) -> result<std::vector<std::string>> {
@@ -151,7 +151,8 @@
     // closed without ending the reply; otherwise the partial reply looks complete to the caller.
     void throwingHandlerClosesAStartedReply()
     {
-        handlers.callService = [](const service_ask &, http_sink &sink) -> std::optional<error> {
+        handlers.callService = [](const service_request &,
+                                  http_sink &sink) -> std::optional<error> {
             sink.begin(200, {}, "text/plain");
             sink.write("half");
             throw std::runtime_error("boom");
@@ -165,7 +166,7 @@
 
     void requestOutcomeIsLoggedAndCounted()
     {
-        handlers.complete = [](const completion_ask &, completion_sink &sink) {
+        handlers.complete = [](const completion_request &, completion_sink &sink) {
             sink.token("a");
             sink.fail(mayHaveRun(error_code::Broken, "died"));
         };
@@ -224,7 +225,7 @@
     journal events{{"test"}, systemClock(), 64};
     http_pool pool{4, milliseconds(2000), metrics};
     caller_handlers handlers;
-    service_ask serviceRequest;
+    service_request serviceRequest;
     std::unique_ptr<caller_server> server;
     endpoint address;
 };
--- a/tests/caller/completion_json_test.cpp
+++ b/tests/caller/completion_json_test.cpp
@@ -1,9 +1,9 @@
 #include "caller/completion_json.h"
 
 #include "caller/json_text.h"
-#include "own_process.h"
+#include "clean_exit.h"
 #include "poplarspool/config.h"
-#include "recorded_sink.h"
+#include "recording_sink.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <utility>
@@ -48,7 +48,7 @@
     // parse runs in a process of its own, so that the failure is reported.
     void deeplyNestedBodyIsRejected()
     {
-        test::expectEndsWell([] {
+        test::expectCleanExit([] {
             constexpr std::size_t levels = 400'000;
             const std::string nested = std::string(levels, '[') + std::string(levels, ']');
             const auto body =
@@ -94,8 +94,8 @@
 
     void bufferedAnswerIsComplete()
     {
-        recorded_sink connection;
-        gathered_completion sink({{"r1"}, "m", 17}, connection);
+        recording_sink connection;
+        buffered_completion sink({{"r1"}, "m", 17}, connection);
         CPPUNIT_ASSERT(sink.token("He said \"no\""));
         CPPUNIT_ASSERT(sink.token("\n"));
         sink.finish({"length", 3, 2});
@@ -117,9 +117,9 @@
     // cause: the caller gets status 413 and no part of the answer.
     void tooLongAnswerFailsWithStatus413()
     {
-        recorded_sink connection;
-        gathered_completion sink({{"r1"}, "m", 17}, connection);
-        const std::string largest(config::maxGatheredAnswerBytes, 'x');
+        recording_sink connection;
+        buffered_completion sink({{"r1"}, "m", 17}, connection);
+        const std::string largest(config::maxCollectedAnswerBytes, 'x');
         CPPUNIT_ASSERT(sink.token(largest));
         CPPUNIT_ASSERT(!sink.token("x"));
         sink.fail(mayHaveRun(error_code::Cancelled, "the caller has disconnected"));
--- a/tests/caller/completion_stream_test.cpp
+++ b/tests/caller/completion_stream_test.cpp
@@ -1,6 +1,6 @@
 #include "caller/completion_stream.h"
 
-#include "recorded_sink.h"
+#include "recording_sink.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <nlohmann/json.hpp>
@@ -21,7 +21,7 @@
 public:
     void streamEndsWithDone()
     {
-        recorded_sink connection;
+        recording_sink connection;
         streamed_completion sink(label(), connection);
         CPPUNIT_ASSERT(sink.token("a\"b"));
         CPPUNIT_ASSERT(sink.token("Tō\n"));
@@ -41,7 +41,7 @@
 
     void emptyAnswerIsStreamed()
     {
-        recorded_sink connection;
+        recording_sink connection;
         streamed_completion sink(label(), connection);
         sink.finish({"stop", 4, 0});
         CPPUNIT_ASSERT_EQUAL(200, connection.status);
@@ -52,7 +52,7 @@
     // the caller must get an ordinary 503 reply instead of a stream with status 200.
     void failureBeforeTheFirstTokenGivesAnErrorStatus()
     {
-        recorded_sink connection;
+        recording_sink connection;
         streamed_completion sink(label(), connection);
         sink.fail(notRun(error_code::Overloaded, "busy", milliseconds(1500)));
         CPPUNIT_ASSERT_EQUAL(0, connection.status);
@@ -67,7 +67,7 @@
     // event and the missing [DONE] distinguish the partial answer from a complete one.
     void failureAfterTheFirstTokenGivesAnErrorEvent()
     {
-        recorded_sink connection;
+        recording_sink connection;
         streamed_completion sink(label(), connection);
         sink.token("a");
         sink.fail(mayHaveRun(error_code::Broken, "the engine died"));
@@ -82,17 +82,17 @@
 
     void tokenIsRejectedAfterTheCallerDisconnects()
     {
-        recorded_sink connection;
+        recording_sink connection;
         streamed_completion sink(label(), connection);
         CPPUNIT_ASSERT(sink.token("a"));
-        connection.hasLeft = true;
+        connection.isDisconnected = true;
         CPPUNIT_ASSERT(!sink.token("b"));
         CPPUNIT_ASSERT(sink.isGone());
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(1), sink.outcome().tokens);
     }
 
 private:
-    static completion_label label() { return {{"r1"}, "model \"x\"", 17}; }
+    static completion_metadata label() { return {{"r1"}, "model \"x\"", 17}; }
 
     static std::vector<std::string> eventsOf(const std::string &body)
     {
--- a/tests/caller/recorded_sink.h
+++ b/tests/caller/recording_sink.h
@@ -7,30 +7,30 @@
 namespace poplarspool::caller {
 
 /// Records the reply written to it; can simulate a disconnected receiver.
-struct recorded_sink : http_sink
+struct recording_sink : http_sink
 {
     int status = 0;
     http_headers headers;
     std::string contentType;
     std::string body;
     bool isEnded = false;
-    bool hasLeft = false;
+    bool isDisconnected = false;
 
     bool begin(int code, const http_headers &fields, std::string_view type) override
     {
         status = code;
         headers = fields;
         contentType = type;
-        return !hasLeft;
+        return !isDisconnected;
     }
     bool write(std::string_view piece) override
     {
-        if (!hasLeft)
+        if (!isDisconnected)
             body += piece;
-        return !hasLeft;
+        return !isDisconnected;
     }
     void end() override { isEnded = true; }
-    bool isGone() const override { return hasLeft; }
+    bool isGone() const override { return isDisconnected; }
 };
 
 } // namespace poplarspool::caller
--- a/tests/own_process.h
+++ b/tests/clean_exit.h
@@ -20,7 +20,7 @@
 
 /// Runs `run` in a child process and expects that it returns true. For code whose failure
 /// terminates the process, such as an uncaught exception on another thread.
-inline void expectEndsWell(const std::function<bool()> &run)
+inline void expectCleanExit(const std::function<bool()> &run)
 {
     const pid_t child = fork();
     if (child == 0)
--- a/tests/duties/fleet_clock_test.cpp
+++ b/tests/duties/fleet_clock_test.cpp
@@ -29,7 +29,7 @@
     {
         std::uint64_t sender = 10;
         for (const milliseconds one : others)
-            time.noteClock(++sender, truth + one);
+            time.recordClock(++sender, truth + one);
     }
 
     milliseconds error() const { return time.now().at - truth; }
@@ -94,8 +94,8 @@
         test_instance test;
         test.ahead = 2000ms;
         test.receive({2000ms});
-        test.time.noteEstimate(50, {test.truth + 1ms, 40});
-        test.time.noteEstimate(51, {test.truth + 700ms, 3});
+        test.time.recordEstimate(50, {test.truth + 1ms, 40});
+        test.time.recordEstimate(51, {test.truth + 700ms, 3});
         CPPUNIT_ASSERT(test.error() == 1ms);
         CPPUNIT_ASSERT_EQUAL(40U, test.time.now().clocks);
     }
@@ -105,16 +105,16 @@
     void receivedEstimatesAreNotSentOn()
     {
         test_instance test;
-        test.time.noteEstimate(50, {test.truth + 1ms, 40});
-        CPPUNIT_ASSERT_EQUAL(1U, test.time.heard().clocks);
-        CPPUNIT_ASSERT(test.time.heard().at == test.truth);
+        test.time.recordEstimate(50, {test.truth + 1ms, 40});
+        CPPUNIT_ASSERT_EQUAL(1U, test.time.directEstimate().clocks);
+        CPPUNIT_ASSERT(test.time.directEstimate().at == test.truth);
     }
 
     void silentClocksExpire()
     {
         test_instance test;
         test.receive({500ms, 500ms, 500ms});
-        test.pass(config::clockMemory + 1s);
+        test.pass(config::clockRetention + 1s);
         test.receive({1ms});
         CPPUNIT_ASSERT_EQUAL(2U, test.time.now().clocks);
         CPPUNIT_ASSERT(test.error() <= 1ms);
--- a/tests/duties/lease_test.cpp
+++ b/tests/duties/lease_test.cpp
@@ -82,9 +82,9 @@
         test_store test;
         test.record = {{"a"}, std::numeric_limits<std::uint64_t>::max() - 1, {0, 10}};
         duty_lease mine = test.leaseOf("a");
-        const auto last = mine.tryTake();
+        const auto last = mine.tryAcquire();
         CPPUNIT_ASSERT_EQUAL(std::numeric_limits<std::uint64_t>::max(), last->fence);
-        CPPUNIT_ASSERT(!mine.tryTake());
+        CPPUNIT_ASSERT(!mine.tryAcquire());
         CPPUNIT_ASSERT_EQUAL(last->fence, test.record.fence);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.events.events({"lease_unusable", {}, {}}).size());
     }
@@ -93,20 +93,20 @@
     void epochBeyondFenceRangeYieldsNoTerm()
     {
         test_store test;
-        test.record = {{"a"}, 7, {config::storeEpochMost, 10}};
+        test.record = {{"a"}, 7, {config::maxStoreEpoch, 10}};
         // An instance that starts in a later epoch waits for lost terms first.
         const auto acquiredBy = [&test](duty_lease lease) {
             std::optional<lease_term> term;
             for (int tries = 0; tries < 100 && !term; ++tries) {
-                term = lease.tryTake();
+                term = lease.tryAcquire();
                 test.now += 100ms;
             }
             return term;
         };
         const auto last = acquiredBy(test.leaseOf("a"));
         CPPUNIT_ASSERT(last.has_value());
-        CPPUNIT_ASSERT_EQUAL(config::storeEpochMost * config::fencesPerEpoch, last->fence);
-        test.record = {{"a"}, 7, {config::storeEpochMost + 1, 10}};
+        CPPUNIT_ASSERT_EQUAL(config::maxStoreEpoch * config::fencesPerEpoch, last->fence);
+        test.record = {{"a"}, 7, {config::maxStoreEpoch + 1, 10}};
         CPPUNIT_ASSERT(!acquiredBy(test.leaseOf("a")));
     }
 
@@ -114,9 +114,9 @@
     {
         test_store test;
         duty_lease mine = test.leaseOf("a");
-        const auto first = mine.tryTake();
+        const auto first = mine.tryAcquire();
         CPPUNIT_ASSERT(first == (lease_term{1, test.now + 1500ms}));
-        const auto second = mine.tryTake();
+        const auto second = mine.tryAcquire();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, second->fence);
     }
 
@@ -126,12 +126,12 @@
     void successorWaitsForBoundAfterTermEnd()
     {
         test_store test;
-        const auto lastOrder = test.leaseOf("a").tryTake()->endsAt;
+        const auto lastOrder = test.leaseOf("a").tryAcquire()->endsAt;
         duty_lease other = test.leaseOf("b");
         std::optional<lease_term> taken;
         while (!taken) {
             test.now += 100ms;
-            taken = other.tryTake();
+            taken = other.tryAcquire();
         }
         CPPUNIT_ASSERT(test.now - lastOrder >= 3s);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, taken->fence);
@@ -143,10 +143,10 @@
         duty_lease mine = test.leaseOf("a");
         duty_lease other = test.leaseOf("b");
         for (int i = 0; i < 4; ++i) {
-            CPPUNIT_ASSERT(mine.tryTake());
-            CPPUNIT_ASSERT(!other.tryTake());
+            CPPUNIT_ASSERT(mine.tryAcquire());
+            CPPUNIT_ASSERT(!other.tryAcquire());
             test.now += 5s;
-            CPPUNIT_ASSERT(!other.tryTake());
+            CPPUNIT_ASSERT(!other.tryAcquire());
         }
     }
 
@@ -157,9 +157,9 @@
         test_store test;
         test.losesAnswers = true;
         duty_lease mine = test.leaseOf("a");
-        CPPUNIT_ASSERT(!mine.tryTake());
+        CPPUNIT_ASSERT(!mine.tryAcquire());
         test.losesAnswers = false;
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, mine.tryTake()->fence);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, mine.tryAcquire()->fence);
     }
 
     void concurrentWritesYieldOneTerm()
@@ -169,15 +169,15 @@
         late.read = [] { return lease_record(); };
         duty_lease mine = test.leaseOf("a");
         duty_lease other(late, {"b"}, 3s, test.clock, test.events);
-        CPPUNIT_ASSERT(mine.tryTake());
-        CPPUNIT_ASSERT(!other.tryTake());
+        CPPUNIT_ASSERT(mine.tryAcquire());
+        CPPUNIT_ASSERT(!other.tryAcquire());
     }
 
     void unreachableStoreYieldsNoTerm()
     {
         test_store test;
         test.isDown = true;
-        CPPUNIT_ASSERT(!test.leaseOf("a").tryTake());
+        CPPUNIT_ASSERT(!test.leaseOf("a").tryAcquire());
     }
 
     /// An instance acquires a term and sends an order to an engine. A store rollback removes the
@@ -189,11 +189,11 @@
         const lease_record none;
         for (const lease_record &older : {none, lease_record{{"b"}, 1, {0, 11}}}) {
             test_store test;
-            CPPUNIT_ASSERT(test.leaseOf("a").tryTake());
+            CPPUNIT_ASSERT(test.leaseOf("a").tryAcquire());
             test.rollBackTo(older);
             const mono_time startedAt = test.now;
             duty_lease started = test.leaseOf("b");
-            while (!started.tryTake())
+            while (!started.tryAcquire())
                 test.now += 100ms;
             CPPUNIT_ASSERT(test.now - startedAt >= 6s);
         }
@@ -207,14 +207,14 @@
         test_store test;
         duty_lease mine = test.leaseOf("a");
         duty_lease other = test.leaseOf("b");
-        CPPUNIT_ASSERT(other.tryTake());
+        CPPUNIT_ASSERT(other.tryAcquire());
         const lease_record copy = test.record;
-        while (!mine.tryTake())
+        while (!mine.tryAcquire())
             test.now += 100ms;
         for (const lease_record &older : {copy, lease_record()}) {
             test.rollBackTo(older);
             const mono_time rolledBackAt = test.now;
-            while (!other.tryTake())
+            while (!other.tryAcquire())
                 test.now += 100ms;
             CPPUNIT_ASSERT(test.now - rolledBackAt >= 6s);
         }
@@ -226,14 +226,14 @@
     {
         test_store test;
         duty_lease mine = test.leaseOf("a");
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, mine.tryTake()->fence);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, mine.tryAcquire()->fence);
         const lease_record copy = test.record;
-        std::uint64_t highest = mine.tryTake()->fence;
+        std::uint64_t highest = mine.tryAcquire()->fence;
         for (int times = 0; times < 2; ++times) {
             test.rollBackTo(copy);
-            CPPUNIT_ASSERT(!mine.tryTake());
+            CPPUNIT_ASSERT(!mine.tryAcquire());
             test.now += 6s;
-            const std::uint64_t next = mine.tryTake()->fence;
+            const std::uint64_t next = mine.tryAcquire()->fence;
             CPPUNIT_ASSERT(next > highest);
             highest = next;
         }
--- a/tests/duties/usage_exchange_test.cpp
+++ b/tests/duties/usage_exchange_test.cpp
@@ -1,6 +1,6 @@
 #include "poplarspool/duties/usage_exchange.h"
 
-#include "duties/usage_news.h"
+#include "duties/usage_update.h"
 #include "poplarspool/config.h"
 #include "poplarspool/duties/limits.h"
 
@@ -56,7 +56,7 @@
     metrics_registry metrics;
     journal events{{"test"}, systemClock(), 64};
     fleet_clock time{systemClock()};
-    usage_ledger ledger;
+    usage_table ledger;
     usage_exchange exchange;
 };
 
@@ -86,21 +86,22 @@
 public:
     void updateSurvivesEncoding()
     {
-        const usage_news update{wall_time(7ms),
-                                {wall_time(9ms), 40},
-                                true,
-                                {UINT64_MAX, 340'000'000, {{{"a"}, 1}, {{"\u0c15"}, 1'000'000}}}};
-        CPPUNIT_ASSERT(valueOf(decodeUsageNews(valueOf(encode(update)))) == update);
+        const usage_update update{wall_time(7ms),
+                                  {wall_time(9ms), 40},
+                                  true,
+                                  {UINT64_MAX, 340'000'000, {{{"a"}, 1}, {{"\u0c15"}, 1'000'000}}}};
+        CPPUNIT_ASSERT(valueOf(decodeUsageUpdate(valueOf(encode(update)))) == update);
     }
 
     void malformedUpdatesAreRejected()
     {
-        const std::string text = valueOf(encode(usage_news{wall_time(7ms), {}, false, {1, 2, {}}}));
+        const std::string text =
+                valueOf(encode(usage_update{wall_time(7ms), {}, false, {1, 2, {}}}));
         for (std::size_t size = 0; size < text.size(); ++size)
-            CPPUNIT_ASSERT(!succeeded(decodeUsageNews(text.substr(0, size))));
-        CPPUNIT_ASSERT(!succeeded(decodeUsageNews(text + "x")));
-        CPPUNIT_ASSERT(!succeeded(decodeUsageNews(
-                valueOf(encode(usage_news{wall_time(-1ms), {}, false, {1, 2, {}}})))));
+            CPPUNIT_ASSERT(!succeeded(decodeUsageUpdate(text.substr(0, size))));
+        CPPUNIT_ASSERT(!succeeded(decodeUsageUpdate(text + "x")));
+        CPPUNIT_ASSERT(!succeeded(decodeUsageUpdate(
+                valueOf(encode(usage_update{wall_time(-1ms), {}, false, {1, 2, {}}})))));
     }
 
     void replicasHoldCountsOfAllInstances()
@@ -111,8 +112,8 @@
         test_instance a("a", 1, port, all, "127.0.0.1");
         test_instance b("b", 2, port, all, "127.0.0.2");
         const window_number window = windowAt(a.time.now().at, 5s);
-        a.ledger.noteBegun(window, {"x"});
-        b.ledger.noteBegun(window, {"x"});
+        a.ledger.recordRequestStart(window, {"x"});
+        b.ledger.recordRequestStart(window, {"x"});
         const usage_counts both{{{"x"}, 2}};
         CPPUNIT_ASSERT(becomesTrue([&] { return a.ledger.totalOf(window) == both; }));
         CPPUNIT_ASSERT(becomesTrue([&] { return b.ledger.totalOf(window) == both; }));
@@ -128,9 +129,9 @@
         test_instance a("a", 1, port, all, "127.0.0.1");
         test_instance b("b", 2, port, all, "127.0.0.2");
         const window_number window = windowAt(a.time.now().at, 5s);
-        a.ledger.noteBegun(window, {"x"});
+        a.ledger.recordRequestStart(window, {"x"});
         CPPUNIT_ASSERT(becomesTrue([&] { return b.ledger.totalOf(window).contains({"x"}); }));
-        a.ledger.noteBegun(window, {"x"});
+        a.ledger.recordRequestStart(window, {"x"});
         a.exchange.stop();
         CPPUNIT_ASSERT(becomesTrue([&] { return b.ledger.totalOf(window).at({"x"}) == 2; }));
         // The other instance no longer waits for counts of the stopped one.
--- a/tests/duties/usage_keeper_test.cpp
+++ b/tests/duties/usage_reporter_test.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/duties/usage_keeper.h"
+#include "poplarspool/duties/usage_reporter.h"
 
 #include "poplarspool/duties/limits.h"
 
@@ -104,15 +104,15 @@
 
     void count(const std::string &workspace)
     {
-        ledger.noteBegun(windowAt(time.now().at, windowLength), {workspace});
+        ledger.recordRequestStart(windowAt(time.now().at, windowLength), {workspace});
     }
 
     void sendTo(test_instance &other)
     {
-        for (const told_usage &part : ledger.collect(true))
-            other.ledger.take(part);
-        other.ledger.noteTold(incarnation, other.time.now().at, false);
-        other.time.noteClock(incarnation, environment.truth + ahead);
+        for (const incarnation_usage &part : ledger.collect(true))
+            other.ledger.merge(part);
+        other.ledger.recordReceivedUpTo(incarnation, other.time.now().at, false);
+        other.time.recordClock(incarnation, environment.truth + ahead);
     }
 
     simulation &environment;
@@ -122,10 +122,10 @@
     clock_source clock{[this] { return environment.mono; },
                        [this] { return environment.truth + ahead; }};
     fleet_clock time{clock};
-    usage_ledger ledger;
+    usage_table ledger;
     bool isOwner = false;
     bool isDisconnected = false; ///< From the other instances.
-    usage_keeper keeper;
+    usage_reporter keeper;
 };
 
 /// Advances the time until the holder has reported the window.
@@ -133,7 +133,7 @@
 {
     while (test.received.empty() || test.received.back().report.window < window) {
         test.pass(500ms);
-        holder.keeper.look();
+        holder.keeper.runOnce();
     }
     return test.received.back();
 }
@@ -215,7 +215,7 @@
         test_instance a(test, "a", 1);
         for (int i = 0; i < 40; ++i) {
             test.pass(500ms);
-            a.keeper.look();
+            a.keeper.runOnce();
         }
         CPPUNIT_ASSERT(test.events.events({"lease_unknown", {}, {}}).empty());
     }
@@ -231,15 +231,15 @@
             a.count("x");
             test.pass(windowLength + 2s);
             test.isPlatformDown = true;
-            a.keeper.look();
+            a.keeper.runOnce();
         }
         test.isPlatformDown = false;
         test_instance b(test, "b", 2);
         b.isOwner = true;
-        const auto stored = decodeUsageNote(test.record.note)->reports;
-        b.ledger.take({1, stored.back().window, {{{"x"}, 40}}});
+        const auto stored = decodeUsageCheckpoint(test.record.checkpoint)->reports;
+        b.ledger.merge({1, stored.back().window, {{{"x"}, 40}}});
         for (int i = 0; i < 20 && test.received.empty(); ++i) {
-            b.keeper.look();
+            b.keeper.runOnce();
             test.pass(500ms);
         }
         CPPUNIT_ASSERT(test.received[0].report == stored.front());
@@ -253,11 +253,11 @@
         a.isOwner = true;
         test.losesStoreAnswers = true;
         test.pass(windowLength + 2s);
-        a.keeper.look();
+        a.keeper.runOnce();
         CPPUNIT_ASSERT(test.received.empty());
         test.losesStoreAnswers = false;
         test.pass(1s);
-        a.keeper.look();
+        a.keeper.runOnce();
         CPPUNIT_ASSERT(!test.received.empty());
     }
 
@@ -270,7 +270,7 @@
         a.isOwner = true;
         test.pass(windowLength + 2s);
         test.beforeSend = leaseBound;
-        a.keeper.look();
+        a.keeper.runOnce();
         CPPUNIT_ASSERT(test.received.empty());
     }
 
@@ -281,11 +281,11 @@
         a.isOwner = true;
         test.pass(windowLength + 2s);
         test.losesPlatformAnswers = true;
-        a.keeper.look();
+        a.keeper.runOnce();
         const std::size_t before = test.received.size();
         test.losesPlatformAnswers = false;
         test.pass(1s);
-        a.keeper.look();
+        a.keeper.runOnce();
         CPPUNIT_ASSERT(before > 0 && test.received.size() > before);
         CPPUNIT_ASSERT(test.received[before].report == test.received[0].report);
         checkInvariants(test, "");
@@ -314,7 +314,7 @@
             instances[i]->isOwner = i == owner;
         for (int step = 0; step < 50; ++step) {
             test.pass(500ms);
-            instances[owner]->keeper.look();
+            instances[owner]->keeper.runOnce();
         }
     }
 
@@ -352,7 +352,7 @@
                 if (one.isOwner && chance(25))
                     test.beforeSend = milliseconds(random() % 3'000);
                 if (step % 2 == 0)
-                    one.keeper.look();
+                    one.keeper.runOnce();
                 if (one.isOwner && chance(30))
                     instances[i] = std::make_unique<test_instance>(test, "n" + std::to_string(i),
                                                                    ++incarnation, skew());
--- a/tests/duties/usage_test.cpp
+++ b/tests/duties/usage_test.cpp
@@ -58,12 +58,12 @@
 
     void countsOfAllIncarnationsAreAdded()
     {
-        usage_ledger ledger(1);
-        ledger.noteBegun(7, {"a"});
-        ledger.noteBegun(7, {"a"});
-        ledger.noteBegun(8, {"a"});
-        ledger.take({2, 7, {{{"a"}, 5}, {{"b"}, 1}}});
-        ledger.take({3, 7, {{{"b"}, 2}}});
+        usage_table ledger(1);
+        ledger.recordRequestStart(7, {"a"});
+        ledger.recordRequestStart(7, {"a"});
+        ledger.recordRequestStart(8, {"a"});
+        ledger.merge({2, 7, {{{"a"}, 5}, {{"b"}, 1}}});
+        ledger.merge({3, 7, {{{"b"}, 2}}});
         CPPUNIT_ASSERT(ledger.totalOf(7) == (usage_counts{{{"a"}, 7}, {{"b"}, 3}}));
         CPPUNIT_ASSERT(ledger.totalOf(9).empty());
     }
@@ -73,18 +73,18 @@
     {
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
             std::mt19937_64 random(seed);
-            std::vector<told_usage> received;
+            std::vector<incarnation_usage> received;
             for (std::uint64_t i = 0; i < 200; ++i)
                 received.push_back({2 + random() % 5, random() % 3, {{{"a"}, random() % 50}}});
-            usage_ledger once(1);
-            usage_ledger repeated(1);
-            for (const told_usage &one : received)
-                once.take(one);
-            std::vector<told_usage> duplicated = received;
+            usage_table once(1);
+            usage_table repeated(1);
+            for (const incarnation_usage &one : received)
+                once.merge(one);
+            std::vector<incarnation_usage> duplicated = received;
             duplicated.insert(duplicated.end(), received.begin(), received.end());
             std::shuffle(duplicated.begin(), duplicated.end(), random);
-            for (const told_usage &one : duplicated)
-                repeated.take(one);
+            for (const incarnation_usage &one : duplicated)
+                repeated.merge(one);
             for (window_number window = 0; window < 3; ++window)
                 CPPUNIT_ASSERT(once.totalOf(window) == repeated.totalOf(window));
         }
@@ -92,29 +92,29 @@
 
     void changedCountsAreSentRepeatedly()
     {
-        usage_ledger ledger(1);
-        ledger.noteBegun(7, {"a"});
-        for (std::uint32_t i = 0; i < config::usageRepeats; ++i)
+        usage_table ledger(1);
+        ledger.recordRequestStart(7, {"a"});
+        for (std::uint32_t i = 0; i < config::usageUpdateRepeats; ++i)
             CPPUNIT_ASSERT(ledger.collect(false)
-                           == (std::vector<told_usage>{{1, 7, {{{"a"}, 1}}}}));
+                           == (std::vector<incarnation_usage>{{1, 7, {{{"a"}, 1}}}}));
         CPPUNIT_ASSERT(ledger.collect(false).empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ledger.collect(true).size());
-        ledger.noteBegun(7, {"a"});
+        ledger.recordRequestStart(7, {"a"});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, ledger.collect(false)[0].counts[0].second);
     }
 
     void manyWorkspacesAreSentInParts()
     {
-        usage_ledger ledger(1);
-        usage_ledger other(2);
+        usage_table ledger(1);
+        usage_table other(2);
         for (int i = 0; i < 2'000; ++i)
-            ledger.noteBegun(7, {"workspace-" + std::to_string(i)});
-        for (const told_usage &part : ledger.collect(true)) {
+            ledger.recordRequestStart(7, {"workspace-" + std::to_string(i)});
+        for (const incarnation_usage &part : ledger.collect(true)) {
             std::size_t bytes = 0;
             for (const auto &entry : part.counts)
                 bytes += entry.first.text.size() + 3;
             CPPUNIT_ASSERT(bytes <= config::usageBytesPerDatagram);
-            other.take(part);
+            other.merge(part);
         }
         CPPUNIT_ASSERT(other.totalOf(7) == ledger.totalOf(7));
     }
@@ -122,25 +122,25 @@
     /// Guards against a report without the counts of an instance that is temporarily disconnected.
     void windowIsCompleteWhenAllCountsAreReceived()
     {
-        usage_ledger ledger(1);
+        usage_table ledger(1);
         CPPUNIT_ASSERT(ledger.isComplete(7, at(40'000)));
-        ledger.take({2, 7, {{{"a"}, 1}}});
-        ledger.noteTold(2, at(39'000), false);
+        ledger.merge({2, 7, {{{"a"}, 1}}});
+        ledger.recordReceivedUpTo(2, at(39'000), false);
         CPPUNIT_ASSERT(!ledger.isComplete(7, at(40'000)));
         CPPUNIT_ASSERT(ledger.isComplete(8, at(40'000)));
-        ledger.noteTold(2, at(40'100), false);
+        ledger.recordReceivedUpTo(2, at(40'100), false);
         CPPUNIT_ASSERT(ledger.isComplete(7, at(40'000)));
-        ledger.take({3, 7, {{{"a"}, 1}}});
+        ledger.merge({3, 7, {{{"a"}, 1}}});
         CPPUNIT_ASSERT(!ledger.isComplete(7, at(40'000)));
-        ledger.noteTold(3, at(39'000), true);
+        ledger.recordReceivedUpTo(3, at(39'000), true);
         CPPUNIT_ASSERT(ledger.isComplete(7, at(40'000)));
     }
 
     void oldWindowsAreRemoved()
     {
-        usage_ledger ledger(1);
-        ledger.noteBegun(7, {"a"});
-        ledger.take({2, 7, {{{"a"}, 1}}});
+        usage_table ledger(1);
+        ledger.recordRequestStart(7, {"a"});
+        ledger.merge({2, 7, {{{"a"}, 1}}});
         ledger.forgetBefore(8);
         CPPUNIT_ASSERT(ledger.totalOf(7).empty() && ledger.collect(true).empty());
         CPPUNIT_ASSERT(ledger.isComplete(7, at(40'000)));
@@ -148,48 +148,53 @@
 
     void checkpointSurvivesEncoding()
     {
-        const usage_note checkpoint{3, 9, {{8, {{{"a"}, 5}, {{"\u0c15"}, 1}}}, {9, {}}}};
-        CPPUNIT_ASSERT(decodeUsageNote(encode(checkpoint)) == checkpoint);
+        const usage_checkpoint checkpoint{3, 9, {{8, {{{"a"}, 5}, {{"\u0c15"}, 1}}}, {9, {}}}};
+        CPPUNIT_ASSERT(decodeUsageCheckpoint(encode(checkpoint)) == checkpoint);
         // A workspace name that isn't valid UTF-8 must not prevent the report of the others.
-        const usage_note invalid{3, 9, {{9, {{{"\xff"}, 5}, {{"a"}, 1}}}}};
+        const usage_checkpoint invalid{3, 9, {{9, {{{"\xff"}, 5}, {{"a"}, 1}}}}};
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
-                             decodeUsageNote(encode(invalid))->reports[0].counts.at({"a"}));
+                             decodeUsageCheckpoint(encode(invalid))->reports[0].counts.at({"a"}));
         for (const char *text : {"", "{", "[]", "{\"epoch\":-1,\"settled\":1,\"reports\":[]}",
                                  "{\"epoch\":1,\"settled\":1,\"reports\":[{\"window\":1}]}"})
-            CPPUNIT_ASSERT_MESSAGE(text, !decodeUsageNote(text));
+            CPPUNIT_ASSERT_MESSAGE(text, !decodeUsageCheckpoint(text));
     }
 
     void firstCheckpointContainsDueWindow()
     {
-        const usage_note first = nextNote({}, {0, true, 11, 10, {}}, countsByWindow);
-        CPPUNIT_ASSERT(first == (usage_note{0, 10, {{10, {{{"a"}, 10}}}}}));
+        const usage_checkpoint first = nextCheckpoint({}, {0, true, 11, 10, {}}, countsByWindow);
+        CPPUNIT_ASSERT(first == (usage_checkpoint{0, 10, {{10, {{{"a"}, 10}}}}}));
     }
 
     void eachWindowIsReportedOnce()
     {
-        const usage_note before{0, 10, {{10, {}}}};
-        const usage_note next = nextNote(before, {0, false, 13, 12, 10}, countsByWindow);
-        CPPUNIT_ASSERT(next == (usage_note{0, 12, {{11, {{{"a"}, 11}}}, {12, {{{"a"}, 12}}}}}));
+        const usage_checkpoint before{0, 10, {{10, {}}}};
+        const usage_checkpoint next =
+                nextCheckpoint(before, {0, false, 13, 12, 10}, countsByWindow);
+        CPPUNIT_ASSERT(next
+                       == (usage_checkpoint{0, 12, {{11, {{{"a"}, 11}}}, {12, {{{"a"}, 12}}}}}));
         // Older windows are skipped, since their reports would be too late anyway.
-        const usage_note late = nextNote(before, {0, false, 31, 30, 10}, noCounts);
+        const usage_checkpoint late = nextCheckpoint(before, {0, false, 31, 30, 10}, noCounts);
         CPPUNIT_ASSERT_EQUAL(window_number{28}, late.reports.front().window);
         CPPUNIT_ASSERT_EQUAL(window_number{30}, late.settled);
         // Nothing is due.
-        const usage_note same = nextNote(before, {0, false, 11, 10, 10}, noCounts);
-        CPPUNIT_ASSERT(same == (usage_note{0, 10, {}}));
-        const usage_note slow = nextNote(before, {0, false, 10, 9, 10}, noCounts);
-        CPPUNIT_ASSERT(slow == (usage_note{0, 10, {}}));
+        const usage_checkpoint same = nextCheckpoint(before, {0, false, 11, 10, 10}, noCounts);
+        CPPUNIT_ASSERT(same == (usage_checkpoint{0, 10, {}}));
+        const usage_checkpoint slow = nextCheckpoint(before, {0, false, 10, 9, 10}, noCounts);
+        CPPUNIT_ASSERT(slow == (usage_checkpoint{0, 10, {}}));
     }
 
     /// The holder crashes after its write. Its successor has other counts and can't know whether
     /// the report was sent.
     void unconfirmedReportsAreKeptUnchanged()
     {
-        const usage_note before{0, 10, {{9, {}}, {10, {{{"a"}, 4}}}}};
-        const usage_note next = nextNote(before, {0, false, 12, 11, {}}, countsByWindow);
-        CPPUNIT_ASSERT(next
-                       == (usage_note{0, 11, {{9, {}}, {10, {{{"a"}, 4}}}, {11, {{{"a"}, 11}}}}}));
-        const usage_note known = nextNote(before, {0, false, 12, 11, 9}, countsByWindow);
+        const usage_checkpoint before{0, 10, {{9, {}}, {10, {{{"a"}, 4}}}}};
+        const usage_checkpoint next =
+                nextCheckpoint(before, {0, false, 12, 11, {}}, countsByWindow);
+        CPPUNIT_ASSERT(
+                next
+                == (usage_checkpoint{0, 11, {{9, {}}, {10, {{{"a"}, 4}}}, {11, {{{"a"}, 11}}}}}));
+        const usage_checkpoint known =
+                nextCheckpoint(before, {0, false, 12, 11, 9}, countsByWindow);
         CPPUNIT_ASSERT_EQUAL(window_number{10}, known.reports.front().window);
     }
 
@@ -197,19 +202,20 @@
     /// window would have other counts.
     void windowsLostInRollbackAreSkipped()
     {
-        const usage_note before{0, 8, {{8, {{{"a"}, 4}}}}};
-        const usage_note next = nextNote(before, {1, false, 12, 11, {}}, countsByWindow);
-        CPPUNIT_ASSERT(next == (usage_note{1, 12, {{8, {{{"a"}, 4}}}}}));
-        const usage_note after = nextNote(next, {1, false, 14, 13, 8}, countsByWindow);
-        CPPUNIT_ASSERT(after == (usage_note{1, 13, {{13, {{{"a"}, 13}}}}}));
-        CPPUNIT_ASSERT(nextNote({}, {1, true, 12, 11, {}}, countsByWindow)
-                       == (usage_note{1, 12, {}}));
+        const usage_checkpoint before{0, 8, {{8, {{{"a"}, 4}}}}};
+        const usage_checkpoint next =
+                nextCheckpoint(before, {1, false, 12, 11, {}}, countsByWindow);
+        CPPUNIT_ASSERT(next == (usage_checkpoint{1, 12, {{8, {{{"a"}, 4}}}}}));
+        const usage_checkpoint after = nextCheckpoint(next, {1, false, 14, 13, 8}, countsByWindow);
+        CPPUNIT_ASSERT(after == (usage_checkpoint{1, 13, {{13, {{{"a"}, 13}}}}}));
+        CPPUNIT_ASSERT(nextCheckpoint({}, {1, true, 12, 11, {}}, countsByWindow)
+                       == (usage_checkpoint{1, 12, {}}));
     }
 
     void malformedCheckpointSettlesAllEarlierWindows()
     {
-        CPPUNIT_ASSERT(nextNote({}, {0, false, 12, 11, {}}, countsByWindow)
-                       == (usage_note{0, 12, {}}));
+        CPPUNIT_ASSERT(nextCheckpoint({}, {0, false, 12, 11, {}}, countsByWindow)
+                       == (usage_checkpoint{0, 12, {}}));
     }
 };
 
--- a/tests/faults/answer_scenarios.cpp
+++ b/tests/faults/answer_scenarios.cpp
@@ -1,4 +1,4 @@
-#include "faults/load.h"
+#include "faults/load_generator.h"
 #include "faults/scenarios.h"
 #include "faults/waiting.h"
 
--- a/tests/faults/caller.cpp
+++ b/tests/faults/caller.cpp
@@ -96,7 +96,7 @@
     if (head.status == 0)
         return recordOfFailure(call, errorOf(sent), request);
     if (head.status != statusOk)
-        return recordOfFailure(call, bench::failureIn(head), request);
+        return recordOfFailure(call, bench::parseFailure(head), request);
     const bench::completion_answer &answer = reader.answer();
     if (answer.text.empty() && answer.failure)
         return recordOfFailure(call, *answer.failure, request);
@@ -111,7 +111,7 @@
     const http_reply &reply = valueOf(sent);
     const std::string request(headerOf(reply.headers, caller::requestIdHeader));
     if (reply.status != statusOk)
-        return recordOfFailure(call, bench::failureIn(reply), request);
+        return recordOfFailure(call, bench::parseFailure(reply), request);
     const json answer = json::parse(reply.body, nullptr, false);
     const bool isOwn = answer.is_object() && answer.value("key", "") == call.key;
     return {call.key, isOwn ? call_outcome::Whole : call_outcome::Wrong, {}, false, "", reply.body};
--- a/tests/faults/leaving_scenarios.cpp
+++ b/tests/faults/drain_scenarios.cpp
@@ -1,4 +1,4 @@
-#include "faults/load.h"
+#include "faults/load_generator.h"
 #include "faults/scenarios.h"
 #include "faults/waiting.h"
 #include "poplarspool/config.h"
@@ -85,7 +85,7 @@
     expect(drained.version != 0, "the drain is accepted");
     fleet.waitInForce(drained.version, {2});
     waitUntil("the frozen instance's view is no longer fresh",
-              [&] { return std::chrono::steady_clock::now() - frozenAt > config::freshTime; });
+              [&] { return std::chrono::steady_clock::now() - frozenAt > config::maxFreshAge; });
     const std::uint64_t before = fleet.startedRequests(0);
     fleet.instance(2).unfreeze();
     std::vector<call_record> calls = pending.collect();
--- a/tests/faults/load.cpp
+++ b/tests/faults/load_generator.cpp
@@ -1,4 +1,4 @@
-#include "faults/load.h"
+#include "faults/load_generator.h"
 
 #include "faults/waiting.h"
 #include "poplarspool/base/hash.h"
@@ -16,7 +16,7 @@
     : spec(spec), runId(randomHex128()), pool(idlePerTarget, connectTimeout, metrics)
 {
     for (std::size_t caller = 0; caller < spec.callers; ++caller)
-        addressCaches.push_back(std::make_unique<bench::address_book>(
+        addressCaches.push_back(std::make_unique<bench::address_cache>(
                 fleet.callerAddresses(),
                 bench::caller_identity{"caller-" + std::to_string(caller), "", ""}, pool));
     for (std::size_t caller = 0; caller < spec.callers; ++caller)
--- a/tests/faults/load.h
+++ b/tests/faults/load_generator.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "bench/address_book.h"
+#include "bench/address_cache.h"
 #include "faults/caller.h"
-#include "faults/fleet.h"
+#include "faults/test_fleet.h"
 
 #include <atomic>
 #include <memory>
@@ -39,7 +39,7 @@
     const std::string runId; ///< Part of each key and prompt.
     metrics_registry metrics;
     http_pool pool;
-    std::vector<std::unique_ptr<bench::address_book>> addressCaches;
+    std::vector<std::unique_ptr<bench::address_cache>> addressCaches;
     std::atomic<bool> isStopping{false};
     std::atomic<std::size_t> wholeCount{0};
     std::mutex mutex;
--- a/tests/faults/tally.cpp
+++ b/tests/faults/outcome_counts.cpp
@@ -1,4 +1,4 @@
-#include "faults/tally.h"
+#include "faults/outcome_counts.h"
 
 #include <sstream>
 
--- a/tests/faults/tally.h
+++ b/tests/faults/outcome_counts.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "faults/caller.h"
-#include "faults/fleet.h"
+#include "faults/test_fleet.h"
 
 #include <string>
 
--- a/tests/faults/scenarios.h
+++ b/tests/faults/scenarios.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "faults/fleet.h"
-#include "faults/tally.h"
+#include "faults/outcome_counts.h"
+#include "faults/test_fleet.h"
 
 #include <string>
 #include <vector>
--- a/tests/faults/store_gate.cpp
+++ b/tests/faults/store_fault_proxy.cpp
@@ -1,4 +1,4 @@
-#include "faults/store_gate.h"
+#include "faults/store_fault_proxy.h"
 
 #include "faults/waiting.h"
 
--- a/tests/faults/fleet.cpp
+++ b/tests/faults/test_fleet.cpp
@@ -1,4 +1,4 @@
-#include "faults/fleet.h"
+#include "faults/test_fleet.h"
 
 #include "faults/waiting.h"
 #include "poplarspool/base/hash.h"
--- a/tests/faults/fleet.h
+++ b/tests/faults/test_fleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "faults/child_process.h"
-#include "faults/store_gate.h"
+#include "faults/store_fault_proxy.h"
 #include "poplarspool/base/endpoint.h"
 #include "poplarspool/base/http.h"
 
--- a/tests/fuzz/calls.cpp
+++ b/tests/fuzz/calls.cpp
@@ -53,15 +53,15 @@
 
 int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
-    constexpr std::array checks{checkMessage<watched_ask>,
+    constexpr std::array checks{checkMessage<watched_request>,
                                 checkMessage<watched_reply>,
-                                checkMessage<body_ask>,
+                                checkMessage<body_request>,
                                 checkMessage<body_reply>,
-                                checkMessage<claim_ask>,
+                                checkMessage<claim_request>,
                                 checkMessage<claim_reply>,
-                                checkMessage<answer_ask>,
+                                checkMessage<answer_request>,
                                 checkMessage<answer_reply>,
-                                checkMessage<events_ask>,
+                                checkMessage<events_request>,
                                 checkMessage<events_reply>,
                                 checkCall,
                                 checkReply};
--- a/tests/fuzz/datagrams.cpp
+++ b/tests/fuzz/datagrams.cpp
@@ -1,10 +1,10 @@
-#include "duties/usage_news.h"
+#include "duties/usage_update.h"
 #include "fuzz.h"
 #include "peer/frame.h"
 #include "peer/gossip_message.h"
-#include "poplarspool/gateway/catalogue_keeper.h"
+#include "poplarspool/gateway/catalogue_updater.h"
 #include "poplarspool/peer/load_exchange.h"
-#include "poplarspool/peer/store_news.h"
+#include "poplarspool/peer/store_update.h"
 #include "poplarspool/scaling/fleet_plan.h"
 
 #include <algorithm>
@@ -74,11 +74,11 @@
 /// Checkpoints that the holders of a duty's lease store for their successors.
 void checkCheckpoints(std::string_view bytes)
 {
-    if (const auto checkpoint = duties::decodeUsageNote(bytes))
-        require(duties::decodeUsageNote(duties::encode(*checkpoint)) == checkpoint,
+    if (const auto checkpoint = duties::decodeUsageCheckpoint(bytes))
+        require(duties::decodeUsageCheckpoint(duties::encode(*checkpoint)) == checkpoint,
                 "a usage checkpoint changes when encoded and decoded again");
-    if (const auto checkpoint = scaling::decodeFleetNote(bytes))
-        require(scaling::decodeFleetNote(scaling::encode(*checkpoint)) == checkpoint,
+    if (const auto checkpoint = scaling::decodeFleetCheckpoint(bytes))
+        require(scaling::decodeFleetCheckpoint(scaling::encode(*checkpoint)) == checkpoint,
                 "a fleet checkpoint changes when encoded and decoded again");
 }
 
@@ -96,13 +96,13 @@
         break;
     case 2:
         checkRoundTrip(
-                bytes, [](const peer::load_news &update) { return peer::encode(update); },
-                peer::decodeLoadNews);
+                bytes, [](const peer::load_update &update) { return peer::encode(update); },
+                peer::decodeLoadUpdate);
         break;
     case 3:
         checkRoundTrip(
-                bytes, [](const peer::store_news &update) { return peer::encode(update); },
-                peer::decodeStoreNews);
+                bytes, [](const peer::store_update &update) { return peer::encode(update); },
+                peer::decodeStoreUpdate);
         break;
     case 4:
         checkRunnerChange(bytes);
@@ -112,8 +112,8 @@
         break;
     case 6:
         checkRoundTrip(
-                bytes, [](const duties::usage_news &update) { return duties::encode(update); },
-                duties::decodeUsageNews);
+                bytes, [](const duties::usage_update &update) { return duties::encode(update); },
+                duties::decodeUsageUpdate);
         break;
     default:
         checkCheckpoints(bytes);
--- a/tests/fuzz/files.cpp
+++ b/tests/fuzz/files.cpp
@@ -23,8 +23,8 @@
     default:
         // Inventory and rules in one input, separated by a line `---`.
         const std::size_t separator = std::min(text.find("\n---\n"), text.size());
-        checkTogether("i", text.substr(0, separator), "r", text.substr(separator));
-        guessKind(text);
+        crossCheck("i", text.substr(0, separator), "r", text.substr(separator));
+        detectFileKind(text);
         break;
     }
     return 0;
--- a/tests/fuzz/replies.cpp
+++ b/tests/fuzz/replies.cpp
@@ -32,7 +32,7 @@
 /// A runner's headers are forwarded to the caller. They must not change the framing of the reply.
 void checkForwarded(const reply_head &head)
 {
-    const http_headers forwarded = gateway::passedReplyHeaders(head.headers);
+    const http_headers forwarded = gateway::forwardedReplyHeaders(head.headers);
     const std::string text = replyHeadText(head.status, forwarded, "text/plain", {.bodyBytes = 7});
     const auto reparsed = parseReplyHead(text);
     require(reparsed.has_value() && reparsed->status == head.status && reparsed->bodyBytes == 7U,
@@ -47,7 +47,7 @@
     extras.runner = "i-1";
     extras.kvSource = "10.0.0.1:80/" + handle;
     http_request request;
-    request.path = platformNames.freeHandle(handle).path;
+    request.path = platformNames.freeHandleRequest(handle).path;
     const std::string text =
             gateway::runnerRequestText(request, {"10.0.0.1", 80}, platformNames, extras);
     const auto parsed = parseRequestHead(text);
@@ -79,8 +79,8 @@
     readReply(call, expired);
     call.takeConnection();
     checkEvents(bytes);
-    platformNames.readReport(bytes);
-    if (const auto handle = platformNames.readHandle(bytes))
+    platformNames.parseReport(bytes);
+    if (const auto handle = platformNames.parseHandle(bytes))
         checkHandle(*handle);
     return 0;
 }
