--- a/tests/fuzz/requests.cpp
+++ b/tests/fuzz/requests.cpp
@@ -21,13 +21,13 @@
     limits.headerBytes *= 2;
     const descriptor connection = fuzz::socketOf(text);
     request_reader reader(connection.get(), limits, -1);
-    const reading forwarded = reader.next(milliseconds(0));
+    const read_outcome forwarded = reader.next(milliseconds(0));
     const auto *arrived = std::get_if<arrived_request>(&forwarded);
     require(arrived != nullptr, "a forwarded request can't be read");
     require(arrived->request.method == request.method && arrived->request.path == request.path
                     && arrived->request.body == request.body,
             "a forwarded request differs from the caller's request");
-    require(std::holds_alternative<no_request>(reader.next(milliseconds(0))),
+    require(std::holds_alternative<connection_ended>(reader.next(milliseconds(0))),
             "one request is forwarded as two");
 }
 
@@ -42,7 +42,7 @@
     const descriptor connection = fuzz::socketOf(bytes);
     request_reader reader(connection.get(), limits, -1);
     for (std::size_t count = 0; count < maxRequests; ++count) {
-        const reading outcome = reader.next(milliseconds(0));
+        const read_outcome outcome = reader.next(milliseconds(0));
         const auto *arrived = std::get_if<arrived_request>(&outcome);
         if (arrived == nullptr)
             return 0;
--- a/tests/fuzz/store.cpp
+++ b/tests/fuzz/store.cpp
@@ -5,7 +5,7 @@
 #include "platform/decode.h"
 #include "platform/dialect.h"
 #include "platform/store_wire.h"
-#include "poplarspool/gateway/catalogue_keeper.h"
+#include "poplarspool/gateway/catalogue_updater.h"
 #include "poplarspool/gateway/route_index.h"
 
 #include <algorithm>
@@ -45,31 +45,33 @@
 void useRoutes(const gateway::route_table &table)
 {
     journal events({"fuzz"}, systemClock(), 16);
-    gateway::catalogue_hub publisher{gateway::catalogue{}};
-    gateway::catalogue_keeper updater(publisher, milliseconds(3000), systemClock(), events);
+    gateway::catalogue_publisher publisher{gateway::catalogue{}};
+    gateway::catalogue_updater updater(publisher, milliseconds(3000), systemClock(), events);
     updater.setTable(table);
     updater.setTable(table);
     require(updater.table() != nullptr && *updater.table() == table,
             "a route table is not applied");
-    const gateway::route_index index = gateway::indexOf(table);
+    const gateway::route_index index = gateway::buildRouteIndex(table);
     for (const gateway::route &route : table.routes) {
         const gateway::route *found =
                 gateway::findRoute(table, index, route.host + ":80", route.pathPrefix + "?x");
         require(found == nullptr || found->pathPrefix.size() <= route.pathPrefix.size(),
                 "a route is found for a path that does not begin with its prefix");
         for (const std::uint64_t draw : {std::uint64_t{0}, std::uint64_t{7}, UINT64_MAX}) {
-            const gateway::service_id picked = gateway::drawService(route, draw);
+            const gateway::service_id picked = gateway::pickServiceByWeight(route, draw);
             const bool isOffered = std::ranges::any_of(
                     route.services, [&](const auto &part) { return part.service == picked; });
             require(isOffered || !picked.isValid(),
                     "a service is picked that the route does not list");
             gateway::findService(table, picked);
         }
-        require(fixedNow + route.timeLimit >= fixedNow && fixedNow + route.objective >= fixedNow,
+        require(fixedNow + route.timeLimit >= fixedNow
+                        && fixedNow + route.latencyObjective >= fixedNow,
                 "a time limit of a route overflows");
     }
-    const http_limits limits = gateway::callerLimitsOf(table.bounds);
-    require(fixedNow + limits.readTime > fixedNow && fixedNow + limits.keepAliveTime > fixedNow,
+    const http_limits limits = gateway::callerLimitsOf(table.callerLimits);
+    require(fixedNow + limits.readTimeout > fixedNow
+                    && fixedNow + limits.keepAliveTimeout > fixedNow,
             "a time limit for callers is not positive, or overflows");
     checkUpdateEncoding(table);
 }
@@ -97,12 +99,12 @@
     if (!succeeded(decoded))
         return;
     journal events({"fuzz"}, systemClock(), 16);
-    gateway::catalogue_hub publisher{gateway::catalogue{}};
-    gateway::catalogue_keeper updater(publisher, milliseconds(3000), systemClock(), events);
+    gateway::catalogue_publisher publisher{gateway::catalogue{}};
+    gateway::catalogue_updater updater(publisher, milliseconds(3000), systemClock(), events);
     const gateway::runner_change change{{name}, valueOf(decoded)};
     updater.setRunners({valueOf(decoded)});
-    updater.takeChanges({change, {{name}, std::nullopt}});
-    updater.settle();
+    updater.applyChanges({change, {{name}, std::nullopt}});
+    updater.applyTimeouts();
     checkUpdateEncoding(change);
     checkRunnerRequest(valueOf(decoded));
 }
@@ -144,7 +146,7 @@
 {
     std::string_view bytes(reinterpret_cast<const char *>(data), size);
     const std::uint8_t kind = fuzz::takeByte(bytes);
-    const nlohmann::json body = parsedAnswer(std::string(bytes));
+    const nlohmann::json body = parseStoreReply(std::string(bytes));
     if (body.is_discarded())
         return 0;
     if (kind % 3 == 0) {
--- a/tests/fuzz/targets.cmake
+++ b/tests/fuzz/targets.cmake
@@ -10,17 +10,17 @@
     src/base/request_reader.cpp src/base/result.cpp src/base/socket.cpp
     src/policy/inventory.cpp src/policy/rules.cpp
     src/peer/call_wire.cpp src/peer/codec.cpp src/peer/frame.cpp src/peer/gossip_message.cpp
-    src/peer/load_news.cpp src/peer/member_record.cpp src/peer/messages.cpp
-    src/peer/store_news.cpp
-    src/gateway/caller_key.cpp src/gateway/caller_limits.cpp src/gateway/catalogue.cpp src/gateway/catalogue_keeper.cpp
-    src/gateway/copied_entries.cpp src/gateway/envelope.cpp src/gateway/event_splitter.cpp
+    src/peer/load_update.cpp src/peer/member_record.cpp src/peer/messages.cpp
+    src/peer/store_update.cpp
+    src/gateway/caller_key.cpp src/gateway/caller_limits.cpp src/gateway/catalogue.cpp src/gateway/catalogue_updater.cpp
+    src/gateway/rollback_filter.cpp src/gateway/envelope.cpp src/gateway/event_splitter.cpp
     src/gateway/gateway_settings.cpp src/gateway/route_index.cpp src/gateway/runner_call.cpp
-    src/gateway/suspect_book.cpp src/gateway/suspect_news.cpp src/gateway/told_changes.cpp
+    src/gateway/crash_table.cpp src/gateway/crash_update.cpp src/gateway/relayed_changes.cpp
     src/operators/config_files.cpp src/operators/cross_checks.cpp src/operators/gateway_file.cpp
     src/operators/inventory_file.cpp src/operators/key_table.cpp src/operators/rules_file.cpp
     src/operators/settings_file.cpp src/operators/toml_reader.cpp src/operators/value_rules.cpp
     src/workspaces/workspaces.cpp src/duties/fleet_clock.cpp src/duties/usage.cpp
-    src/duties/usage_news.cpp src/scaling/fleet_plan.cpp
+    src/duties/usage_update.cpp src/scaling/fleet_plan.cpp
     platform/decode.cpp platform/decode_workspaces.cpp platform/dialect.cpp platform/json_count.cpp platform/store_wire.cpp)
 
 add_library(poplarspool_fuzzed STATIC EXCLUDE_FROM_ALL ${fuzzed})
--- a/tests/gateway/caller_key_test.cpp
+++ b/tests/gateway/caller_key_test.cpp
@@ -23,7 +23,7 @@
 const workspaces::workspace *ownerOf(const route_table &table, http_headers headers)
 {
     return keyOwnerOf(requestOf("GET", "/", std::move(headers)), testDialect(), table,
-                      indexOf(table));
+                      buildRouteIndex(table));
 }
 
 } // namespace
--- a/tests/gateway/catalogue_test.cpp
+++ b/tests/gateway/catalogue_test.cpp
@@ -31,7 +31,7 @@
         table.routes = {routeOf("short", "a.example", "/x/"), routeOf("long", "a.example", "/x/y/"),
                         routeOf("other", "b.example", "/x/y/z/")};
         const auto nameOf = [&table](std::string_view host, std::string_view path) {
-            const route *found = findRoute(table, indexOf(table), host, path);
+            const route *found = findRoute(table, buildRouteIndex(table), host, path);
             return found == nullptr ? std::string() : found->name;
         };
         CPPUNIT_ASSERT_EQUAL(std::string("long"), nameOf("a.example", "/x/y/z/1?q=/x/"));
@@ -47,10 +47,10 @@
         split.services = {{{"a"}, 9}, {{"none"}, 0}, {{"b"}, 1}};
         std::map<std::string, int> counts;
         for (std::uint64_t draw = 0; draw < 100; ++draw)
-            ++counts[drawService(split, draw).text];
+            ++counts[pickServiceByWeight(split, draw).text];
         CPPUNIT_ASSERT_EQUAL(90, counts["a"]);
         CPPUNIT_ASSERT_EQUAL(10, counts["b"]);
-        CPPUNIT_ASSERT(!drawService(route{}, 7).isValid());
+        CPPUNIT_ASSERT(!pickServiceByWeight(route{}, 7).isValid());
     }
 };
 
--- a/tests/gateway/catalogue_keeper_test.cpp
+++ b/tests/gateway/catalogue_updater_test.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/gateway/catalogue_keeper.h"
+#include "poplarspool/gateway/catalogue_updater.h"
 #include "poplarspool/gateway/limits.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -33,18 +33,18 @@
     mono_time now{std::chrono::hours(1)};
     clock_source clock{[this] { return now; }, [] { return wall_time{}; }};
     journal events{{"test"}, clock, 16};
-    catalogue_hub publisher{catalogue{}};
-    catalogue_keeper updater{publisher, settleTime, clock, events};
+    catalogue_publisher publisher{catalogue{}};
+    catalogue_updater updater{publisher, settleTime, clock, events};
 
     /// Simulates an outage of the store.
     /// @param noticedAfter Time from the last failed call to the first answer.
     void simulateOutage(milliseconds time, milliseconds noticedAfter = 100ms)
     {
-        updater.noteStoreLost(now);
+        updater.recordStoreFailure(now);
         now += time - noticedAfter;
-        updater.noteStoreLost(now);
+        updater.recordStoreFailure(now);
         now += noticedAfter;
-        updater.noteStoreAnswer();
+        updater.recordStoreAnswer();
     }
 
     /// @returns Whether requests may be sent to the runner.
@@ -52,7 +52,7 @@
     {
         const auto known = publisher.current();
         const auto found = known->runners.find({id});
-        return found != known->runners.end() && found->second->keptUntil > now;
+        return found != known->runners.end() && found->second->retainedUntil > now;
     }
 };
 
@@ -88,7 +88,7 @@
         test.updater.setRunners({runnerOf("a"), runnerOf("b")});
         CPPUNIT_ASSERT(test.isUsed("a") && test.isUsed("b"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, test.publisher.current()->runners.size());
-        test.updater.takeChanges({{{"c"}, runnerOf("c")}});
+        test.updater.applyChanges({{{"c"}, runnerOf("c")}});
         CPPUNIT_ASSERT(test.isUsed("c"));
         CPPUNIT_ASSERT(test.publisher.current()->areRunnersKnown);
     }
@@ -115,7 +115,7 @@
         CPPUNIT_ASSERT(test.isUsed("a") && test.isUsed("b"));
         test.now += 2001ms;
         CPPUNIT_ASSERT(!test.isUsed("a")); // Even without a further answer of the store.
-        test.updater.settle();
+        test.updater.applyTimeouts();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.publisher.current()->runners.size());
     }
 
@@ -124,11 +124,11 @@
         fixture test;
         test.updater.setRunners({runnerOf("a")});
         test.simulateOutage(4s);
-        test.updater.takeChanges({{{"a"}, std::nullopt}});
+        test.updater.applyChanges({{{"a"}, std::nullopt}});
         test.now += 1s;
-        test.updater.takeChanges({{{"a"}, runnerOf("a")}});
+        test.updater.applyChanges({{{"a"}, runnerOf("a")}});
         test.now += 10s;
-        test.updater.settle();
+        test.updater.applyTimeouts();
         CPPUNIT_ASSERT(test.isUsed("a"));
     }
 
@@ -141,7 +141,7 @@
         test.updater.setRunners({runnerOf("a")});
         test.simulateOutage(4s);
         test.now += 1200ms;
-        test.updater.takeChanges({{{"a"}, std::nullopt}});
+        test.updater.applyChanges({{{"a"}, std::nullopt}});
         CPPUNIT_ASSERT(!test.isUsed("a"));
     }
 
@@ -159,7 +159,7 @@
         CPPUNIT_ASSERT(test.isUsed("a"));
         test.now += settleTime - 1400ms - 150ms;
         CPPUNIT_ASSERT(!test.isUsed("a"));
-        test.updater.settle();
+        test.updater.applyTimeouts();
         CPPUNIT_ASSERT(test.publisher.current()->runners.empty());
     }
 
@@ -178,14 +178,14 @@
     {
         fixture test;
         test.updater.setRunners({runnerOf("a"), runnerOf("b")});
-        test.updater.takeChanges({{{"a"}, std::nullopt}, {{"b"}, std::nullopt}});
+        test.updater.applyChanges({{{"a"}, std::nullopt}, {{"b"}, std::nullopt}});
         test.now += 1s;
-        test.updater.noteOlderCopy(test.now);
+        test.updater.recordStoreRollback(test.now);
         test.updater.setRunners({runnerOf("a"), runnerOf("b")});
         CPPUNIT_ASSERT(!test.isUsed("a") && !test.isUsed("b"));
-        test.updater.takeChanges({{{"b"}, std::nullopt}});
-        test.now += config::copyDoubtTime;
-        test.updater.settle();
+        test.updater.applyChanges({{{"b"}, std::nullopt}});
+        test.now += config::rollbackEntryConfirmTime;
+        test.updater.applyTimeouts();
         CPPUNIT_ASSERT(test.isUsed("a") && !test.isUsed("b"));
     }
 
@@ -194,10 +194,10 @@
     {
         fixture test;
         test.updater.setRunners({runnerOf("a")});
-        test.updater.takeChanges({{{"a"}, std::nullopt}});
-        test.updater.noteOlderCopy(test.now);
+        test.updater.applyChanges({{{"a"}, std::nullopt}});
+        test.updater.recordStoreRollback(test.now);
         runner restarted = runnerOf("a");
-        restarted.bornMs = 9;
+        restarted.startedAtMs = 9;
         test.updater.setRunners({restarted});
         CPPUNIT_ASSERT(test.isUsed("a"));
     }
@@ -211,10 +211,10 @@
         test.updater.setRunners({runnerOf("a")});
         const mono_time lastSeenAt = test.now;
         test.now += 1500ms;
-        test.updater.noteOlderCopy(lastSeenAt);
+        test.updater.recordStoreRollback(lastSeenAt);
         test.updater.setRunners({});
         CPPUNIT_ASSERT(test.isUsed("a"));
-        test.now = lastSeenAt + settleTime - config::forgivenMargin;
+        test.now = lastSeenAt + settleTime - config::gracePeriodMargin;
         CPPUNIT_ASSERT(!test.isUsed("a"));
     }
 
@@ -225,14 +225,14 @@
     {
         fixture test;
         runner first = runnerOf("a");
-        first.bornMs = 5;
+        first.startedAtMs = 5;
         runner second = runnerOf("a", true);
-        second.bornMs = 9;
+        second.startedAtMs = 9;
         for (const bool isGone : {false, true}) {
             test.updater.setRunners({second});
             if (isGone)
-                test.updater.takeChanges({{{"a"}, std::nullopt}});
-            test.updater.noteOlderCopy(test.now);
+                test.updater.applyChanges({{{"a"}, std::nullopt}});
+            test.updater.recordStoreRollback(test.now);
             test.updater.setRunners({first});
             const auto known = test.publisher.current()->runners;
             CPPUNIT_ASSERT(!known.contains({"a"}) || known.at({"a"})->isDraining);
@@ -240,11 +240,11 @@
         // The end of the previous incarnation must not remove the new one either.
         second.isDraining = false;
         first.isDraining = true;
-        test.updater.takeChanges({{{"a"}, second}});
+        test.updater.applyChanges({{{"a"}, second}});
         CPPUNIT_ASSERT(test.isUsed("a"));
-        test.updater.noteOlderCopy(test.now);
+        test.updater.recordStoreRollback(test.now);
         test.updater.setRunners({first});
-        CPPUNIT_ASSERT(test.publisher.current()->runners.at({"a"})->bornMs == 9);
+        CPPUNIT_ASSERT(test.publisher.current()->runners.at({"a"})->startedAtMs == 9);
     }
 
     /// Right after a store rollback a runner is removed; since its entry may have expired, it gets
@@ -255,14 +255,14 @@
     {
         fixture test;
         test.updater.setRunners({runnerOf("a")});
-        test.updater.noteOlderCopy(test.now);
+        test.updater.recordStoreRollback(test.now);
         test.updater.setRunners({runnerOf("a")});
-        test.updater.takeChanges({{{"a"}, std::nullopt}});
+        test.updater.applyChanges({{{"a"}, std::nullopt}});
         test.now += 300ms;
-        test.updater.noteOlderCopy(test.now);
+        test.updater.recordStoreRollback(test.now);
         test.updater.setRunners({runnerOf("a")});
         test.now += 3s;
-        test.updater.settle();
+        test.updater.applyTimeouts();
         CPPUNIT_ASSERT(!test.isUsed("a"));
     }
 
@@ -274,18 +274,18 @@
         for (const bool isListedFirst : {false, true}) {
             fixture other;
             other.updater.setRunners({writtenRunner("a", 4), writtenRunner("b", 4)});
-            other.updater.takeChanges({{{"a"}, std::nullopt}});
-            other.updater.noteOlderCopy(other.now);
+            other.updater.applyChanges({{{"a"}, std::nullopt}});
+            other.updater.recordStoreRollback(other.now);
             const std::vector<runner> snapshot{writtenRunner("a", 4), writtenRunner("b", 4)};
             other.updater.setRunners(snapshot);
             fixture started;
             if (isListedFirst)
                 started.updater.setRunners(snapshot);
-            started.updater.doubt(other.updater.copyMarks());
+            started.updater.applyOutdatedMarkers(other.updater.outdatedMarkers());
             if (!isListedFirst)
                 started.updater.setRunners(snapshot);
             CPPUNIT_ASSERT(!started.isUsed("a") && started.isUsed("b"));
-            started.updater.noteOlderCopy(started.now);
+            started.updater.recordStoreRollback(started.now);
             started.updater.setRunners(snapshot);
             CPPUNIT_ASSERT(!started.isUsed("a") && started.isUsed("b"));
         }
@@ -297,17 +297,18 @@
     void markersAreAppliedOnceAndNotToLiveRunners()
     {
         fixture test;
-        const std::vector<entry_mark> markers{{{"a"}, 0, 4}, {{"b"}, 0, 4}, {{"c"}, 0, 4}};
+        const std::vector<outdated_entry_marker> markers{
+                {{"a"}, 0, 4}, {{"b"}, 0, 4}, {{"c"}, 0, 4}};
         test.updater.setRunners(
                 {writtenRunner("a", 5), writtenRunner("b", 4), writtenRunner("c", 4)});
-        test.updater.doubt(markers);
+        test.updater.applyOutdatedMarkers(markers);
         CPPUNIT_ASSERT(test.isUsed("a") && !test.isUsed("b") && !test.isUsed("c"));
-        test.updater.takeChanges({{{"b"}, writtenRunner("b", 6)}});
+        test.updater.applyChanges({{{"b"}, writtenRunner("b", 6)}});
         CPPUNIT_ASSERT(test.isUsed("b"));
-        test.now += config::copyDoubtTime;
-        test.updater.settle();
+        test.now += config::rollbackEntryConfirmTime;
+        test.updater.applyTimeouts();
         CPPUNIT_ASSERT(test.isUsed("c"));
-        test.updater.doubt(markers);
+        test.updater.applyOutdatedMarkers(markers);
         CPPUNIT_ASSERT(test.isUsed("a") && test.isUsed("b") && test.isUsed("c"));
     }
 
@@ -317,13 +318,14 @@
     {
         fixture test;
         test.updater.setRunners({writtenRunner("a", 5), writtenRunner("b", 4)});
-        test.updater.takeChanges({{{"b"}, runnerOf("b", true)}});
-        test.updater.noteOlderCopy(test.now);
+        test.updater.applyChanges({{{"b"}, runnerOf("b", true)}});
+        test.updater.recordStoreRollback(test.now);
         test.updater.setRunners({writtenRunner("a", 4), writtenRunner("b", 3)});
-        CPPUNIT_ASSERT(test.updater.copyMarks() == (std::vector<entry_mark>{{{"b"}, 0, 3}}));
-        test.now += config::copyDoubtTime;
-        test.updater.settle();
-        CPPUNIT_ASSERT(test.updater.copyMarks().empty());
+        CPPUNIT_ASSERT(test.updater.outdatedMarkers()
+                       == (std::vector<outdated_entry_marker>{{{"b"}, 0, 3}}));
+        test.now += config::rollbackEntryConfirmTime;
+        test.updater.applyTimeouts();
+        CPPUNIT_ASSERT(test.updater.outdatedMarkers().empty());
     }
 
     /// A runner is removed right after a store rollback and gets a grace period, since its entry
@@ -335,17 +337,18 @@
         fixture test;
         const std::vector<runner> snapshot{writtenRunner("a", 4)};
         test.updater.setRunners(snapshot);
-        test.updater.noteOlderCopy(test.now);
+        test.updater.recordStoreRollback(test.now);
         test.updater.setRunners(snapshot);
-        test.updater.takeChanges({{{"a"}, std::nullopt}});
+        test.updater.applyChanges({{{"a"}, std::nullopt}});
         test.now += 300ms;
-        test.updater.noteOlderCopy(test.now);
+        test.updater.recordStoreRollback(test.now);
         test.updater.setRunners(snapshot);
-        CPPUNIT_ASSERT(test.updater.copyMarks().empty());
+        CPPUNIT_ASSERT(test.updater.outdatedMarkers().empty());
         test.now += 3s;
-        test.updater.settle();
+        test.updater.applyTimeouts();
         CPPUNIT_ASSERT(!test.isUsed("a"));
-        CPPUNIT_ASSERT(test.updater.copyMarks() == (std::vector<entry_mark>{{{"a"}, 0, 4}}));
+        CPPUNIT_ASSERT(test.updater.outdatedMarkers()
+                       == (std::vector<outdated_entry_marker>{{{"a"}, 0, 4}}));
     }
 };
 
--- a/tests/gateway/suspect_book_test.cpp
+++ b/tests/gateway/crash_table_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/suspect_book.h"
+#include "gateway/crash_table.h"
 
 #include "poplarspool/gateway/limits.h"
 
@@ -14,20 +14,20 @@
 
 constexpr std::int64_t start = 1'000'000;
 
-ended_life endOf(std::uint64_t key, std::int64_t at = start)
+ended_incarnation endOf(std::uint64_t key, std::int64_t at = start)
 {
     return {key, at};
 }
 
-suspect recordOf(std::uint64_t digest, const std::vector<std::uint64_t> &keys)
+crash_record recordOf(std::uint64_t digest, const std::vector<std::uint64_t> &keys)
 {
-    suspect made{digest, {}, 0};
+    crash_record made{digest, {}, 0};
     for (const std::uint64_t key : keys)
-        made = joined(made, {digest, {endOf(key)}, 0});
+        made = merged(made, {digest, {endOf(key)}, 0});
     return made;
 }
 
-bool isQuarantined(const suspect_book &table, std::uint64_t digest, std::int64_t now = start)
+bool isQuarantined(const crash_table &table, std::uint64_t digest, std::int64_t now = start)
 {
     return table.quarantineOf(digest, now).has_value();
 }
@@ -55,12 +55,12 @@
 public:
     void eachEndIsCountedOnce()
     {
-        suspect_book table;
-        CPPUNIT_ASSERT(table.noteEnded(7, endOf(1)));
-        CPPUNIT_ASSERT(!table.noteEnded(7, endOf(1)));
-        CPPUNIT_ASSERT(!table.join({recordOf(7, {1})}));
-        table.join({recordOf(7, {1, 2})});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.countLives(7));
+        crash_table table;
+        CPPUNIT_ASSERT(table.recordEnd(7, endOf(1)));
+        CPPUNIT_ASSERT(!table.recordEnd(7, endOf(1)));
+        CPPUNIT_ASSERT(!table.merge({recordOf(7, {1})}));
+        table.merge({recordOf(7, {1, 2})});
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.countIncarnations(7));
         CPPUNIT_ASSERT(!isQuarantined(table, 7));
     }
 
@@ -68,19 +68,19 @@
     {
         std::mt19937_64 random(11);
         for (int round = 0; round < 200; ++round) {
-            std::vector<suspect> updates;
+            std::vector<crash_record> updates;
             updates.reserve(12);
             for (int i = 0; i < 12; ++i)
                 updates.push_back({random() % 3,
                                    {endOf(random() % 6, start + static_cast<int>(random() % 9))},
                                    random() % 4 == 0 ? start + 2 : 0});
-            suspect_book sequential;
-            for (const suspect &each : updates)
-                sequential.join({each});
-            suspect_book shuffled;
+            crash_table sequential;
+            for (const crash_record &each : updates)
+                sequential.merge({each});
+            crash_table shuffled;
             std::shuffle(updates.begin(), updates.end(), random);
-            shuffled.join(updates);
-            shuffled.join({updates.front()});
+            shuffled.merge(updates);
+            shuffled.merge({updates.front()});
             for (std::uint64_t digest = 0; digest < 3; ++digest) {
                 CPPUNIT_ASSERT(sequential.find(digest) == shuffled.find(digest));
                 // The records are equal in any order. One by one, more requests may have been
@@ -93,10 +93,10 @@
 
     void requestIsQuarantinedAfterThreeEnds()
     {
-        suspect_book table;
-        table.join({recordOf(7, {1, 2})});
+        crash_table table;
+        table.merge({recordOf(7, {1, 2})});
         CPPUNIT_ASSERT(!isQuarantined(table, 7));
-        table.noteEnded(7, endOf(3));
+        table.recordEnd(7, endOf(3));
         CPPUNIT_ASSERT(isQuarantined(table, 7));
         CPPUNIT_ASSERT(!isQuarantined(table, 8));
         CPPUNIT_ASSERT(table.hasEnded(3) && !table.hasEnded(4));
@@ -104,28 +104,28 @@
 
     void completedRequestIsReleased()
     {
-        suspect_book table;
-        CPPUNIT_ASSERT(!table.noteServed(7, start));
-        table.join({recordOf(7, {1, 2, 3})});
-        CPPUNIT_ASSERT(table.noteServed(7, start + 1));
+        crash_table table;
+        CPPUNIT_ASSERT(!table.recordServed(7, start));
+        table.merge({recordOf(7, {1, 2, 3})});
+        CPPUNIT_ASSERT(table.recordServed(7, start + 1));
         CPPUNIT_ASSERT(!isQuarantined(table, 7));
-        table.join({recordOf(7, {1, 2, 3})});
+        table.merge({recordOf(7, {1, 2, 3})});
         CPPUNIT_ASSERT(!isQuarantined(table, 7));
-        table.noteEnded(7, endOf(4, start + 2));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.countLives(7));
+        table.recordEnd(7, endOf(4, start + 2));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.countIncarnations(7));
     }
 
     /// Requests that ran beside the one that crashes runners are recorded at the same ends, and
     /// would be refused with it.
     void endsOfAQuarantinedRequestDoNotCountForOthers()
     {
-        suspect_book table;
-        table.join({recordOf(7, {1, 2, 3, 4}), recordOf(8, {2, 3, 4}), recordOf(9, {3, 5})});
+        crash_table table;
+        table.merge({recordOf(7, {1, 2, 3, 4}), recordOf(8, {2, 3, 4}), recordOf(9, {3, 5})});
         CPPUNIT_ASSERT(isQuarantined(table, 7));
         CPPUNIT_ASSERT(!isQuarantined(table, 8));
-        table.noteEnded(9, endOf(6));
+        table.recordEnd(9, endOf(6));
         CPPUNIT_ASSERT(!isQuarantined(table, 9));
-        table.noteEnded(9, endOf(7));
+        table.recordEnd(9, endOf(7));
         CPPUNIT_ASSERT(isQuarantined(table, 9));
     }
 
@@ -133,11 +133,11 @@
     /// could be released and would go on.
     void requestsWithTheSameEndsAreQuarantinedTogether()
     {
-        suspect_book table;
-        table.join({recordOf(7, {1, 2, 3}), recordOf(8, {1, 2, 3}), recordOf(9, {1, 2})});
+        crash_table table;
+        table.merge({recordOf(7, {1, 2, 3}), recordOf(8, {1, 2, 3}), recordOf(9, {1, 2})});
         CPPUNIT_ASSERT(isQuarantined(table, 7) && isQuarantined(table, 8)
                        && !isQuarantined(table, 9));
-        CPPUNIT_ASSERT(table.noteServed(7, start + 1));
+        CPPUNIT_ASSERT(table.recordServed(7, start + 1));
         CPPUNIT_ASSERT(!isQuarantined(table, 7) && isQuarantined(table, 8));
     }
 
@@ -145,54 +145,54 @@
     {
         std::mt19937_64 random(3);
         for (int round = 0; round < 300; ++round) {
-            suspect_book table;
+            crash_table table;
             const std::uint64_t cause = 100 + random() % 20;
             std::uint64_t key = 0;
             for (; !isQuarantined(table, cause) && key < 50; ++key) {
-                table.noteEnded(cause, endOf(key));
+                table.recordEnd(cause, endOf(key));
                 for (std::uint64_t innocent = 100; innocent < 126; ++innocent) {
                     if (innocent != cause && random() % 10 < 9)
-                        table.noteEnded(innocent, endOf(key));
+                        table.recordEnd(innocent, endOf(key));
                 }
             }
-            CPPUNIT_ASSERT_EQUAL(std::uint64_t{config::quarantineLives}, key);
+            CPPUNIT_ASSERT_EQUAL(std::uint64_t{config::quarantineIncarnations}, key);
         }
     }
 
     void furtherEndsOfOthersReleaseNoRequest()
     {
-        suspect_book table;
-        table.join({recordOf(7, {1, 2, 3}), recordOf(8, {1, 2, 3})});
-        table.noteEnded(8, endOf(4));
+        crash_table table;
+        table.merge({recordOf(7, {1, 2, 3}), recordOf(8, {1, 2, 3})});
+        table.recordEnd(8, endOf(4));
         CPPUNIT_ASSERT(isQuarantined(table, 7) && isQuarantined(table, 8));
     }
 
     void quarantineEndsAndGrows()
     {
-        suspect_book table;
-        table.join({recordOf(7, {1, 2, 3})});
-        const std::int64_t end = start + config::quarantineTimeFirst.count();
+        crash_table table;
+        table.merge({recordOf(7, {1, 2, 3})});
+        const std::int64_t end = start + config::initialQuarantineTime.count();
         CPPUNIT_ASSERT(isQuarantined(table, 7, end - 1));
         CPPUNIT_ASSERT(!isQuarantined(table, 7, end));
-        table.noteEnded(7, endOf(4, end));
+        table.recordEnd(7, endOf(4, end));
         const std::int64_t next =
-                end + (config::quarantineGrowth * config::quarantineTimeFirst).count();
+                end + (config::quarantineGrowth * config::initialQuarantineTime).count();
         CPPUNIT_ASSERT(isQuarantined(table, 7, next - 1));
         CPPUNIT_ASSERT(!isQuarantined(table, 7, next));
         for (std::uint64_t key = 5; key < 40; ++key)
-            table.noteEnded(7, endOf(key, end));
-        CPPUNIT_ASSERT(table.quarantineOf(7, end)->left == config::quarantineTimeMost);
+            table.recordEnd(7, endOf(key, end));
+        CPPUNIT_ASSERT(table.quarantineOf(7, end)->remaining == config::maxQuarantineTime);
     }
 
     /// Limits how many runners a request can crash that keeps being sent.
     void requestIsSentThreeTimesInTheFirstDay()
     {
-        suspect_book table;
-        table.join({recordOf(7, {1, 2, 3})});
+        crash_table table;
+        table.merge({recordOf(7, {1, 2, 3})});
         int crashes = 0;
         for (std::int64_t now = start; now < start + milliseconds(24h).count(); now += 60'000) {
             if (!isQuarantined(table, 7, now))
-                table.noteEnded(
+                table.recordEnd(
                         7, endOf(std::uint64_t{10} + static_cast<std::uint64_t>(crashes++), now));
         }
         CPPUNIT_ASSERT_EQUAL(3, crashes);
@@ -202,34 +202,34 @@
     {
         runner first;
         first.id.text = "i-1";
-        first.bornMs = 5;
+        first.startedAtMs = 5;
         runner second = first;
-        second.bornMs = 6;
-        CPPUNIT_ASSERT(lifeKeyOf(first) != lifeKeyOf(second));
+        second.startedAtMs = 6;
+        CPPUNIT_ASSERT(incarnationKeyOf(first) != incarnationKeyOf(second));
     }
 
     void memoryIsBounded()
     {
-        suspect_book table;
-        table.join({recordOf(1, {1, 2, 3})});
-        for (std::uint64_t digest = 2; digest < 2 * config::maxSuspects; ++digest)
-            table.noteEnded(digest, endOf(9, start + static_cast<std::int64_t>(digest)));
+        crash_table table;
+        table.merge({recordOf(1, {1, 2, 3})});
+        for (std::uint64_t digest = 2; digest < 2 * config::maxCrashRecords; ++digest)
+            table.recordEnd(digest, endOf(9, start + static_cast<std::int64_t>(digest)));
         CPPUNIT_ASSERT(isQuarantined(table, 1));
         CPPUNIT_ASSERT(!table.find(2));
-        CPPUNIT_ASSERT(table.find(2 * config::maxSuspects - 1).has_value());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.lasting().size());
+        CPPUNIT_ASSERT(table.find(2 * config::maxCrashRecords - 1).has_value());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.persistentRecords().size());
     }
 
     void fingerprintCoversOnlyQuarantine()
     {
-        suspect_book table;
-        table.join({recordOf(7, {1, 2})});
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, table.markAt(start));
-        table.noteEnded(7, endOf(3));
-        CPPUNIT_ASSERT(table.markAt(start) != 0);
-        CPPUNIT_ASSERT(table.markAt(start) >> config::suspectMarkBits == 0);
+        crash_table table;
+        table.merge({recordOf(7, {1, 2})});
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, table.fingerprintAt(start));
+        table.recordEnd(7, endOf(3));
+        CPPUNIT_ASSERT(table.fingerprintAt(start) != 0);
+        CPPUNIT_ASSERT(table.fingerprintAt(start) >> config::quarantineMarkBits == 0);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
-                             table.markAt(start + config::quarantineTimeFirst.count()));
+                             table.fingerprintAt(start + config::initialQuarantineTime.count()));
     }
 };
 
--- a/tests/gateway/envelope_test.cpp
+++ b/tests/gateway/envelope_test.cpp
@@ -95,7 +95,7 @@
         const std::string body("a\0\r\n\r\nGET / HTTP/1.1\r\n\r\n", 23);
         send_extras extras;
         extras.isPrefillOnly = true;
-        extras.lastEvent = "7";
+        extras.lastEventId = "7";
         extras.kvFetch = "10.0.0.2:80";
         const std::string text = runnerRequestText(
                 requestOf("POST", "/%7e/../x?a=%20b", {{"Host", "h"}, {"Last", "3"}}, body),
--- a/tests/gateway/fixture.h
+++ b/tests/gateway/fixture.h
@@ -14,7 +14,7 @@
     names.timeLimitMs = "Limit";
     names.tokenCount = "Tokens";
     names.promptParts = "Parts";
-    names.lastEvent = "Last";
+    names.lastEventId = "Last";
     names.expectedRunner = "Runner";
     names.priority = "Priority";
     names.stage = "Stage";
@@ -24,15 +24,15 @@
     names.key = "Key";
     names.keyScheme = "Sign";
     names.workspace = "Space";
-    names.reserved = {"Runner", "Priority", "Stage", "Source", "Fetch", "Space"};
+    names.reservedHeaders = {"Runner", "Priority", "Stage", "Source", "Fetch", "Space"};
     names.seal = "Seal";
     names.notRun = "Not-Run";
-    names.readHandle = [](std::string_view body) -> std::optional<std::string> {
+    names.parseHandle = [](std::string_view body) -> std::optional<std::string> {
         if (body.empty())
             return std::nullopt;
         return std::string(body);
     };
-    names.freeHandle = [](const std::string &handle) {
+    names.freeHandleRequest = [](const std::string &handle) {
         http_request request;
         request.method = "DELETE";
         request.path = "/handles/" + handle;
--- a/tests/gateway/fleet_keeper_test.cpp
+++ b/tests/gateway/fleet_scaler_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/fleet_keeper.h"
+#include "gateway/fleet_scaler.h"
 
 #include "poplarspool/scaling/limits.h"
 
@@ -61,25 +61,26 @@
         return made;
     }
 
-    std::unique_ptr<fleet_keeper> scalerOf(const std::string &name)
+    std::unique_ptr<fleet_scaler> scalerOf(const std::string &name)
     {
-        const fleet_sink sink{[this](const scaling::given_order &order,
+        const fleet_sink sink{[this](const scaling::issued_order &order,
                                      const duties::lease_term &) -> result<unit> {
             if (hasNoSpot && order.order.isSpot)
                 return mayHaveRun(error_code::Conflict, "none available");
             orders.push_back(order.order);
             return unit{};
         }};
-        return std::make_unique<fleet_keeper>(
-                fleet_tools{publisher, sink, clock, events, metrics, [this] { return isOwner; }},
-                store(), instance_id{name}, 3s);
+        return std::make_unique<fleet_scaler>(fleet_scaler_dependencies{publisher, sink, clock,
+                                                                        events, metrics,
+                                                                        [this] { return isOwner; }},
+                                              store(), instance_id{name}, 3s);
     }
 
-    void runIterations(fleet_keeper &scaler, int iterations = 3)
+    void runIterations(fleet_scaler &scaler, int iterations = 3)
     {
         for (int i = 0; i < iterations; ++i) {
-            scaler.look();
-            now += config::fleetLookTime;
+            scaler.runOnce();
+            now += config::fleetInterval;
         }
     }
 
@@ -89,7 +90,7 @@
     clock_source clock{[this] { return now; }, [] { return wall_time{}; }};
     journal events{{"test"}, systemClock(), 64};
     metrics_registry metrics;
-    catalogue_hub publisher{catalogue{}};
+    catalogue_publisher publisher{catalogue{}};
     duties::lease_record record;
     std::vector<scaling::fleet_order> orders;
     bool isOwner = true;
@@ -206,7 +207,7 @@
     }
 
 private:
-    static void replaceRegularBySpot(fixture &test, fleet_keeper &scaler)
+    static void replaceRegularBySpot(fixture &test, fleet_scaler &scaler)
     {
         test.runIterations(scaler);
         for (const char *zone : {"a", "b"})
--- a/tests/gateway/overload_test.cpp
+++ b/tests/gateway/overload_test.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/gateway/placing.h"
+#include "poplarspool/gateway/placement.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -71,20 +71,22 @@
     {
         const auto running = std::ranges::count_if(endsAt, [&](double e) { return e > nowMs; });
         runner_load seen;
-        seen.waiting = static_cast<std::uint32_t>(urgent.size());
-        seen.waitingLater = static_cast<std::uint32_t>(later.size());
-        seen.open = static_cast<std::uint32_t>(running) + seen.waiting + seen.waitingLater;
-        seen.readingMs = promptPrefillMs * seen.waiting + std::max(prefillsUntil - nowMs, 0.0);
-        seen.laterMs = promptPrefillMs * seen.waitingLater;
+        seen.urgentWaiting = static_cast<std::uint32_t>(urgent.size());
+        seen.lowPriorityWaiting = static_cast<std::uint32_t>(later.size());
+        seen.open =
+                static_cast<std::uint32_t>(running) + seen.urgentWaiting + seen.lowPriorityWaiting;
+        seen.urgentPrefillMs =
+                promptPrefillMs * seen.urgentWaiting + std::max(prefillsUntil - nowMs, 0.0);
+        seen.lowPriorityPrefillMs = promptPrefillMs * seen.lowPriorityWaiting;
         seen.runMs = runMs;
         return seen;
     }
 };
 
 /// A query for a prompt whose prefill takes about promptPrefillMs on an engine that runs requests.
-place_wish queryWith(std::uint64_t draw)
+placement_query queryWith(std::uint64_t draw)
 {
-    place_wish query;
+    placement_query query;
     query.service.text = "s";
     query.zone.text = "z";
     query.engine = engine_traits{batch, 400000, 160000, 1000000};
@@ -96,14 +98,14 @@
     return query;
 }
 
-place_candidate engineOf(const std::string &id)
+placement_candidate engineOf(const std::string &id)
 {
     runner made;
     made.id.text = id;
     made.service.text = "s";
     made.zone.text = "z";
     made.stage = engine_stage::Decode;
-    place_candidate one;
+    placement_candidate one;
     one.target = std::make_shared<const runner>(made);
     return one;
 }
@@ -115,7 +117,7 @@
     std::mt19937_64 random(7); // NOLINT(cert-msc51-cpp,cert-msc32-c): the same load each time.
     std::exponential_distribution<double> gaps(capacityPerMs * load);
     std::vector<simulated_engine> fleet(engines);
-    std::vector<place_candidate> candidates(engines);
+    std::vector<placement_candidate> candidates(engines);
     for (std::size_t i = 0; i < engines; ++i) {
         candidates[i] = engineOf("e" + std::to_string(i));
     }
@@ -125,11 +127,11 @@
             onTime += fleet[i].advance(nowMs);
             candidates[i].load = fleet[i].load(nowMs);
         }
-        const auto found = choosePlace(queryWith(random()), candidates);
+        const auto found = choosePlacement(queryWith(random()), candidates);
         const auto *place = std::get_if<placement>(&found);
         if (place == nullptr)
             continue;
-        const auto at = std::ranges::find(candidates, place->serving, &place_candidate::target);
+        const auto at = std::ranges::find(candidates, place->serving, &placement_candidate::target);
         simulated_engine &chosen = fleet[static_cast<std::size_t>(at - candidates.begin())];
         (place->urgency == send_class::Urgent ? chosen.urgent : chosen.later)
                 .push_back({nowMs, place->urgency});
@@ -138,12 +140,12 @@
 }
 
 /// An engine with more waiting requests than it can start within the objective.
-place_candidate fullEngine()
+placement_candidate fullEngine()
 {
-    place_candidate one = engineOf("e");
+    placement_candidate one = engineOf("e");
     one.load.open = 60;
-    one.load.waiting = 44;
-    one.load.readingMs = 44 * promptPrefillMs;
+    one.load.urgentWaiting = 44;
+    one.load.urgentPrefillMs = 44 * promptPrefillMs;
     one.load.runMs = runMs;
     return one;
 }
@@ -185,21 +187,21 @@
     /// must get a refusal at once, with a time after which to retry.
     void refusalSaysWhenToRetry()
     {
-        const std::vector<place_candidate> all{fullEngine()};
-        const auto found = choosePlace(queryWith(1), all);
-        CPPUNIT_ASSERT(std::holds_alternative<no_place>(found));
-        CPPUNIT_ASSERT(std::get<no_place>(found).roomInMs > 500);
-        CPPUNIT_ASSERT(!std::get<no_place>(found).areAllTried);
+        const std::vector<placement_candidate> all{fullEngine()};
+        const auto found = choosePlacement(queryWith(1), all);
+        CPPUNIT_ASSERT(std::holds_alternative<no_placement>(found));
+        CPPUNIT_ASSERT(std::get<no_placement>(found).retryInMs > 500);
+        CPPUNIT_ASSERT(!std::get<no_placement>(found).areAllTried);
     }
 
     /// The engine of a resumable stream crashes during a burst. The caller has a part of the
     /// answer; if the rest were refused, its stream would be cut.
     void begunAnswerIsResumedUnderOverload()
     {
-        place_wish query = queryWith(1);
+        placement_query query = queryWith(1);
         query.hasBegun = true;
         query.objectiveLeftMs = -200;
-        const auto found = choosePlace(query, std::vector{fullEngine()});
+        const auto found = choosePlacement(query, std::vector{fullEngine()});
         CPPUNIT_ASSERT(std::holds_alternative<placement>(found));
     }
 
@@ -207,12 +209,12 @@
     /// idle engine, it would be refused each time, since waiting does not help.
     void longPromptIsAcceptedByIdleEngine()
     {
-        place_candidate idle = fullEngine();
+        placement_candidate idle = fullEngine();
         idle.load = {};
-        place_wish query = queryWith(1);
+        placement_query query = queryWith(1);
         query.promptTokens = 100000;
-        CPPUNIT_ASSERT(readingTimeMs(engine_stage::Decode, 100000, 0) > limitMs / 2);
-        const auto found = choosePlace(query, std::vector{idle});
+        CPPUNIT_ASSERT(prefillTimeMs(engine_stage::Decode, 100000, 0) > limitMs / 2);
+        const auto found = choosePlacement(query, std::vector{idle});
         CPPUNIT_ASSERT(std::get<placement>(found).urgency == send_class::Later);
     }
 };
--- a/tests/gateway/placing_test.cpp
+++ b/tests/gateway/placement_test.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/gateway/placing.h"
+#include "poplarspool/gateway/placement.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -13,7 +13,7 @@
 
 constexpr mono_time now{std::chrono::hours(1)};
 
-place_candidate candidateOf(const std::string &id, engine_stage stage = engine_stage::None)
+placement_candidate candidateOf(const std::string &id, engine_stage stage = engine_stage::None)
 {
     runner made;
     made.id.text = id;
@@ -21,14 +21,14 @@
     made.zone.text = "z";
     made.slots = 6;
     made.stage = stage;
-    place_candidate one;
+    placement_candidate one;
     one.target = std::make_shared<const runner>(made);
     return one;
 }
 
-place_wish serviceQuery()
+placement_query serviceQuery()
 {
-    place_wish query;
+    placement_query query;
     query.service.text = "s";
     query.zone.text = "z";
     query.now = now;
@@ -36,9 +36,9 @@
 }
 
 /// A long prompt, most of which is shared.
-place_wish engineQuery()
+placement_query engineQuery()
 {
-    place_wish query = serviceQuery();
+    placement_query query = serviceQuery();
     query.engine = engine_traits{128, 800000, 18432, 350000};
     query.promptTokens = 17000;
     query.sharedTokens = 13300;
@@ -47,9 +47,10 @@
     return query;
 }
 
-std::string servingOf(const place_wish &query, const std::vector<place_candidate> &candidates)
+std::string servingOf(const placement_query &query,
+                      const std::vector<placement_candidate> &candidates)
 {
-    const auto chosen = choosePlace(query, candidates);
+    const auto chosen = choosePlacement(query, candidates);
     const auto *place = std::get_if<placement>(&chosen);
     return place == nullptr ? std::string() : place->serving->id.text;
 }
@@ -78,11 +79,11 @@
 public:
     void ejectedRunnersAreNotChosen()
     {
-        std::vector<place_candidate> all{candidateOf("a"), candidateOf("b"), candidateOf("c")};
-        all[0].load.setAsideUntil = now + 1ms;
+        std::vector<placement_candidate> all{candidateOf("a"), candidateOf("b"), candidateOf("c")};
+        all[0].load.ejectedUntil = now + 1ms;
         std::set<std::string> used;
         for (std::uint64_t draw = 0; draw < 50; ++draw) {
-            place_wish query = serviceQuery();
+            placement_query query = serviceQuery();
             query.draw = draw;
             used.insert(servingOf(query, all));
         }
@@ -93,13 +94,13 @@
     /// ejected, all load would go to the fourth runner, which would refuse most of it.
     void ejectedRunnersAreUsedIfTooFewRemain()
     {
-        std::vector<place_candidate> all{candidateOf("a"), candidateOf("b"), candidateOf("c"),
-                                         candidateOf("d")};
+        std::vector<placement_candidate> all{candidateOf("a"), candidateOf("b"), candidateOf("c"),
+                                             candidateOf("d")};
         for (std::size_t i = 0; i < 3; ++i)
-            all[i].load.setAsideUntil = now + 1s;
+            all[i].load.ejectedUntil = now + 1s;
         std::set<std::string> used;
         for (std::uint64_t draw = 0; draw < 100; ++draw) {
-            place_wish query = serviceQuery();
+            placement_query query = serviceQuery();
             query.draw = draw;
             used.insert(servingOf(query, all));
         }
@@ -109,7 +110,7 @@
     /// Unlike ejected runners, they are left out even if no other runner exists.
     void misdirectedRunnersAreNeverChosen()
     {
-        std::vector<place_candidate> all{candidateOf("a"), candidateOf("b")};
+        std::vector<placement_candidate> all{candidateOf("a"), candidateOf("b")};
         all[0].isMisdirected = true;
         CPPUNIT_ASSERT_EQUAL(std::string("b"), servingOf(serviceQuery(), all));
         all[1].isMisdirected = true;
@@ -118,7 +119,7 @@
 
     void busyRunnerIsPreferredToSlowOne()
     {
-        std::vector<place_candidate> all{candidateOf("slow"), candidateOf("busy")};
+        std::vector<placement_candidate> all{candidateOf("slow"), candidateOf("busy")};
         all[0].load.slowness = 5;
         all[1].load.open = 6;
         CPPUNIT_ASSERT_EQUAL(std::string("busy"), servingOf(serviceQuery(), all));
@@ -126,35 +127,35 @@
 
     void missingRunnerIsUsedUntilItsGracePeriodEnds()
     {
-        place_candidate one = candidateOf("a");
+        placement_candidate one = candidateOf("a");
         runner missing = *one.target;
-        missing.keptUntil = now + 1ms;
+        missing.retainedUntil = now + 1ms;
         one.target = std::make_shared<const runner>(missing);
         CPPUNIT_ASSERT_EQUAL(std::string("a"), servingOf(serviceQuery(), {one}));
-        place_wish later = serviceQuery();
-        later.now = missing.keptUntil;
+        placement_query later = serviceQuery();
+        later.now = missing.retainedUntil;
         CPPUNIT_ASSERT_EQUAL(std::string(), servingOf(later, {one}));
     }
 
     void noRunnerIsDistinguishedFromAllTried()
     {
-        std::vector<place_candidate> all{candidateOf("a")};
+        std::vector<placement_candidate> all{candidateOf("a")};
         all[0].isTried = true;
-        CPPUNIT_ASSERT(std::get<no_place>(choosePlace(serviceQuery(), all)).areAllTried);
-        CPPUNIT_ASSERT(!std::get<no_place>(choosePlace(serviceQuery(), {})).areAllTried);
-        CPPUNIT_ASSERT(!std::get<no_place>(choosePlace(engineQuery(), {})).areAllTried);
+        CPPUNIT_ASSERT(std::get<no_placement>(choosePlacement(serviceQuery(), all)).areAllTried);
+        CPPUNIT_ASSERT(!std::get<no_placement>(choosePlacement(serviceQuery(), {})).areAllTried);
+        CPPUNIT_ASSERT(!std::get<no_placement>(choosePlacement(engineQuery(), {})).areAllTried);
     }
 
     /// Six instances get requests with the same beginning at the same time and don't know of each
     /// other's. Prefilled on six engines, the shared part would cost six times the work.
     void uncachedSharedPartsArePrefilledOnOneEngine()
     {
-        std::vector<place_candidate> all;
+        std::vector<placement_candidate> all;
         for (const char *id : {"a", "b", "c", "d", "e", "f"})
             all.push_back(candidateOf(id, engine_stage::Decode));
         std::set<std::string> used;
         for (std::uint64_t draw = 0; draw < 20; ++draw) {
-            place_wish query = engineQuery();
+            placement_query query = engineQuery();
             query.draw = draw;
             used.insert(servingOf(query, all));
         }
@@ -163,29 +164,29 @@
 
     void cachedPartsAreCopiedInsteadOfPrefilled()
     {
-        std::vector<place_candidate> all{candidateOf("holder", engine_stage::Decode),
-                                         candidateOf("free", engine_stage::Decode)};
+        std::vector<placement_candidate> all{candidateOf("holder", engine_stage::Decode),
+                                             candidateOf("free", engine_stage::Decode)};
         all[0].cachedTokens = 13300;
-        all[0].load.readingMs = 400;
-        CPPUNIT_ASSERT(!std::get<placement>(choosePlace(engineQuery(), all)).cacheHolder);
-        all[0].readTokens = 13300;
-        const auto place = std::get<placement>(choosePlace(engineQuery(), all));
+        all[0].load.urgentPrefillMs = 400;
+        CPPUNIT_ASSERT(!std::get<placement>(choosePlacement(engineQuery(), all)).cacheSource);
+        all[0].copyableTokens = 13300;
+        const auto place = std::get<placement>(choosePlacement(engineQuery(), all));
         CPPUNIT_ASSERT_EQUAL(std::string("free"), place.serving->id.text);
-        CPPUNIT_ASSERT_EQUAL(std::string("holder"), place.cacheHolder->id.text);
-        CPPUNIT_ASSERT(place.readingMs < readingTimeMs(engine_stage::Decode, 17000, 0) / 2);
+        CPPUNIT_ASSERT_EQUAL(std::string("holder"), place.cacheSource->id.text);
+        CPPUNIT_ASSERT(place.prefillMs < prefillTimeMs(engine_stage::Decode, 17000, 0) / 2);
     }
 
     void longPromptsArePrefilledByPrefillEngines()
     {
-        const std::vector<place_candidate> all{candidateOf("d", engine_stage::Decode),
-                                               candidateOf("p", engine_stage::Prefill)};
-        const auto longOne = std::get<placement>(choosePlace(engineQuery(), all));
+        const std::vector<placement_candidate> all{candidateOf("d", engine_stage::Decode),
+                                                   candidateOf("p", engine_stage::Prefill)};
+        const auto longOne = std::get<placement>(choosePlacement(engineQuery(), all));
         CPPUNIT_ASSERT_EQUAL(std::string("p"), longOne.prefill->id.text);
         CPPUNIT_ASSERT_EQUAL(std::string("d"), longOne.serving->id.text);
-        place_wish small = engineQuery();
+        placement_query small = engineQuery();
         small.promptTokens = 200;
         small.sharedTokens = 0;
-        CPPUNIT_ASSERT(!std::get<placement>(choosePlace(small, all)).prefill);
+        CPPUNIT_ASSERT(!std::get<placement>(choosePlacement(small, all)).prefill);
     }
 
     /// Prompts wait at the prefill engine, and the decode engine has nothing to prefill. If it got
@@ -193,28 +194,28 @@
     /// prefilled elsewhere would wait behind it.
     void decodeEnginesDoNotPrefillLongPrompts()
     {
-        std::vector<place_candidate> all{candidateOf("d", engine_stage::Decode),
-                                         candidateOf("p", engine_stage::Prefill)};
-        all[1].load.readingMs = 3000;
-        const auto place = std::get<placement>(choosePlace(engineQuery(), all));
+        std::vector<placement_candidate> all{candidateOf("d", engine_stage::Decode),
+                                             candidateOf("p", engine_stage::Prefill)};
+        all[1].load.urgentPrefillMs = 3000;
+        const auto place = std::get<placement>(choosePlacement(engineQuery(), all));
         CPPUNIT_ASSERT(place.prefill != nullptr);
         // If the decode engine has all but the end of the prompt in its cache, little is left to
         // prefill.
         all[0].cachedTokens = 16800;
-        CPPUNIT_ASSERT(!std::get<placement>(choosePlace(engineQuery(), all)).prefill);
+        CPPUNIT_ASSERT(!std::get<placement>(choosePlacement(engineQuery(), all)).prefill);
     }
 
     /// A prefilled request is admitted before the prompts that wait at its decode engine, so only
     /// the requests that run there slow it down.
     void prefilledRequestGoesToLeastLoadedDecoder()
     {
-        std::vector<place_candidate> all{candidateOf("a", engine_stage::Decode),
-                                         candidateOf("b", engine_stage::Decode)};
+        std::vector<placement_candidate> all{candidateOf("a", engine_stage::Decode),
+                                             candidateOf("b", engine_stage::Decode)};
         all[0].load.open = 20;
         all[1].load.open = 10;
-        all[1].load.readingMs = 900;
-        place_wish query = engineQuery();
-        query.isRead = true;
+        all[1].load.urgentPrefillMs = 900;
+        placement_query query = engineQuery();
+        query.isPrefilled = true;
         CPPUNIT_ASSERT_EQUAL(std::string("b"), servingOf(query, all));
     }
 
@@ -222,14 +223,14 @@
     /// cache to the other one would be half as fast and cost twice as much.
     void prefilledRequestStaysInItsZone()
     {
-        std::vector<place_candidate> all{candidateOf("near", engine_stage::Decode),
-                                         candidateOf("far", engine_stage::Decode)};
+        std::vector<placement_candidate> all{candidateOf("near", engine_stage::Decode),
+                                             candidateOf("far", engine_stage::Decode)};
         runner far = *all[1].target;
         far.zone.text = "other";
         all[1].target = std::make_shared<const runner>(far);
-        place_wish query = engineQuery();
-        query.isRead = true;
-        query.readerZone.text = "z";
+        placement_query query = engineQuery();
+        query.isPrefilled = true;
+        query.prefillZone.text = "z";
         all[0].load.open = 8;
         CPPUNIT_ASSERT_EQUAL(std::string("near"), servingOf(query, all));
         all[0].load.open = 40;
@@ -240,15 +241,15 @@
     /// request would start late as well; requests that can't be on time must be served last.
     void lateRequestsDoNotDelayOthers()
     {
-        std::vector<place_candidate> all{candidateOf("d", engine_stage::Decode)};
-        all[0].load.laterMs = 5000;
-        place_wish query = engineQuery();
+        std::vector<placement_candidate> all{candidateOf("d", engine_stage::Decode)};
+        all[0].load.lowPriorityPrefillMs = 5000;
+        placement_query query = engineQuery();
         query.promptTokens = 3000;
         query.sharedTokens = 0;
-        const auto inTime = std::get<placement>(choosePlace(query, all));
+        const auto inTime = std::get<placement>(choosePlacement(query, all));
         CPPUNIT_ASSERT(inTime.urgency == send_class::Urgent);
-        all[0].load.readingMs = 600;
-        const auto late = std::get<placement>(choosePlace(query, all));
+        all[0].load.urgentPrefillMs = 600;
+        const auto late = std::get<placement>(choosePlacement(query, all));
         CPPUNIT_ASSERT(late.urgency == send_class::Later);
         CPPUNIT_ASSERT(late.expectedStartMs > 5600);
     }
@@ -259,14 +260,14 @@
     /// and none to the most loaded one.
     void instancesOfLargeFleetSpreadTheirChoices()
     {
-        std::vector<place_candidate> all;
+        std::vector<placement_candidate> all;
         for (int i = 0; i < 60; ++i) {
             all.push_back(candidateOf("e" + std::to_string(i), engine_stage::Decode));
-            all.back().load.readingMs = 5.0 * i;
+            all.back().load.urgentPrefillMs = 5.0 * i;
         }
         std::map<std::string, int> counts;
         for (std::uint64_t draw = 0; draw < 60; ++draw) {
-            place_wish query = engineQuery();
+            placement_query query = engineQuery();
             query.promptTokens = 1000;
             query.sharedTokens = 0;
             query.affinityKey = 0;
--- a/tests/gateway/relay_world.h
+++ b/tests/gateway/proxy_fixture.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "fixture.h"
-#include "gateway/request_relay.h"
+#include "gateway/request_proxy.h"
 #include "poplarspool/gateway/route_index.h"
 #include "scripted_runner.h"
 
@@ -14,9 +14,9 @@
 using namespace std::chrono_literals;
 
 /// Test double of a caller, connected by a pair of sockets.
-struct caller_end : http_sink
+struct test_caller : http_sink
 {
-    caller_end()
+    test_caller()
     {
         std::array<int, 2> ends{};
         CPPUNIT_ASSERT(socketpair(AF_UNIX, SOCK_STREAM, 0, ends.data()) == 0);
@@ -46,32 +46,33 @@
 };
 
 /// The state that one request_proxy needs.
-struct relay_world
+struct proxy_fixture
 {
     dialect names = testDialect();
     clock_source clock = systemClock();
     metrics_registry registry;
     journal events{{"test"}, clock, 64};
-    catalogue_hub hub{catalogue{}};
-    runner_ledger ledger{clock};
+    catalogue_publisher publisher{catalogue{}};
+    runner_table runnerTable{clock};
     retry_budgets retries{{1, 100}};
     connection_pool connections{4, 500ms, registry};
-    relay_metrics metrics{registry};
+    proxy_metrics metrics{registry};
     std::atomic<std::int64_t> leavesAt{INT64_MAX};
-    std::set<endpoint> ended; ///< Addresses at which no process listens any more.
-    suspect_keeper suspects{
-            {[this](const endpoint &at) { return ended.contains(at); }, {}, {}, {}, {}},
+    std::set<endpoint> endedAddresses; ///< Addresses at which no process listens any more.
+    quarantine_manager quarantineManager{
+            {[this](const endpoint &at) { return endedAddresses.contains(at); }, {}, {}, {}, {}},
             {},
             {"test"},
             clock,
             registry,
             events};
-    const relay_parts parts{names,  hub,   ledger, retries,  connections, metrics,
-                            events, clock, {"z"},  leavesAt, suspects,    7};
-    caller_end caller;
+    const proxy_context context{
+            names,  publisher, runnerTable, retries,  connections,       metrics,
+            events, clock,     {"z"},       leavesAt, quarantineManager, 7};
+    test_caller caller;
 
     /// Routes: /once/ may not be repeated, /again/ may, /stream/ may be resumed.
-    explicit relay_world(const std::vector<const scripted_runner *> &runners)
+    explicit proxy_fixture(const std::vector<const scripted_runner *> &runners)
     {
         catalogue initial;
         route_table table;
@@ -82,16 +83,17 @@
             made.host = "h";
             made.pathPrefix = "/" + made.name + "/";
             made.isStream = made.isResumable = made.name == "stream";
-            made.repeats = made.name == "once" ? repeat_rule::AtMostOnce : repeat_rule::Idempotent;
+            made.retryPolicy =
+                    made.name == "once" ? retry_policy::AtMostOnce : retry_policy::Idempotent;
             made.timeLimit = 10s;
-            made.objective = 1s;
+            made.latencyObjective = 1s;
             made.maxRunners = 2;
             made.services = {{{"s"}, 1}};
             table.routes.push_back(made);
         }
         table.services = {{{"s"}, std::nullopt}};
         initial.table = std::make_shared<const route_table>(table);
-        initial.index = std::make_shared<const route_index>(indexOf(table));
+        initial.index = std::make_shared<const route_index>(buildRouteIndex(table));
         for (std::size_t i = 0; i < runners.size(); ++i) {
             runner made;
             made.id.text = "r" + std::to_string(i);
@@ -101,48 +103,50 @@
         }
         initial.areRunnersKnown = true;
         initial.tableConfirmedAt = clock.mono();
-        hub.update([&initial](catalogue &next) {
+        publisher.update([&initial](catalogue &next) {
             next = initial;
             return true;
         });
     }
 
     /// Records runners that ended under attempts of the same request.
-    void noteEnds(const std::string &path, int count)
+    void recordEnds(const std::string &path, int count)
     {
         const endpoint gone{"127.0.0.1", 9};
-        ended.insert(gone);
+        endedAddresses.insert(gone);
         const http_request request = requestOf("GET", path, {{"Host", "h"}});
         for (int i = 0; i < count; ++i) {
             runner endedRunner;
             endedRunner.id.text = "gone-" + std::to_string(i);
             endedRunner.address = gone;
-            suspects.noteBroken(digestOf(request, parts.digestSeed), endedRunner);
+            quarantineManager.recordConnectionLost(digestOf(request, context.digestSeed),
+                                                   endedRunner);
         }
     }
 
     /// From now on callers need the key "good" of the workspace "space".
     void needKeys(const std::function<void(route_table &)> &edit = {})
     {
-        route_table table = *hub.current()->table;
+        route_table table = *publisher.current()->table;
         table.needsKeys = true;
         table.workspaces = {{{"space"}, {digest128Of("good")}, 0}};
         if (edit)
             edit(table);
-        hub.update([&table](catalogue &next) {
+        publisher.update([&table](catalogue &next) {
             next.table = std::make_shared<const route_table>(table);
-            next.index = std::make_shared<const route_index>(indexOf(table));
+            next.index = std::make_shared<const route_index>(buildRouteIndex(table));
             return true;
         });
     }
 
-    std::optional<http_reply> ask(const std::string &path, const std::string &limit = "5000",
-                                  const http_headers &more = {})
+    std::optional<http_reply> sendRequest(const std::string &path,
+                                          const std::string &limit = "5000",
+                                          const http_headers &more = {})
     {
         http_headers headers{{"Host", "h"}, {"Id", "q1"}, {"Limit", limit}};
         headers.insert(headers.end(), more.begin(), more.end());
         const http_request request = requestOf("GET", path, headers);
-        return request_relay(parts, request, caller).run();
+        return request_proxy(context, request, caller).run();
     }
 };
 
--- a/tests/gateway/relay_keys_test.cpp
+++ b/tests/gateway/proxy_keys_test.cpp
@@ -1,5 +1,5 @@
 #include "poplarspool/gateway/limits.h"
-#include "relay_world.h"
+#include "proxy_fixture.h"
 #include "scripted_runner.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 using test::scripted_runner;
 using test::sealed;
-using fixture = test::relay_world;
+using fixture = test::proxy_fixture;
 
 } // namespace
 
@@ -31,7 +31,7 @@
         fixture test({&runner});
         test.needKeys();
         const auto reply =
-                test.ask("/again/1", "5000", {{"Key", "Sign good"}, {"Space", "another"}});
+                test.sendRequest("/again/1", "5000", {{"Key", "Sign good"}, {"Space", "another"}});
         CPPUNIT_ASSERT_EQUAL(200, reply->status);
         const std::string seen = runner.requests()[0];
         CPPUNIT_ASSERT(seen.find("Space: space\r\n") != std::string::npos);
@@ -47,11 +47,11 @@
         for (const http_headers &shown :
              {http_headers{}, http_headers{{"Key", "Sign bad"}}, http_headers{{"Key", "good"}},
               http_headers{{"Key", "Sign good"}, {"Key", "Sign good"}}}) {
-            const auto reply = test.ask("/once/1", "5000", shown);
+            const auto reply = test.sendRequest("/once/1", "5000", shown);
             CPPUNIT_ASSERT_EQUAL(401, reply->status);
             CPPUNIT_ASSERT(reply->body.find("not_run") != std::string::npos);
         }
-        CPPUNIT_ASSERT_EQUAL(404, test.ask("/none/1")->status);
+        CPPUNIT_ASSERT_EQUAL(404, test.sendRequest("/none/1")->status);
         CPPUNIT_ASSERT(runner.requests().empty());
     }
 
@@ -60,28 +60,32 @@
     {
         fixture test({});
         test.needKeys();
-        test.hub.update([&test](catalogue &next) {
+        test.publisher.update([&test](catalogue &next) {
             next.tableConfirmedAt = test.clock.mono() - config::routesTrustTime - 1s;
             return true;
         });
-        CPPUNIT_ASSERT_EQUAL(503, test.ask("/once/1", "5000", {{"Key", "Sign new"}})->status);
-        test.hub.update([&test](catalogue &next) {
+        CPPUNIT_ASSERT_EQUAL(503,
+                             test.sendRequest("/once/1", "5000", {{"Key", "Sign new"}})->status);
+        test.publisher.update([&test](catalogue &next) {
             next.tableConfirmedAt = test.clock.mono();
             return true;
         });
-        CPPUNIT_ASSERT_EQUAL(401, test.ask("/once/1", "5000", {{"Key", "Sign new"}})->status);
-        test.needKeys([](route_table &table) { table.hasUnreadKeys = true; });
-        CPPUNIT_ASSERT_EQUAL(503, test.ask("/once/1", "5000", {{"Key", "Sign new"}})->status);
+        CPPUNIT_ASSERT_EQUAL(401,
+                             test.sendRequest("/once/1", "5000", {{"Key", "Sign new"}})->status);
+        test.needKeys([](route_table &table) { table.hasUnreadableKeys = true; });
+        CPPUNIT_ASSERT_EQUAL(503,
+                             test.sendRequest("/once/1", "5000", {{"Key", "Sign new"}})->status);
     }
 
     void anonymousRoutesNeedNoKey()
     {
         scripted_runner runner({{sealed("200 OK", "body")}, {sealed("200 OK", "body")}});
         fixture test({&runner});
-        test.needKeys([](route_table &table) { table.routes[1].isAnonymous = true; });
-        CPPUNIT_ASSERT_EQUAL(200, test.ask("/again/1")->status);
+        test.needKeys([](route_table &table) { table.routes[1].allowsAnonymous = true; });
+        CPPUNIT_ASSERT_EQUAL(200, test.sendRequest("/again/1")->status);
         CPPUNIT_ASSERT(runner.requests()[0].find("Space:") == std::string::npos);
-        CPPUNIT_ASSERT_EQUAL(200, test.ask("/again/2", "5000", {{"Key", "Sign unknown"}})->status);
+        CPPUNIT_ASSERT_EQUAL(
+                200, test.sendRequest("/again/2", "5000", {{"Key", "Sign unknown"}})->status);
         CPPUNIT_ASSERT(runner.requests()[1].find("unknown") == std::string::npos);
     }
 };
--- a/tests/gateway/suspect_keeper_test.cpp
+++ b/tests/gateway/quarantine_manager_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/suspect_keeper.h"
+#include "gateway/quarantine_manager.h"
 
 #include "poplarspool/config.h"
 #include "poplarspool/gateway/limits.h"
@@ -15,20 +15,20 @@
 /// A store with one list, shared by several instances.
 struct shared_list
 {
-    suspect_store access()
+    crash_record_store access()
     {
-        suspect_store made;
-        made.read = [this]() -> result<suspect_list> {
+        crash_record_store made;
+        made.read = [this]() -> result<crash_record_list> {
             const std::lock_guard lock(guard);
             ++reads;
             return content;
         };
-        made.write = [this](const suspect_list &next) -> result<unit> {
+        made.write = [this](const crash_record_list &next) -> result<unit> {
             const std::lock_guard lock(guard);
             ++writes;
             if (next.version != content.version)
                 return notRun(error_code::Conflict, "list was changed concurrently");
-            content.suspects = next.suspects;
+            content.records = next.records;
             ++content.version.revision;
             return unit{};
         };
@@ -38,12 +38,12 @@
     std::size_t countEnds(std::uint64_t digest)
     {
         const std::lock_guard lock(guard);
-        const auto found = std::ranges::find(content.suspects, digest, &suspect::digest);
-        return found == content.suspects.end() ? 0 : found->lives.size();
+        const auto found = std::ranges::find(content.records, digest, &crash_record::digest);
+        return found == content.records.end() ? 0 : found->incarnations.size();
     }
 
     std::mutex guard;
-    suspect_list content;
+    crash_record_list content;
     int reads = 0;
     int writes = 0;
 };
@@ -79,7 +79,7 @@
     std::atomic<bool> isPartitioned{false};
     std::mutex guard;
     std::vector<peer::rumor> sent;
-    suspect_keeper manager;
+    quarantine_manager manager;
 };
 
 runner incarnationOf(int number)
@@ -125,13 +125,13 @@
         shared_list list;
         instance one(list);
         one.isRunnerGone = false;
-        one.manager.noteBroken(7, incarnationOf(1));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.manager.countLives(7));
+        one.manager.recordConnectionLost(7, incarnationOf(1));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.manager.countIncarnations(7));
         one.isRunnerGone = true;
-        one.manager.noteBroken(8, incarnationOf(1));
+        one.manager.recordConnectionLost(8, incarnationOf(1));
         one.isRunnerGone = false; // Restarted; the end of the incarnation is known nevertheless.
-        one.manager.noteBroken(7, incarnationOf(1));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, one.manager.countLives(7));
+        one.manager.recordConnectionLost(7, incarnationOf(1));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, one.manager.countIncarnations(7));
     }
 
     void endConfirmedLaterCounts()
@@ -139,11 +139,12 @@
         shared_list list;
         instance one(list);
         one.isRunnerGone = false;
-        one.manager.noteBroken(7, incarnationOf(1));
-        one.manager.noteDoubt(8, incarnationOf(1));
+        one.manager.recordConnectionLost(7, incarnationOf(1));
+        one.manager.recordUnconfirmed(8, incarnationOf(1));
         one.isRunnerGone = true;
-        CPPUNIT_ASSERT(waitUntil(
-                [&] { return one.manager.countLives(7) == 1 && one.manager.countLives(8) == 1; }));
+        CPPUNIT_ASSERT(waitUntil([&] {
+            return one.manager.countIncarnations(7) == 1 && one.manager.countIncarnations(8) == 1;
+        }));
     }
 
     /// Instances shut down one after the other for a new release. Ends observed during the shutdown
@@ -152,13 +153,13 @@
     {
         shared_list list;
         instance one(list);
-        one.manager.leave();
-        one.manager.noteBroken(7, incarnationOf(1));
-        one.manager.noteBroken(7, incarnationOf(2));
+        one.manager.stopStoreAccess();
+        one.manager.recordConnectionLost(7, incarnationOf(1));
+        one.manager.recordConnectionLost(7, incarnationOf(2));
         one.manager.stop();
-        std::vector<suspect> sent;
+        std::vector<crash_record> sent;
         for (const peer::rumor &rumor : one.takeSent()) {
-            const auto ends = suspectsIn(rumor);
+            const auto ends = decodeCrashRecords(rumor);
             sent.insert(sent.end(), valueOf(ends).begin(), valueOf(ends).end());
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent.size());
@@ -170,12 +171,12 @@
         shared_list list;
         instance one(list);
         instance other(list, "edge-2");
-        one.manager.noteBroken(7, incarnationOf(1));
-        one.manager.noteBroken(7, incarnationOf(2));
-        other.manager.noteBroken(7, incarnationOf(3));
+        one.manager.recordConnectionLost(7, incarnationOf(1));
+        one.manager.recordConnectionLost(7, incarnationOf(2));
+        other.manager.recordConnectionLost(7, incarnationOf(3));
         CPPUNIT_ASSERT(waitUntil([&] {
             for (const peer::rumor &rumor : one.takeSent())
-                other.manager.take(rumor);
+                other.manager.onRumor(rumor);
             return other.manager.quarantineOf(7).has_value();
         }));
         CPPUNIT_ASSERT(!other.manager.quarantineOf(8));
@@ -188,13 +189,13 @@
         shared_list list;
         {
             instance one(list);
-            one.manager.noteBroken(7, incarnationOf(1));
-            one.manager.noteBroken(7, incarnationOf(2));
+            one.manager.recordConnectionLost(7, incarnationOf(1));
+            one.manager.recordConnectionLost(7, incarnationOf(2));
             CPPUNIT_ASSERT(waitUntil([&] { return list.countEnds(7) == 2; }));
         }
         instance later(list, "edge-2");
-        CPPUNIT_ASSERT(waitUntil([&] { return later.manager.countLives(7) == 2; }));
-        later.manager.noteBroken(7, incarnationOf(3));
+        CPPUNIT_ASSERT(waitUntil([&] { return later.manager.countIncarnations(7) == 2; }));
+        later.manager.recordConnectionLost(7, incarnationOf(3));
         CPPUNIT_ASSERT(later.manager.quarantineOf(7));
     }
 
@@ -204,9 +205,9 @@
         instance one(list);
         instance other(list, "edge-2");
         for (int number = 1; number <= 3; ++number) {
-            one.manager.noteBroken(7, incarnationOf(number));
-            other.manager.noteBroken(8, incarnationOf(10 + number));
-            other.manager.noteBroken(7, incarnationOf(20 + number));
+            one.manager.recordConnectionLost(7, incarnationOf(number));
+            other.manager.recordConnectionLost(8, incarnationOf(10 + number));
+            other.manager.recordConnectionLost(7, incarnationOf(20 + number));
         }
         CPPUNIT_ASSERT(waitUntil([&] { return list.countEnds(7) == 6 && list.countEnds(8) == 3; }));
     }
@@ -219,7 +220,7 @@
         CPPUNIT_ASSERT(waitUntil([&] { return list.reads > 0; }));
         instance one(list, "edge-2");
         for (int number = 1; number <= 3; ++number)
-            one.manager.noteBroken(7, incarnationOf(number));
+            one.manager.recordConnectionLost(7, incarnationOf(number));
         CPPUNIT_ASSERT(waitUntil([&] { return one.fingerprint != 0 && list.countEnds(7) == 3; }));
         CPPUNIT_ASSERT(!incomplete.manager.quarantineOf(7));
         incomplete.otherFingerprint = one.fingerprint.load();
@@ -233,10 +234,10 @@
         instance incomplete(list);
         CPPUNIT_ASSERT(waitUntil([&] { return list.reads > 0; }));
         incomplete.isPartitioned = true;
-        std::this_thread::sleep_for(2 * config::suspectLookTime);
+        std::this_thread::sleep_for(2 * config::quarantineInterval);
         instance one(list, "edge-2");
         for (int number = 1; number <= 3; ++number)
-            one.manager.noteBroken(7, incarnationOf(number));
+            one.manager.recordConnectionLost(7, incarnationOf(number));
         CPPUNIT_ASSERT(waitUntil([&] { return list.countEnds(7) == 3; }));
         incomplete.isPartitioned = false;
         CPPUNIT_ASSERT(waitUntil([&] { return incomplete.manager.quarantineOf(7).has_value(); }));
@@ -247,13 +248,13 @@
         shared_list list;
         instance one(list);
         for (int number = 1; number <= 3; ++number)
-            one.manager.noteBroken(7, incarnationOf(number));
+            one.manager.recordConnectionLost(7, incarnationOf(number));
         CPPUNIT_ASSERT(waitUntil([&] { return list.countEnds(7) == 3; }));
         {
             const std::lock_guard lock(list.guard);
             list.content = {{}, {1, 0}};
         }
-        one.manager.restore();
+        one.manager.recordStoreRollback();
         CPPUNIT_ASSERT(waitUntil([&] { return list.countEnds(7) == 3; }));
     }
 
@@ -261,13 +262,13 @@
     {
         shared_list list;
         instance one(list);
-        one.manager.noteBroken(7, incarnationOf(1));
-        one.manager.noteServed(7);
+        one.manager.recordConnectionLost(7, incarnationOf(1));
+        one.manager.recordServed(7);
         CPPUNIT_ASSERT(waitUntil([&] { return !one.takeSent().empty(); }));
-        std::this_thread::sleep_for(3 * config::suspectLookTime);
+        std::this_thread::sleep_for(3 * config::quarantineInterval);
         CPPUNIT_ASSERT_EQUAL(1, list.reads);
         CPPUNIT_ASSERT_EQUAL(0, list.writes);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.manager.countLives(7));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one.manager.countIncarnations(7));
     }
 
     void rumorsStayWithinSizeLimits()
@@ -279,7 +280,7 @@
         for (const peer::rumor &one : rumorsOf({std::string(120, 'e')}, report)) {
             CPPUNIT_ASSERT(one.payload.size() <= config::maxRumorBytes);
             CPPUNIT_ASSERT(one.key.size() <= config::maxNameBytes);
-            sent += valueOf(suspectsIn(one)).size();
+            sent += valueOf(decodeCrashRecords(one)).size();
         }
         CPPUNIT_ASSERT_EQUAL(report.digests.size(), sent);
     }
@@ -289,10 +290,10 @@
         const peer::rumor whole = rumorsOf({"e"}, {{9, 1}, {7, 8}}).front();
         for (std::size_t size = 0; size < whole.payload.size(); ++size)
             CPPUNIT_ASSERT(!succeeded(
-                    suspectsIn({whole.key, whole.version, whole.payload.substr(0, size)})));
-        CPPUNIT_ASSERT(valueOf(suspectsIn({"load/i-1", 1, "x"})).empty());
-        CPPUNIT_ASSERT(valueOf(suspectsIn(servedRumor(7, 5)))
-                       == (std::vector<suspect>{{7, {}, 5}}));
+                    decodeCrashRecords({whole.key, whole.version, whole.payload.substr(0, size)})));
+        CPPUNIT_ASSERT(valueOf(decodeCrashRecords({"load/i-1", 1, "x"})).empty());
+        CPPUNIT_ASSERT(valueOf(decodeCrashRecords(servedRumor(7, 5)))
+                       == (std::vector<crash_record>{{7, {}, 5}}));
     }
 };
 
--- a/tests/gateway/refused_route_test.cpp
+++ b/tests/gateway/refused_route_test.cpp
@@ -1,5 +1,5 @@
 #include "fixture.h"
-#include "gateway/request_relay.h"
+#include "gateway/request_proxy.h"
 #include "poplarspool/gateway/route_index.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -40,15 +40,15 @@
     clock_source clock = systemClock();
     metrics_registry registry;
     journal events{{"test"}, clock, 64};
-    catalogue_hub publisher{catalogue{}};
-    runner_ledger ledger{clock};
+    catalogue_publisher publisher{catalogue{}};
+    runner_table ledger{clock};
     retry_budgets retries{{1, 100}};
     connection_pool connections{4, 500ms, registry};
-    relay_metrics metrics{registry};
+    proxy_metrics metrics{registry};
     std::atomic<std::int64_t> leavesAt{INT64_MAX};
-    suspect_keeper quarantineManager{{}, {}, {"test"}, clock, registry, events};
-    const relay_parts parts{names,  publisher, ledger, retries,  connections,      metrics,
-                            events, clock,     {"z"},  leavesAt, quarantineManager};
+    quarantine_manager quarantineManager{{}, {}, {"test"}, clock, registry, events};
+    const proxy_context parts{names,  publisher, ledger, retries,  connections,      metrics,
+                              events, clock,     {"z"},  leavesAt, quarantineManager};
 
     explicit fixture(std::vector<route> routes)
     {
@@ -57,7 +57,7 @@
         table.routes = std::move(routes);
         publisher.update([&](catalogue &next) {
             next.table = std::make_shared<const route_table>(table);
-            next.index = std::make_shared<const route_index>(indexOf(table));
+            next.index = std::make_shared<const route_index>(buildRouteIndex(table));
             next.areRunnersKnown = true;
             next.tableConfirmedAt = clock.mono();
             runner made;
@@ -74,7 +74,7 @@
         const http_request request =
                 requestOf("GET", path, {{"Host", "h"}, {"Id", "q1"}, {"Limit", "5000"}});
         unused_sink caller;
-        return request_relay(parts, request, caller).run().value();
+        return request_proxy(parts, request, caller).run().value();
     }
 };
 
@@ -107,7 +107,7 @@
     void unmatchedRequestIsTemporarilyRefusedIfARouteIsInvalid()
     {
         route invalid = routeOf("", {});
-        invalid.isUnplaced = true;
+        invalid.hasInvalidMatch = true;
         fixture test({routeOf("/a/", {{{"s"}, 1}}), invalid});
         assertIsTemporarilyRefused(test.send("/c/1"));
     }
--- a/tests/gateway/told_changes_test.cpp
+++ b/tests/gateway/relayed_changes_test.cpp
@@ -1,5 +1,5 @@
 #include "poplarspool/config.h"
-#include "poplarspool/gateway/catalogue_keeper.h"
+#include "poplarspool/gateway/catalogue_updater.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -11,7 +11,7 @@
 {
     runner made;
     made.id.text = "i-1";
-    made.bornMs = 1753000000123;
+    made.startedAtMs = 1753000000123;
     made.writes = 7;
     made.service.text = "s";
     made.address = {"10.0.0.1", 8080};
@@ -29,9 +29,9 @@
     made.host = "example";
     made.pathPrefix = "/" + name + "/";
     made.isStream = true;
-    made.repeats = repeat_rule::Idempotent;
+    made.retryPolicy = retry_policy::Idempotent;
     made.timeLimit = milliseconds(5000);
-    made.objective = milliseconds(800);
+    made.latencyObjective = milliseconds(800);
     made.rank = 2;
     made.maxRunners = 2;
     made.services = {{{"s"}, 90}, {{"t"}, 10}};
@@ -45,7 +45,7 @@
     for (const std::string &name : names)
         made.routes.push_back(routeOf(name));
     made.services = {{{"s"}, engine_traits{128, 752347, 18432, 320000.5}}, {{"t"}, std::nullopt}};
-    made.bounds = {16384, 4194304, milliseconds(3000), milliseconds(15000)};
+    made.callerLimits = {16384, 4194304, milliseconds(3000), milliseconds(15000)};
     return made;
 }
 
--- a/tests/gateway/told_routes_test.cpp
+++ b/tests/gateway/relayed_routes_test.cpp
@@ -1,6 +1,6 @@
 #include "peer/codec.h"
 #include "poplarspool/config.h"
-#include "poplarspool/gateway/catalogue_keeper.h"
+#include "poplarspool/gateway/catalogue_updater.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -21,7 +21,7 @@
     made.name = "route-" + std::to_string(number);
     made.host = "host.example";
     made.pathPrefix = "/v1/route-" + std::to_string(number) + "/";
-    made.repeats = repeat_rule::Idempotent;
+    made.retryPolicy = retry_policy::Idempotent;
     made.timeLimit = milliseconds(5'000);
     made.services = {{{"service-" + std::to_string(number % 7)}, 1}};
     return made;
@@ -144,7 +144,7 @@
             const route_table before = tableOf(4, count, 60);
             route_table after = before;
             after.version = 9;
-            after.bounds.idleTime = milliseconds(7'000);
+            after.callerLimits.idleTimeout = milliseconds(7'000);
             after.routes[count / 2].timeLimit = milliseconds(7'000);
             after.routes.erase(after.routes.begin() + 1);
             after.routes.push_back(routeOf(count));
@@ -160,7 +160,7 @@
         route_table after = tableOf(9, 3);
         after.routes[0].services.clear();
         after.routes[1] = route{};
-        after.routes[1].isUnplaced = true;
+        after.routes[1].hasInvalidMatch = true;
         CPPUNIT_ASSERT(valueOf(decodeRouteTable(valueOf(encode(after, before)), before)) == after);
         CPPUNIT_ASSERT(valueOf(decodeRouteTable(valueOf(encode(before, {})), {})) == before);
     }
--- a/tests/gateway/request_relay_test.cpp
+++ b/tests/gateway/request_proxy_test.cpp
@@ -1,10 +1,10 @@
-#include "gateway/request_relay.h"
+#include "gateway/request_proxy.h"
 
 #include "gateway/envelope.h"
 
 #include "fixture.h"
 #include "poplarspool/gateway/limits.h"
-#include "relay_world.h"
+#include "proxy_fixture.h"
 #include "scripted_runner.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -19,7 +19,7 @@
 using test::script_end;
 using test::scripted_runner;
 using test::sealed;
-using fixture = test::relay_world;
+using fixture = test::proxy_fixture;
 
 const std::string refusalText = "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
 const std::string streamHead =
@@ -61,7 +61,7 @@
     {
         scripted_runner runner({{sealed("404 Gone Fishing", "body")}});
         fixture test({&runner});
-        const auto reply = test.ask("/once/1");
+        const auto reply = test.sendRequest("/once/1");
         CPPUNIT_ASSERT_EQUAL(404, reply->status);
         CPPUNIT_ASSERT_EQUAL(std::string("body"), reply->body);
         CPPUNIT_ASSERT_EQUAL(std::string_view("x"), headerOf(reply->headers, "seal"));
@@ -76,7 +76,7 @@
         scripted_runner first({{"", script_end::Reset}});
         scripted_runner second({{"", script_end::Reset}});
         fixture test({&first, &second});
-        CPPUNIT_ASSERT_EQUAL(502, test.ask("/once/1")->status);
+        CPPUNIT_ASSERT_EQUAL(502, test.sendRequest("/once/1")->status);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, first.requests().size() + second.requests().size());
     }
 
@@ -86,15 +86,15 @@
         scripted_runner second({{refusalText}, {sealed("200 OK", "a")}});
         fixture test({&first, &second});
         // The runner that is asked first refuses, then the other one: both were tried.
-        CPPUNIT_ASSERT_EQUAL(503, test.ask("/once/1")->status);
-        CPPUNIT_ASSERT_EQUAL(200, test.ask("/once/1")->status);
+        CPPUNIT_ASSERT_EQUAL(503, test.sendRequest("/once/1")->status);
+        CPPUNIT_ASSERT_EQUAL(200, test.sendRequest("/once/1")->status);
     }
 
     void refusalByAllRunnersHasRetryAfter()
     {
         scripted_runner runner({{refusalText}});
         fixture test({&runner});
-        const auto reply = test.ask("/once/1");
+        const auto reply = test.sendRequest("/once/1");
         CPPUNIT_ASSERT_EQUAL(503, reply->status);
         CPPUNIT_ASSERT(!headerOf(reply->headers, "Retry-After").empty());
         CPPUNIT_ASSERT(reply->body.find("not_run") != std::string::npos);
@@ -115,7 +115,7 @@
         fixture test(all);
         gone.clear();
         while (test.retries.tryTake({"s"})) { }
-        CPPUNIT_ASSERT_EQUAL(200, test.ask("/once/1")->status);
+        CPPUNIT_ASSERT_EQUAL(200, test.sendRequest("/once/1")->status);
     }
 
     void idempotentRequestIsRetriedElsewhere()
@@ -124,8 +124,8 @@
         scripted_runner first(scripts);
         scripted_runner second(scripts);
         fixture test({&first, &second});
-        CPPUNIT_ASSERT_EQUAL(502, test.ask("/again/1")->status); // Both have failed.
-        CPPUNIT_ASSERT_EQUAL(200, test.ask("/again/1")->status);
+        CPPUNIT_ASSERT_EQUAL(502, test.sendRequest("/again/1")->status); // Both have failed.
+        CPPUNIT_ASSERT_EQUAL(200, test.sendRequest("/again/1")->status);
     }
 
     /// The runner announces ten bytes, sends four, and closes. If they were passed on, the caller
@@ -135,7 +135,7 @@
         scripted_runner runner(
                 {{"HTTP/1.1 200 OK\r\nId: q1\r\nSeal: x\r\nContent-Length: 10\r\n\r\nabcd"}});
         fixture test({&runner});
-        CPPUNIT_ASSERT_EQUAL(502, test.ask("/once/1")->status);
+        CPPUNIT_ASSERT_EQUAL(502, test.sendRequest("/once/1")->status);
     }
 
     void answerWithoutLengthNeedsOrderlyClose()
@@ -143,10 +143,10 @@
         const std::string text = "HTTP/1.1 200 OK\r\nId: q1\r\nSeal: x\r\n\r\nabcd";
         scripted_runner good({{text, script_end::Close}});
         fixture test({&good});
-        CPPUNIT_ASSERT_EQUAL(std::string("abcd"), test.ask("/once/1")->body);
+        CPPUNIT_ASSERT_EQUAL(std::string("abcd"), test.sendRequest("/once/1")->body);
         scripted_runner bad({{text, script_end::Reset}});
         fixture other({&bad});
-        CPPUNIT_ASSERT_EQUAL(502, other.ask("/once/1")->status);
+        CPPUNIT_ASSERT_EQUAL(502, other.sendRequest("/once/1")->status);
     }
 
     /// A runner sends a second answer to an earlier request where this request's answer is
@@ -156,14 +156,14 @@
     {
         scripted_runner runner({{sealed("200 OK", "other", "q0") + sealed("200 OK", "mine")}});
         fixture test({&runner});
-        CPPUNIT_ASSERT_EQUAL(std::string("mine"), test.ask("/once/1")->body);
+        CPPUNIT_ASSERT_EQUAL(std::string("mine"), test.sendRequest("/once/1")->body);
     }
 
     void answerWithoutSealIsRejected()
     {
         scripted_runner runner({{"HTTP/1.1 200 OK\r\nId: q1\r\nContent-Length: 2\r\n\r\nok"}});
         fixture test({&runner});
-        CPPUNIT_ASSERT_EQUAL(502, test.ask("/once/1")->status);
+        CPPUNIT_ASSERT_EQUAL(502, test.sendRequest("/once/1")->status);
     }
 
     /// A stream breaks off in the middle of its third event. It must resume on another runner
@@ -181,10 +181,10 @@
         fixture test({&first, &second});
         // Placement depends on the request's id; the load on the second runner makes it choose the
         // first one.
-        test.ledger.candidatesOf(*test.hub.current(), {"s"}, nullptr, {}, {});
+        test.runnerTable.candidatesOf(*test.publisher.current(), {"s"}, nullptr, {}, {});
         {
-            runner_ledger::open_send busy(test.ledger, {"r1"}, 0, send_class::Urgent);
-            test.ask("/stream/1");
+            runner_table::open_send busy(test.runnerTable, {"r1"}, 0, send_class::Urgent);
+            test.sendRequest("/stream/1");
         }
         CPPUNIT_ASSERT_EQUAL(eventText(1) + eventText(2) + eventText(3) + eventText(4),
                              test.caller.body);
@@ -196,7 +196,7 @@
     {
         scripted_runner only({{streamHead + eventText(1), script_end::Reset}});
         fixture test({&only});
-        CPPUNIT_ASSERT(!test.ask("/stream/1"));
+        CPPUNIT_ASSERT(!test.sendRequest("/stream/1"));
         CPPUNIT_ASSERT_EQUAL(eventText(1), test.caller.body);
         CPPUNIT_ASSERT(!test.caller.isWhole);
     }
@@ -212,10 +212,10 @@
                 std::this_thread::yield();
             test.caller.theirs.reset();
         });
-        const auto reply = test.ask("/stream/1", "60000");
+        const auto reply = test.sendRequest("/stream/1", "60000");
         leaver.join();
         CPPUNIT_ASSERT(!reply);
-        while (!runner.wasLeft())
+        while (!runner.wasDisconnected())
             std::this_thread::yield();
     }
 
@@ -224,7 +224,7 @@
         scripted_runner runner({{sealed("200 OK", "a")}});
         fixture test({&runner});
         test.caller.theirs.reset();
-        CPPUNIT_ASSERT(!test.ask("/again/1"));
+        CPPUNIT_ASSERT(!test.sendRequest("/again/1"));
         CPPUNIT_ASSERT(runner.requests().empty());
     }
 
@@ -233,22 +233,22 @@
     void unknownRouteIsDeniedOnlyIfRoutesAreFresh()
     {
         fixture test({});
-        CPPUNIT_ASSERT_EQUAL(404, test.ask("/new/1")->status);
-        test.hub.update([&](catalogue &next) {
+        CPPUNIT_ASSERT_EQUAL(404, test.sendRequest("/new/1")->status);
+        test.publisher.update([&](catalogue &next) {
             next.tableConfirmedAt = test.clock.mono() - config::routesTrustTime - 1ms;
             return true;
         });
-        CPPUNIT_ASSERT_EQUAL(503, test.ask("/new/1")->status);
+        CPPUNIT_ASSERT_EQUAL(503, test.sendRequest("/new/1")->status);
     }
 
     void requestsAreNotDeniedWithoutConfiguration()
     {
         fixture test({});
-        test.hub.update([](catalogue &next) {
+        test.publisher.update([](catalogue &next) {
             next = catalogue{};
             return true;
         });
-        const auto reply = test.ask("/once/1");
+        const auto reply = test.sendRequest("/once/1");
         CPPUNIT_ASSERT_EQUAL(503, reply->status);
         CPPUNIT_ASSERT(!headerOf(reply->headers, "Retry-After").empty());
     }
@@ -258,13 +258,13 @@
     {
         scripted_runner runner({{sealed("200 OK", "a")}});
         fixture test({&runner});
-        test.noteEnds("/again/1", 3);
-        const auto reply = test.ask("/again/1");
+        test.recordEnds("/again/1", 3);
+        const auto reply = test.sendRequest("/again/1");
         CPPUNIT_ASSERT_EQUAL(503, reply->status);
         CPPUNIT_ASSERT(reply->body.find("not_run") != std::string::npos);
         CPPUNIT_ASSERT(std::stod(std::string(headerOf(reply->headers, "Retry-After"))) > 60);
         CPPUNIT_ASSERT(runner.requests().empty());
-        CPPUNIT_ASSERT_EQUAL(200, test.ask("/again/2")->status);
+        CPPUNIT_ASSERT_EQUAL(200, test.sendRequest("/again/2")->status);
     }
 
     /// Guards against a request that ends one runner after another because it is retried at once.
@@ -274,12 +274,12 @@
         scripted_runner first(resets);
         scripted_runner second(resets);
         fixture test({&first, &second});
-        test.ended = {first.address(), second.address()};
+        test.endedAddresses = {first.address(), second.address()};
         const auto sendCount = [&] { return first.requests().size() + second.requests().size(); };
-        CPPUNIT_ASSERT_EQUAL(502, test.ask("/again/2")->status);
+        CPPUNIT_ASSERT_EQUAL(502, test.sendRequest("/again/2")->status);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sendCount());
-        test.noteEnds("/again/1", 1);
-        CPPUNIT_ASSERT_EQUAL(502, test.ask("/again/1")->status);
+        test.recordEnds("/again/1", 1);
+        CPPUNIT_ASSERT_EQUAL(502, test.sendRequest("/again/1")->status);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, sendCount());
     }
 
@@ -288,19 +288,20 @@
         std::function<void()> beginsToLeave;
         scripted_runner leaving({{"", script_end::Reset}}, [&] { beginsToLeave(); });
         fixture test({&leaving});
-        test.ended = {leaving.address()};
+        test.endedAddresses = {leaving.address()};
         beginsToLeave = [&test] {
-            test.hub.update([](catalogue &next) {
+            test.publisher.update([](catalogue &next) {
                 runner changed = *next.runners.begin()->second;
                 changed.isDraining = true;
                 next.runners.begin()->second = std::make_shared<const runner>(changed);
                 return true;
             });
         };
-        CPPUNIT_ASSERT_EQUAL(502, test.ask("/again/1")->status);
+        CPPUNIT_ASSERT_EQUAL(502, test.sendRequest("/again/1")->status);
         const http_request request = requestOf("GET", "/again/1", {{"Host", "h"}});
         CPPUNIT_ASSERT_EQUAL(std::size_t{0},
-                             test.suspects.countLives(digestOf(request, test.parts.digestSeed)));
+                             test.quarantineManager.countIncarnations(
+                                     digestOf(request, test.context.digestSeed)));
     }
 };
 
--- a/tests/gateway/route_index_test.cpp
+++ b/tests/gateway/route_index_test.cpp
@@ -89,7 +89,7 @@
         for (std::uint64_t seed = 1; seed <= 400; ++seed) {
             random_source random(seed);
             const route_table table = randomTable(random);
-            const route_index index = indexOf(table);
+            const route_index index = buildRouteIndex(table);
             for (int i = 0; i < 200; ++i) {
                 const std::string host =
                         randomHost(random) + randomChoice({"", ":80", ":", ":1:2"}, random);
@@ -112,7 +112,7 @@
             one.host = "h";
             one.pathPrefix = "/a/";
         }
-        const route *found = findRoute(table, indexOf(table), "H:80", "/a/b");
+        const route *found = findRoute(table, buildRouteIndex(table), "H:80", "/a/b");
         CPPUNIT_ASSERT(found == &table.routes.front());
     }
 
@@ -125,7 +125,7 @@
                 table.routes[i].host = "h" + std::to_string(i % 7);
                 table.routes[i].pathPrefix = "/route-" + std::to_string(i) + "/";
             }
-            const route_index index = indexOf(table);
+            const route_index index = buildRouteIndex(table);
             for (const route &one : table.routes)
                 CPPUNIT_ASSERT(findRoute(table, index, one.host, one.pathPrefix + "x") == &one);
             CPPUNIT_ASSERT(findRoute(table, index, "h0", "/route-5000/") == nullptr);
@@ -140,7 +140,8 @@
         table.routes.front().host = "h";
         table.routes.front().pathPrefix = "///";
         const std::string path(1U << 20U, '/');
-        CPPUNIT_ASSERT(findRoute(table, indexOf(table), "h", path) == &table.routes.front());
+        CPPUNIT_ASSERT(findRoute(table, buildRouteIndex(table), "h", path)
+                       == &table.routes.front());
     }
 
     void firstInvalidRouteTakesUnmatchedRequests()
@@ -149,9 +150,9 @@
         table.routes.resize(3);
         table.routes[0].host = "h";
         table.routes[0].pathPrefix = "/a/";
-        table.routes[1].isUnplaced = true;
-        table.routes[2].isUnplaced = true;
-        const route_index index = indexOf(table);
+        table.routes[1].hasInvalidMatch = true;
+        table.routes[2].hasInvalidMatch = true;
+        const route_index index = buildRouteIndex(table);
         CPPUNIT_ASSERT(findRoute(table, index, "h", "/a/b") == table.routes.data());
         CPPUNIT_ASSERT(findRoute(table, index, "h", "/b/") == &table.routes[1]);
         CPPUNIT_ASSERT(findRoute(table, index, "", "") == &table.routes[1]);
--- a/tests/gateway/runner_call_test.cpp
+++ b/tests/gateway/runner_call_test.cpp
@@ -30,7 +30,7 @@
     }
 };
 
-socket_deadline safetyEnd()
+socket_deadline testDeadline()
 {
     return socket_clock::now() + 20s;
 }
@@ -40,7 +40,7 @@
     std::string body;
     body_piece piece;
     while (!piece.isLast && piece.fault == call_fault::None) {
-        piece = call.readBody(safetyEnd());
+        piece = call.readBody(testDeadline());
         body += piece.bytes;
     }
     fault = piece.fault;
@@ -65,10 +65,10 @@
     {
         socket_pair runner;
         runner_call call(std::move(runner.ours), -1);
-        CPPUNIT_ASSERT(call.send("GET / HTTP/1.1\r\n\r\n", safetyEnd()) == call_fault::None);
+        CPPUNIT_ASSERT(call.send("GET / HTTP/1.1\r\n\r\n", testDeadline()) == call_fault::None);
         runner.sendReply(
                 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-        CPPUNIT_ASSERT_EQUAL(200, std::get<reply_head>(call.readHead(safetyEnd())).status);
+        CPPUNIT_ASSERT_EQUAL(200, std::get<reply_head>(call.readHead(testDeadline())).status);
         call_fault fault = call_fault::None;
         CPPUNIT_ASSERT_EQUAL(std::string("ok"), bodyOf(call, fault));
         CPPUNIT_ASSERT(call.takeConnection().isOpen());
@@ -80,9 +80,9 @@
     {
         socket_pair runner;
         runner_call call(std::move(runner.ours), -1);
-        call.send("GET / HTTP/1.1\r\n\r\n", safetyEnd());
+        call.send("GET / HTTP/1.1\r\n\r\n", testDeadline());
         runner.sendReply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
-        call.readHead(safetyEnd());
+        call.readHead(testDeadline());
         call_fault fault = call_fault::None;
         CPPUNIT_ASSERT_EQUAL(std::string("ok"), bodyOf(call, fault));
         CPPUNIT_ASSERT(!call.takeConnection().isOpen());
@@ -92,10 +92,10 @@
     {
         socket_pair runner;
         runner_call call(std::move(runner.ours), -1);
-        call.send("GET / HTTP/1.1\r\n\r\n", safetyEnd());
+        call.send("GET / HTTP/1.1\r\n\r\n", testDeadline());
         runner.sendReply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                          "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: 1\r\n\r\n");
-        call.readHead(safetyEnd());
+        call.readHead(testDeadline());
         call_fault fault = call_fault::None;
         CPPUNIT_ASSERT_EQUAL(std::string("abcde"), bodyOf(call, fault));
         CPPUNIT_ASSERT(fault == call_fault::None);
@@ -106,10 +106,10 @@
     {
         socket_pair runner;
         runner_call call(std::move(runner.ours), -1);
-        call.send("GET / HTTP/1.1\r\n\r\n", safetyEnd());
+        call.send("GET / HTTP/1.1\r\n\r\n", testDeadline());
         runner.sendReply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
         runner.theirs.reset();
-        call.readHead(safetyEnd());
+        call.readHead(testDeadline());
         call_fault fault = call_fault::None;
         bodyOf(call, fault);
         CPPUNIT_ASSERT(fault == call_fault::Closed);
@@ -123,9 +123,9 @@
         runner_call call(std::move(runner.ours), -1);
         runner.sendReply("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
         const std::string longBody(64UL * 1024 * 1024, 'x');
-        CPPUNIT_ASSERT(call.send(longBody, safetyEnd()) == call_fault::None);
-        CPPUNIT_ASSERT_EQUAL(503, std::get<reply_head>(call.readHead(safetyEnd())).status);
-        CPPUNIT_ASSERT(call.readBody(safetyEnd()).isLast);
+        CPPUNIT_ASSERT(call.send(longBody, testDeadline()) == call_fault::None);
+        CPPUNIT_ASSERT_EQUAL(503, std::get<reply_head>(call.readHead(testDeadline())).status);
+        CPPUNIT_ASSERT(call.readBody(testDeadline()).isLast);
         CPPUNIT_ASSERT(!call.takeConnection().isOpen());
     }
 
@@ -134,7 +134,7 @@
         socket_pair runner;
         runner.theirs.reset();
         runner_call call(std::move(runner.ours), -1);
-        CPPUNIT_ASSERT(call.send("GET / HTTP/1.1\r\n\r\n", safetyEnd()) == call_fault::Closed);
+        CPPUNIT_ASSERT(call.send("GET / HTTP/1.1\r\n\r\n", testDeadline()) == call_fault::Closed);
         CPPUNIT_ASSERT(!call.mayHaveArrived());
     }
 };
--- a/tests/gateway/runner_ledger_test.cpp
+++ b/tests/gateway/runner_table_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/runner_ledger.h"
+#include "gateway/runner_table.h"
 
 #include "poplarspool/gateway/limits.h"
 
@@ -15,7 +15,7 @@
 {
     mono_time now{std::chrono::hours(1)};
     clock_source clock{[this] { return now; }, [] { return wall_time{}; }};
-    runner_ledger ledger{clock};
+    runner_table ledger{clock};
     catalogue known;
 
     fixture()
@@ -28,10 +28,11 @@
         }
     }
 
-    place_candidate candidateFor(const std::string &id, const std::vector<prompt_part> &prompt = {})
+    placement_candidate candidateFor(const std::string &id,
+                                     const std::vector<prompt_part> &prompt = {})
     {
         const engine_traits traits{128, 1000, 1, 1};
-        for (place_candidate &one : ledger.candidatesOf(known, {"s"}, &traits, prompt, {})) {
+        for (placement_candidate &one : ledger.candidatesOf(known, {"s"}, &traits, prompt, {})) {
             if (one.target->id.text == id)
                 return one;
         }
@@ -42,15 +43,15 @@
     void restart(const std::string &id, std::uint64_t startedAtMs)
     {
         runner next = *known.runners.at({id});
-        next.bornMs = startedAtMs;
+        next.startedAtMs = startedAtMs;
         known.runners[next.id] = std::make_shared<const runner>(next);
         candidateFor(id);
     }
 
-    void send(const std::string &id, send_end end)
+    void send(const std::string &id, send_outcome end)
     {
-        runner_ledger::open_send sent(ledger, {id}, 0, send_class::Urgent);
-        sent.noteEnd(end);
+        runner_table::open_send sent(ledger, {id}, 0, send_class::Urgent);
+        sent.recordEnd(end);
     }
 };
 
@@ -86,45 +87,45 @@
     {
         fixture test;
         for (int i = 0; i < 3; ++i) {
-            test.send("a", send_end::Served);
-            test.send("a", send_end::Failed);
+            test.send("a", send_outcome::Served);
+            test.send("a", send_outcome::Failed);
         }
-        CPPUNIT_ASSERT(test.candidateFor("a").load.setAsideUntil > test.now);
-        CPPUNIT_ASSERT(test.candidateFor("b").load.setAsideUntil <= test.now);
+        CPPUNIT_ASSERT(test.candidateFor("a").load.ejectedUntil > test.now);
+        CPPUNIT_ASSERT(test.candidateFor("b").load.ejectedUntil <= test.now);
     }
 
     void usualFailureRateDoesNotEject()
     {
         fixture test;
         for (int i = 0; i < 70; ++i)
-            test.send("a", i % 7 == 0 ? send_end::Failed : send_end::Served);
-        CPPUNIT_ASSERT(test.candidateFor("a").load.setAsideUntil <= test.now);
+            test.send("a", i % 7 == 0 ? send_outcome::Failed : send_outcome::Served);
+        CPPUNIT_ASSERT(test.candidateFor("a").load.ejectedUntil <= test.now);
     }
 
     void repeatedlyUnreachableRunnerIsEjectedLonger()
     {
         fixture test;
-        test.send("a", send_end::Unreachable);
-        const mono_time first = test.candidateFor("a").load.setAsideUntil;
-        test.send("a", send_end::Unreachable);
-        CPPUNIT_ASSERT(first == test.now + config::setAsideFirst);
-        CPPUNIT_ASSERT(test.candidateFor("a").load.setAsideUntil
-                       == test.now + 2 * config::setAsideFirst);
+        test.send("a", send_outcome::Unreachable);
+        const mono_time first = test.candidateFor("a").load.ejectedUntil;
+        test.send("a", send_outcome::Unreachable);
+        CPPUNIT_ASSERT(first == test.now + config::initialEjectionTime);
+        CPPUNIT_ASSERT(test.candidateFor("a").load.ejectedUntil
+                       == test.now + 2 * config::initialEjectionTime);
     }
 
     void loadOfOtherInstancesIsAdded()
     {
         fixture test;
         fixture other;
-        const runner_ledger::open_send mine(test.ledger, {"a"}, 30, send_class::Urgent);
-        const runner_ledger::open_send theirs(other.ledger, {"a"}, 50, send_class::Urgent);
-        const runner_ledger::open_send late(other.ledger, {"a"}, 70, send_class::Later);
-        test.ledger.takeNews(1, other.ledger.collectNews(peer::news_audience::Near));
-        test.ledger.takeNews(1, other.ledger.collectNews(peer::news_audience::Near));
+        const runner_table::open_send mine(test.ledger, {"a"}, 30, send_class::Urgent);
+        const runner_table::open_send theirs(other.ledger, {"a"}, 50, send_class::Urgent);
+        const runner_table::open_send late(other.ledger, {"a"}, 70, send_class::Later);
+        test.ledger.applyUpdate(1, other.ledger.collectUpdate(peer::update_recipients::SameZone));
+        test.ledger.applyUpdate(1, other.ledger.collectUpdate(peer::update_recipients::SameZone));
         CPPUNIT_ASSERT_EQUAL(3U, test.candidateFor("a").load.open);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(80.0, test.candidateFor("a").load.readingMs, 0.1);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(70.0, test.candidateFor("a").load.laterMs, 0.1);
-        test.ledger.takeNews(1, {});
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(80.0, test.candidateFor("a").load.urgentPrefillMs, 0.1);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(70.0, test.candidateFor("a").load.lowPriorityPrefillMs, 0.1);
+        test.ledger.applyUpdate(1, {});
         CPPUNIT_ASSERT_EQUAL(1U, test.candidateFor("a").load.open);
     }
 
@@ -132,16 +133,16 @@
     {
         fixture test;
         fixture other;
-        runner_ledger::open_send running(test.ledger, {"a"}, 30, send_class::Urgent);
-        running.noteStart();
-        const runner_ledger::open_send mine(test.ledger, {"a"}, 30, send_class::Later);
-        const runner_ledger::open_send theirs(other.ledger, {"a"}, 50, send_class::Urgent);
-        test.ledger.takeNews(1, other.ledger.collectNews(peer::news_audience::Near));
+        runner_table::open_send running(test.ledger, {"a"}, 30, send_class::Urgent);
+        running.recordStart();
+        const runner_table::open_send mine(test.ledger, {"a"}, 30, send_class::Later);
+        const runner_table::open_send theirs(other.ledger, {"a"}, 50, send_class::Urgent);
+        test.ledger.applyUpdate(1, other.ledger.collectUpdate(peer::update_recipients::SameZone));
         CPPUNIT_ASSERT_EQUAL(3U, test.candidateFor("a").load.open);
-        CPPUNIT_ASSERT_EQUAL(1U, test.candidateFor("a").load.waiting);
-        CPPUNIT_ASSERT_EQUAL(1U, test.candidateFor("a").load.waitingLater);
-        test.ledger.takeNews(1, {});
-        CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a").load.waiting);
+        CPPUNIT_ASSERT_EQUAL(1U, test.candidateFor("a").load.urgentWaiting);
+        CPPUNIT_ASSERT_EQUAL(1U, test.candidateFor("a").load.lowPriorityWaiting);
+        test.ledger.applyUpdate(1, {});
+        CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a").load.urgentWaiting);
     }
 
     /// Engines prefill five times as slowly as estimated. Until that is learnt, five times as many
@@ -152,11 +153,11 @@
             fixture test;
             for (int i = 0; i < 170; ++i) {
                 const double expectedMs = 1000 * test.candidateFor("a").load.pace.scale;
-                runner_ledger::open_send sent(test.ledger, {"a"}, expectedMs, send_class::Urgent);
-                sent.noteExpected({"s"}, engine_stage::None, expectedMs);
+                runner_table::open_send sent(test.ledger, {"a"}, expectedMs, send_class::Urgent);
+                sent.recordExpected({"s"}, engine_stage::None, expectedMs);
                 test.now += std::chrono::milliseconds(
-                        std::lround(1000 * truth + test.candidateFor("a").load.pace.firstMs));
-                sent.noteStart();
+                        std::lround(1000 * truth + test.candidateFor("a").load.pace.firstTokenMs));
+                sent.recordStart();
             }
             CPPUNIT_ASSERT_DOUBLES_EQUAL(truth, test.candidateFor("b").load.pace.scale,
                                          0.05 * truth);
@@ -171,10 +172,10 @@
         fixture test;
         for (int i = 0; i < 5; ++i) {
             for (const auto &[id, took] : {std::pair("a", 500ms), std::pair("b", 20ms)}) {
-                runner_ledger::open_send sent(test.ledger, {id}, 100, send_class::Urgent);
+                runner_table::open_send sent(test.ledger, {id}, 100, send_class::Urgent);
                 test.now += took;
-                sent.noteStart();
-                sent.noteEnd(send_end::Served);
+                sent.recordStart();
+                sent.recordEnd(send_outcome::Served);
             }
         }
         CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, test.candidateFor("a").load.slowness, 1e-9);
@@ -185,14 +186,14 @@
     void runTimeIsLearntFromCompleteAnswersOnly()
     {
         fixture test;
-        for (const send_end end : {send_end::Served, send_end::Refused}) {
-            runner_ledger::open_send sent(test.ledger, {"a"}, 0, send_class::Urgent);
-            sent.noteRuns();
-            if (end == send_end::Served) {
-                sent.noteStart();
+        for (const send_outcome end : {send_outcome::Served, send_outcome::Refused}) {
+            runner_table::open_send sent(test.ledger, {"a"}, 0, send_class::Urgent);
+            sent.markRunning();
+            if (end == send_outcome::Served) {
+                sent.recordStart();
                 test.now += 200ms;
             }
-            sent.noteEnd(end);
+            sent.recordEnd(end);
         }
         CPPUNIT_ASSERT_DOUBLES_EQUAL(200.0, test.candidateFor("a").load.runMs, 0.1);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, test.candidateFor("b").load.runMs, 0.1);
@@ -206,14 +207,14 @@
         fixture test;
         const std::vector<prompt_part> prompt{{1, 100}, {2, 50}};
         test.restart("a", 1000);
-        test.ledger.noteRead({"a"}, prompt);
-        test.send("a", send_end::Unreachable);
+        test.ledger.recordPrefilled({"a"}, prompt);
+        test.send("a", send_outcome::Unreachable);
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", prompt).cachedTokens);
-        CPPUNIT_ASSERT(test.candidateFor("a").load.setAsideUntil > test.now);
+        CPPUNIT_ASSERT(test.candidateFor("a").load.ejectedUntil > test.now);
         test.restart("a", 2000);
         CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a", prompt).cachedTokens);
-        CPPUNIT_ASSERT(test.candidateFor("a").load.setAsideUntil <= test.now);
-        test.ledger.noteRead({"a"}, prompt);
+        CPPUNIT_ASSERT(test.candidateFor("a").load.ejectedUntil <= test.now);
+        test.ledger.recordPrefilled({"a"}, prompt);
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", prompt).cachedTokens);
     }
 
@@ -223,7 +224,7 @@
     void deniedEntryIsIgnoredUntilItChanges()
     {
         fixture test;
-        test.ledger.noteMisdirected(test.known.runners.at({"a"}));
+        test.ledger.recordMisdirected(test.known.runners.at({"a"}));
         CPPUNIT_ASSERT(test.candidateFor("a").isMisdirected);
         CPPUNIT_ASSERT(!test.candidateFor("b").isMisdirected);
         // The same entry written again is no change.
@@ -233,7 +234,7 @@
         CPPUNIT_ASSERT(test.candidateFor("a").isMisdirected);
         test.restart("a", 2000);
         CPPUNIT_ASSERT(!test.candidateFor("a").isMisdirected);
-        test.ledger.noteMisdirected(test.known.runners.at({"a"}));
+        test.ledger.recordMisdirected(test.known.runners.at({"a"}));
         test.now += config::misdirectedTime;
         CPPUNIT_ASSERT(!test.candidateFor("a").isMisdirected);
     }
@@ -243,9 +244,9 @@
     void loadOfSilentInstanceExpires()
     {
         fixture test;
-        test.ledger.takeNews(1, {{{peer::runnerKey({"a"}), 9, 500, 0, 0}}, {}});
+        test.ledger.applyUpdate(1, {{{peer::runnerKey({"a"}), 9, 500, 0, 0}}, {}});
         CPPUNIT_ASSERT_EQUAL(9U, test.candidateFor("a").load.open);
-        test.now += config::loadNewsMemory + 1ms;
+        test.now += config::loadUpdateExpiry + 1ms;
         CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a").load.open);
     }
 
@@ -255,10 +256,10 @@
     void expiryAdaptsToUpdateInterval()
     {
         fixture test;
-        const peer::load_news update{{{peer::runnerKey({"a"}), 9, 500, 0, 0}}, {}};
-        test.ledger.takeNews(1, update);
+        const peer::load_update update{{{peer::runnerKey({"a"}), 9, 500, 0, 0}}, {}};
+        test.ledger.applyUpdate(1, update);
         test.now += 2500ms;
-        test.ledger.takeNews(1, update);
+        test.ledger.applyUpdate(1, update);
         test.now += 2500ms;
         CPPUNIT_ASSERT_EQUAL(9U, test.candidateFor("a").load.open);
         test.now += 2500ms + 1ms;
@@ -271,12 +272,12 @@
     {
         fixture test;
         const std::vector<prompt_part> shared{{11, 100}, {12, 50}};
-        test.ledger.noteCached({"a"}, shared);
+        test.ledger.recordCached({"a"}, shared);
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", shared).cachedTokens);
         CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("b", shared).cachedTokens);
-        test.ledger.noteCached({"a"}, {{21, 500}});
+        test.ledger.recordCached({"a"}, {{21, 500}});
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", shared).cachedTokens);
-        test.ledger.noteCached({"a"}, {{22, 500}});
+        test.ledger.recordCached({"a"}, {{22, 500}});
         CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a", shared).cachedTokens);
     }
 
@@ -288,13 +289,13 @@
         const std::vector<prompt_part> first{{11, 600}};
         const std::vector<prompt_part> second{{12, 600}};
         for (std::uint64_t round = 0; round < 3; ++round) {
-            test.ledger.noteCached({"a"}, first);
+            test.ledger.recordCached({"a"}, first);
             CPPUNIT_ASSERT_EQUAL(600U, test.candidateFor("a", first).cachedTokens);
             CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a", second).cachedTokens);
-            test.ledger.noteCached({"a"}, {{20 + round, 400}});
-            test.ledger.noteCached({"a"}, second);
+            test.ledger.recordCached({"a"}, {{20 + round, 400}});
+            test.ledger.recordCached({"a"}, second);
             CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a", first).cachedTokens);
-            test.ledger.noteCached({"a"}, {{30 + round, 400}});
+            test.ledger.recordCached({"a"}, {{30 + round, 400}});
         }
     }
 
@@ -305,16 +306,16 @@
         fixture test;
         fixture other;
         const std::vector<prompt_part> prompt{{11, 100}, {12, 50}};
-        test.ledger.noteCached({"a"}, prompt);
+        test.ledger.recordCached({"a"}, prompt);
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", prompt).cachedTokens);
-        CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a", prompt).readTokens);
-        other.ledger.takeNews(1, test.ledger.collectNews(peer::news_audience::Far));
+        CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a", prompt).copyableTokens);
+        other.ledger.applyUpdate(1, test.ledger.collectUpdate(peer::update_recipients::OtherZones));
         CPPUNIT_ASSERT_EQUAL(100U, other.candidateFor("a", prompt).cachedTokens);
-        CPPUNIT_ASSERT_EQUAL(0U, other.candidateFor("a", prompt).readTokens);
-        test.ledger.noteRead({"a"}, prompt);
-        CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", prompt).readTokens);
-        other.ledger.takeNews(1, test.ledger.collectNews(peer::news_audience::Far));
-        CPPUNIT_ASSERT_EQUAL(100U, other.candidateFor("a", prompt).readTokens);
+        CPPUNIT_ASSERT_EQUAL(0U, other.candidateFor("a", prompt).copyableTokens);
+        test.ledger.recordPrefilled({"a"}, prompt);
+        CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", prompt).copyableTokens);
+        other.ledger.applyUpdate(1, test.ledger.collectUpdate(peer::update_recipients::OtherZones));
+        CPPUNIT_ASSERT_EQUAL(100U, other.candidateFor("a", prompt).copyableTokens);
     }
 
     /// Instances of the same zone get updates several times as often as others. An update that was
@@ -326,21 +327,22 @@
         fixture far;
         const std::vector<prompt_part> prompt{{11, 100}, {12, 50}};
         {
-            const runner_ledger::open_send sent(test.ledger, {"a"}, 30, send_class::Urgent);
-            test.ledger.noteCached({"a"}, prompt);
+            const runner_table::open_send sent(test.ledger, {"a"}, 30, send_class::Urgent);
+            test.ledger.recordCached({"a"}, prompt);
         }
         for (int i = 0; i < 5; ++i)
-            test.ledger.collectNews(peer::news_audience::Near);
-        const peer::load_news update = test.ledger.collectNews(peer::news_audience::Far);
+            test.ledger.collectUpdate(peer::update_recipients::SameZone);
+        const peer::load_update update =
+                test.ledger.collectUpdate(peer::update_recipients::OtherZones);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, update.cached.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, update.work.size());
-        CPPUNIT_ASSERT_EQUAL(150U, update.work[0].tokensIn);
-        far.ledger.takeNews(1, update);
+        CPPUNIT_ASSERT_EQUAL(150U, update.work[0].prefilledTokens);
+        far.ledger.applyUpdate(1, update);
         CPPUNIT_ASSERT_EQUAL(100U, far.candidateFor("a", prompt).cachedTokens);
         // 850 other tokens are not enough to evict it from a cache of 900; 51 more are.
-        far.ledger.noteCached({"a"}, {{21, 850}});
+        far.ledger.recordCached({"a"}, {{21, 850}});
         CPPUNIT_ASSERT_EQUAL(100U, far.candidateFor("a", prompt).cachedTokens);
-        far.ledger.noteCached({"a"}, {{22, 51}});
+        far.ledger.recordCached({"a"}, {{22, 51}});
         CPPUNIT_ASSERT_EQUAL(0U, far.candidateFor("a", prompt).cachedTokens);
     }
 
@@ -349,21 +351,21 @@
     void uncollectedUpdatesAreDropped()
     {
         fixture test;
-        for (std::uint64_t i = 0; i < 2 * config::maxWaitingNews; ++i)
-            test.ledger.noteCached({"a"}, {{1000 + i, 1}, {2, 1}});
+        for (std::uint64_t i = 0; i < 2 * config::maxPendingUpdates; ++i)
+            test.ledger.recordCached({"a"}, {{1000 + i, 1}, {2, 1}});
         std::size_t sent = 0;
         for (std::size_t last = 1; last > 0; sent += last)
-            last = test.ledger.collectNews(peer::news_audience::Near).cached.size();
-        CPPUNIT_ASSERT_EQUAL(config::newsRepeats * config::maxWaitingNews, sent);
+            last = test.ledger.collectUpdate(peer::update_recipients::SameZone).cached.size();
+        CPPUNIT_ASSERT_EQUAL(config::updateRepeats * config::maxPendingUpdates, sent);
     }
 
     void newIncarnationOfSenderCountsFromZero()
     {
         fixture test;
         const std::vector<prompt_part> prompt{{11, 100}, {12, 50}};
-        test.ledger.takeNews(1, {{{peer::runnerKey({"a"}), 1, 0, 0, 5000}}, {}});
-        test.ledger.noteCached({"a"}, prompt);
-        test.ledger.takeNews(1, {{{peer::runnerKey({"a"}), 1, 0, 0, 40}}, {}});
+        test.ledger.applyUpdate(1, {{{peer::runnerKey({"a"}), 1, 0, 0, 5000}}, {}});
+        test.ledger.recordCached({"a"}, prompt);
+        test.ledger.applyUpdate(1, {{{peer::runnerKey({"a"}), 1, 0, 0, 40}}, {}});
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", prompt).cachedTokens);
     }
 };
--- a/tests/gateway/scripted_runner.h
+++ b/tests/gateway/scripted_runner.h
@@ -57,7 +57,7 @@
         return receivedRequests;
     }
     /// @returns Whether a connection that stays open was closed by the other side.
-    bool wasLeft() const { return isDisconnected; }
+    bool wasDisconnected() const { return isDisconnected; }
 
 private:
     void run()
@@ -73,7 +73,7 @@
             }
             if (onRequest)
                 onRequest();
-            sendAll(connection.get(), each.bytes, poplarspool::test::safetyEnd(), -1);
+            sendAll(connection.get(), each.bytes, poplarspool::test::testDeadline(), -1);
             if (each.end == script_end::Reset)
                 abortOnClose(connection.get());
             if (each.end == script_end::Stay) {
--- a/tests/gateway/stage_keeper_test.cpp
+++ b/tests/gateway/stage_manager_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/stage_keeper.h"
+#include "gateway/stage_manager.h"
 
 #include "fixture.h"
 #include "poplarspool/gateway/limits.h"
@@ -46,15 +46,15 @@
             return true;
         });
         names = test::testDialect();
-        names.askReport = [] {
+        names.reportRequest = [] {
             http_request request;
             request.path = "/report";
             return request;
         };
-        names.readReport = [](std::string_view body) -> std::optional<engine_report> {
+        names.parseReport = [](std::string_view body) -> std::optional<engine_report> {
             return engine_report{body == "busy", 7};
         };
-        names.orderStage = [](const engine_order &order) {
+        names.stageOrderRequest = [](const engine_order &order) {
             http_request request;
             request.method = "POST";
             request.path = "/order/" + order.holder.text + "/" + std::to_string(order.fence) + "/"
@@ -74,19 +74,19 @@
 
     void runTwice()
     {
-        stage_keeper manager({publisher, ledger, connections, names, clock, events,
-                              metrics.counterOf("orders"), stepFaultsOf(events, metrics),
-                              [this] { return isOwner; }},
-                             store(), {"self"}, 3000ms);
-        manager.look();
+        stage_manager manager({publisher, ledger, connections, names, clock, events,
+                               metrics.counterOf("orders"), stepFailureReporterOf(events, metrics),
+                               [this] { return isOwner; }},
+                              store(), {"self"}, 3000ms);
+        manager.runOnce();
         now += config::stageSettleTime;
-        manager.look();
+        manager.runOnce();
     }
 
     mono_time now{std::chrono::hours(1)};
     clock_source clock{[this] { return now; }, [] { return wall_time{}; }};
-    catalogue_hub publisher{catalogue{}};
-    runner_ledger ledger{clock};
+    catalogue_publisher publisher{catalogue{}};
+    runner_table ledger{clock};
     metrics_registry metrics;
     connection_pool connections{1, 200ms, metrics};
     dialect names;
@@ -186,10 +186,11 @@
             answerAllowed.get_future().wait();
             return notRun(error_code::TimedOut, "no answer");
         };
-        stage_keeper manager({test.publisher, test.ledger, test.connections, test.names,
-                              systemClock(), test.events, test.metrics.counterOf("orders"),
-                              stepFaultsOf(test.events, test.metrics), [] { return true; }},
-                             slow, {"self"}, 3000ms);
+        stage_manager manager({test.publisher, test.ledger, test.connections, test.names,
+                               systemClock(), test.events, test.metrics.counterOf("orders"),
+                               stepFailureReporterOf(test.events, test.metrics),
+                               [] { return true; }},
+                              slow, {"self"}, 3000ms);
         manager.start();
         readStarted.get_future().wait();
         manager.requestStop(); // Returns before the store has answered.
@@ -210,10 +211,10 @@
                 secondIteration.set_value();
             return false;
         };
-        stage_keeper manager({test.publisher, test.ledger, test.connections, test.names,
-                              systemClock(), test.events, test.metrics.counterOf("orders"),
-                              stepFaultsOf(test.events, test.metrics), isOwner},
-                             test.store(), {"self"}, 3000ms);
+        stage_manager manager({test.publisher, test.ledger, test.connections, test.names,
+                               systemClock(), test.events, test.metrics.counterOf("orders"),
+                               stepFailureReporterOf(test.events, test.metrics), isOwner},
+                              test.store(), {"self"}, 3000ms);
         manager.start();
         CPPUNIT_ASSERT(secondIteration.get_future().wait_for(20s) == std::future_status::ready);
         manager.stop();
--- a/tests/gateway/stage_plan_test.cpp
+++ b/tests/gateway/stage_plan_test.cpp
@@ -81,7 +81,7 @@
     {
         std::vector<stage_engine> engines = enginesOf(0, 9);
         for (std::size_t i = 0; i < engines.size(); ++i)
-            engines[i].open = i < 3 ? 0 : 10;
+            engines[i].openRequests = i < 3 ? 0 : 10;
         const auto changes = planStages(engines, largeBatch, {});
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, changes.size());
         std::set<std::string> first{changes[0].engine.text, changes[1].engine.text,
@@ -102,20 +102,20 @@
     /// change back: capacity would be lost twice.
     void shortCrashCausesNoChange()
     {
-        stage_memory state{50, start, {}};
+        stage_plan_state state{50, start, {}};
         const std::vector<stage_engine> withoutCrashed = enginesOf(7, 1);
         CPPUNIT_ASSERT(!planStages(withoutCrashed, largeBatch, state).empty());
         CPPUNIT_ASSERT(dueChanges(withoutCrashed, largeBatch, state).empty());
-        state = noteRunning(state, withoutCrashed, start + 3s);
+        state = updateMeanRunning(state, withoutCrashed, start + 3s);
         state.meanRunning = 50;
         CPPUNIT_ASSERT(dueChanges(withoutCrashed, largeBatch, state).empty());
         CPPUNIT_ASSERT(dueChanges(enginesOf(7, 2), largeBatch, state).empty());
-        state.lookedAt = start + config::stagePatience;
+        state.updatedAt = start + config::stageChangeDelay;
         CPPUNIT_ASSERT(dueChanges(withoutCrashed, largeBatch, state).empty());
-        state.lookedAt += config::stagePatience;
+        state.updatedAt += config::stageChangeDelay;
         CPPUNIT_ASSERT(!dueChanges(withoutCrashed, largeBatch, state).empty());
         // While there are no requests, changes are ordered at once.
-        stage_memory idle{0, start, {}};
+        stage_plan_state idle{0, start, {}};
         CPPUNIT_ASSERT(!dueChanges(enginesOf(4, 5), largeBatch, idle).empty());
     }
 
@@ -124,13 +124,13 @@
     void changesAreLimitedUnderLoad()
     {
         std::vector<stage_engine> engines = enginesOf(56, 84);
-        stage_memory state{300, start + config::stageGiveBackPatience, start};
+        stage_plan_state state{300, start + config::stageReturnDelay, start};
         CPPUNIT_ASSERT(planStages(engines, smallBatch, state).size() > 20);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, dueChanges(engines, smallBatch, state).size());
         for (std::size_t i = 0; i < 3; ++i)
             engines[i].isChanging = true;
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, dueChanges(engines, smallBatch, state).size());
-        state.unevenSince = start + 1s;
+        state.imbalancedSince = start + 1s;
         CPPUNIT_ASSERT(dueChanges(engines, smallBatch, state).empty());
     }
 };
--- a/tests/node/answers_test.cpp
+++ b/tests/node/answers_test.cpp
@@ -24,14 +24,14 @@
 public:
     void otherNonceIsUnknown()
     {
-        answer_book table(clock());
+        answer_table table(clock());
         table.onDone("k", "n1", {200, {}, "a", "text/plain"});
         CPPUNIT_ASSERT(stateOf(table, "n2") == answer_state::Unknown);
     }
 
     void completeAnswerIsReturned()
     {
-        answer_book table(clock());
+        answer_table table(clock());
         table.onRunning("k", "n");
         table.onDone("k", "n", {201, {{"Location", "/7"}}, "made", "text/plain"});
         const peer::answer_reply expected{
@@ -43,7 +43,7 @@
     // gets its answer.
     void waiterIsWokenWhenAttemptEnds()
     {
-        answer_book table(clock());
+        answer_table table(clock());
         table.onRunning("k", "n");
         peer::answer_reply seen;
         std::thread waiting([&] { seen = table.find({"k", "n", longWaitMs}); });
@@ -55,7 +55,7 @@
 
     void finalStateIsNotOverwritten()
     {
-        answer_book table(clock());
+        answer_table table(clock());
         table.onDone("k", "done", {200, {}, "a", "text/plain"});
         table.onNotDispatched("k", "done");
         table.onRunning("k", "done");
@@ -70,8 +70,8 @@
 
     void oversizedAnswerIsRecordedAsLost()
     {
-        answer_book table(clock());
-        table.onDone("k", "n", {200, {}, std::string(config::maxKeptAnswerBytes + 1, 'x'), ""});
+        answer_table table(clock());
+        table.onDone("k", "n", {200, {}, std::string(config::maxStoredAnswerBytes + 1, 'x'), ""});
         CPPUNIT_ASSERT(stateOf(table, "n") == answer_state::Lost);
     }
 
@@ -80,12 +80,12 @@
     // or was never dispatched.
     void oldestAnswersAreEvictedFirst()
     {
-        answer_book table(clock());
+        answer_table table(clock());
         table.onRunning("k", "running");
         table.onNotDispatched("k", "never");
-        const std::size_t count = config::maxAnswerBookBytes / config::maxKeptAnswerBytes + 1;
+        const std::size_t count = config::maxAnswerTableBytes / config::maxStoredAnswerBytes + 1;
         for (std::size_t i = 0; i < count; ++i) {
-            const std::string body(config::maxKeptAnswerBytes, 'x');
+            const std::string body(config::maxStoredAnswerBytes, 'x');
             table.onDone("k", std::to_string(i), {200, {}, body, ""});
         }
         CPPUNIT_ASSERT(stateOf(table, "0") == answer_state::Lost);
@@ -96,12 +96,12 @@
 
     void expiredEntriesAreEvicted()
     {
-        answer_book table(clock());
+        answer_table table(clock());
         table.onDone("k", "old", {200, {}, "a", ""});
         now += milliseconds(1000);
         table.onNotDispatched("k", "new");
         now += milliseconds(500);
-        table.forgetOlderThan(milliseconds(1000));
+        table.evictOlderThan(milliseconds(1000));
         CPPUNIT_ASSERT(stateOf(table, "old") == answer_state::Unknown);
         CPPUNIT_ASSERT(stateOf(table, "new") == answer_state::NotDispatched);
     }
@@ -114,7 +114,7 @@
         return {[this] { return now; }, [] { return wall_time{}; }};
     }
 
-    static answer_state stateOf(answer_book &table, const std::string &nonce)
+    static answer_state stateOf(answer_table &table, const std::string &nonce)
     {
         return table.find({"k", nonce, 0}).state;
     }
--- a/tests/node/claim_writer_test.cpp
+++ b/tests/node/claim_writer_test.cpp
@@ -81,7 +81,9 @@
         tick = milliseconds(1);
         writer_fixture a(shared, clock(), "a");
         int left = 1;
-        shared.fateOf = [&] { return left-- > 0 ? write_fate::AnswerLost : write_fate::Answered; };
+        shared.outcomeOfWrite = [&] {
+            return left-- > 0 ? write_outcome::AnswerLost : write_outcome::Answered;
+        };
         CPPUNIT_ASSERT_EQUAL(std::string("n1"), a.nonceOf(makeClaim("k1", "n1")));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), shared.putCount());
     }
@@ -92,9 +94,9 @@
     void undecidedWriteIsReportedAsNotRun()
     {
         writer_fixture a(shared, clock(), "a");
-        shared.fateOf = [this] {
+        shared.outcomeOfWrite = [this] {
             shared.isCutOff = true;
-            return write_fate::Held;
+            return write_outcome::Held;
         };
         now += milliseconds(1);
         const auto first =
@@ -104,7 +106,7 @@
         CPPUNIT_ASSERT(errorOf(first[0]).retryAfter);
 
         shared.isCutOff = false;
-        shared.fateOf = [] { return write_fate::Answered; };
+        shared.outcomeOfWrite = [] { return write_outcome::Answered; };
         shared.deliverHeld();
         now += milliseconds(1000);
         CPPUNIT_ASSERT_EQUAL(std::string("dead"), a.nonceOf(makeClaim("k1", "n2")));
@@ -141,9 +143,9 @@
         const std::string existing = full.claims.begin()->first;
 
         writer_fixture a(shared, clock(), "a");
-        claim_wish large = makeClaim("new", "n1");
-        large.ask.bodyHash = wide;
-        large.ask.nonce = wide;
+        pending_claim large = makeClaim("new", "n1");
+        large.request.bodyHash = wide;
+        large.request.nonce = wide;
         const auto outcomes = a.write({large, makeClaim(existing, "n2")});
         CPPUNIT_ASSERT(!succeeded(outcomes[0]));
         CPPUNIT_ASSERT(errorOf(outcomes[0]).code == error_code::Overloaded);
@@ -192,9 +194,9 @@
     }
 
 private:
-    static constexpr milliseconds retentionTime = config::claimKeepTime;
+    static constexpr milliseconds retentionTime = config::claimRetention;
     static inline const std::string objectKey = "claims/0";
-    static inline const claim_pause noPause = [](milliseconds) { return false; };
+    static inline const backoff_function noPause = [](milliseconds) { return false; };
 
     struct writer_fixture
     {
@@ -205,20 +207,23 @@
                       client.events)
         { }
 
-        std::vector<claim_outcome> write(const std::vector<claim_wish> &claims)
+        std::vector<claim_outcome> write(const std::vector<pending_claim> &claims)
         {
             return writer.write(claims, clock.mono() + std::chrono::minutes(1), noPause);
         }
 
-        std::string nonceOf(const claim_wish &wanted) { return valueOf(write({wanted})[0]).nonce; }
+        std::string nonceOf(const pending_claim &wanted)
+        {
+            return valueOf(write({wanted})[0]).nonce;
+        }
 
         clock_source clock;
         store_client client;
         claim_writer writer;
     };
 
-    static claim_wish makeClaim(const std::string &key, const std::string &nonce,
-                                std::optional<std::string> supersededNonce = std::nullopt)
+    static pending_claim makeClaim(const std::string &key, const std::string &nonce,
+                                   std::optional<std::string> supersededNonce = std::nullopt)
     {
         return {{key, "body", nonce, {"i1"}, 0}, std::move(supersededNonce)};
     }
--- a/tests/node/claims_test.cpp
+++ b/tests/node/claims_test.cpp
@@ -1,7 +1,7 @@
 #include "poplarspool/node/claims.h"
 
 #include "memory_store.h"
-#include "node/duplicate_guard.h"
+#include "node/request_deduplicator.h"
 #include "poplarspool/base/hash.h"
 #include "poplarspool/config.h"
 
@@ -40,7 +40,7 @@
     void malformedRequestsAreRefused()
     {
         instance_fixture a(shared, "a");
-        for (const peer::claim_ask &bad :
+        for (const peer::claim_request &bad :
              {makeRequest("", "n", "a"), makeRequest("k", "", "a"), makeRequest("k", "n", ""),
               makeRequest("k\xff", "n", "a"),
               makeRequest(std::string(config::maxNameBytes + 1, 'k'), "n", "a")}) {
@@ -96,15 +96,16 @@
         instance_fixture a(shared, "a");
         instance_fixture b(shared, "b");
         link({&a, &b});
-        shared.fateOf = [] { return write_fate::Held; };
-        const auto first = a.guard.enter("k1", "body", systemClock().mono() + milliseconds(30));
+        shared.outcomeOfWrite = [] { return write_outcome::Held; };
+        const auto first =
+                a.guard.claimOrReplay("k1", "body", systemClock().mono() + milliseconds(30));
         CPPUNIT_ASSERT(std::get<error>(first).ran == verdict::NotRun);
-        shared.fateOf = [] { return write_fate::Answered; };
+        shared.outcomeOfWrite = [] { return write_outcome::Answered; };
         shared.deliverHeld();
-        const auto second = b.guard.enter("k1", "body", soon());
-        CPPUNIT_ASSERT(std::holds_alternative<may_dispatch>(second));
-        b.answers.onDone("k1", std::get<may_dispatch>(second).nonce, {200, {}, "made", ""});
-        const auto third = a.guard.enter("k1", "body", soon());
+        const auto second = b.guard.claimOrReplay("k1", "body", soon());
+        CPPUNIT_ASSERT(std::holds_alternative<dispatch_grant>(second));
+        b.answers.onDone("k1", std::get<dispatch_grant>(second).nonce, {200, {}, "made", ""});
+        const auto third = a.guard.claimOrReplay("k1", "body", soon());
         CPPUNIT_ASSERT_EQUAL(std::string("made"), std::get<earlier_answer>(third).reply.body);
     }
 
@@ -117,11 +118,11 @@
         instance_fixture b(shared, "b");
         link({&a, &b});
         std::mt19937 random(7);
-        shared.fateOf = [&] {
+        shared.outcomeOfWrite = [&] {
             const auto drawn = random() % 30;
-            return drawn < 10    ? write_fate::AnswerLost
-                    : drawn < 13 ? write_fate::Held
-                                 : write_fate::Answered;
+            return drawn < 10    ? write_outcome::AnswerLost
+                    : drawn < 13 ? write_outcome::Held
+                                 : write_outcome::Answered;
         };
         constexpr int keyCount = 24;
         std::array<std::atomic<int>, keyCount> runs{};
@@ -148,9 +149,9 @@
     void stopEndsWaitingClaims()
     {
         instance_fixture a(shared, "a");
-        shared.fateOf = [&] {
+        shared.outcomeOfWrite = [&] {
             a.claims.stop();
-            return write_fate::Held;
+            return write_outcome::Held;
         };
         const auto first = a.claims.claim(makeRequest("k1", "n1", "a"),
                                           systemClock().mono() + milliseconds(30));
@@ -171,7 +172,7 @@
               store(shared.api(), wideLimits, systemClock(), metrics, events),
               answers(systemClock()),
               claims(
-                      "test", store, peers(), [] { return config::claimKeepTime; }, systemClock(),
+                      "test", store, peers(), [] { return config::claimRetention; }, systemClock(),
                       metrics, events),
               guard(id, claims, answers, peers(), systemClock(), events)
         { }
@@ -179,8 +180,8 @@
         claim_peers peers()
         {
             return {[this](std::uint32_t) { return batcher; },
-                    [this](const endpoint &, const peer::claim_ask &) { return batcherAnswer; },
-                    [this](const instance_id &owner, const peer::answer_ask &query) {
+                    [this](const endpoint &, const peer::claim_request &) { return batcherAnswer; },
+                    [this](const instance_id &owner, const peer::answer_request &query) {
                         const auto found = answerTables.find(owner);
                         return found == answerTables.end() ? peer::answer_reply()
                                                            : found->second->find(query);
@@ -190,13 +191,13 @@
         instance_id id;
         std::optional<endpoint> batcher;
         result<peer::claim_reply> batcherAnswer;
-        std::map<instance_id, answer_book *> answerTables; ///< Tables of the other instances.
+        std::map<instance_id, answer_table *> answerTables; ///< Tables of the other instances.
         metrics_registry metrics;
         journal events;
         platform::object_store store;
-        answer_book answers;
-        claim_book claims;
-        duplicate_guard guard;
+        answer_table answers;
+        claim_manager claims;
+        request_deduplicator guard;
     };
 
     static void link(const std::vector<instance_fixture *> &all)
@@ -207,8 +208,8 @@
         }
     }
 
-    static peer::claim_ask makeRequest(const std::string &key, const std::string &nonce,
-                                       const std::string &owner)
+    static peer::claim_request makeRequest(const std::string &key, const std::string &nonce,
+                                           const std::string &owner)
     {
         return {key, "body", nonce, {owner}, 0};
     }
@@ -224,9 +225,9 @@
         const std::string answer = "answer" + std::to_string(key);
         const mono_time end = soon();
         while (systemClock().mono() < end) {
-            const auto decision =
-                    through.guard.enter(name, "body", systemClock().mono() + milliseconds(200));
-            if (const auto *granted = std::get_if<may_dispatch>(&decision)) {
+            const auto decision = through.guard.claimOrReplay(
+                    name, "body", systemClock().mono() + milliseconds(200));
+            if (const auto *granted = std::get_if<dispatch_grant>(&decision)) {
                 ++runs[key];
                 through.answers.onDone(name, granted->nonce, {200, {}, answer, ""});
                 return;
--- a/tests/node/dispatch_test.cpp
+++ b/tests/node/dispatch_test.cpp
@@ -12,8 +12,8 @@
 {
     metrics_registry metrics;
     journal events{{"unit"}, systemClock(), 16};
-    view_hub views;
-    work_ledger sentWork;
+    view_publisher views;
+    sent_work_table sentWork;
     dispatcher dispatch{views, sentWork, systemClock(), metrics, events};
 
     dispatch_fixture()
@@ -34,7 +34,7 @@
         fleet->runners = {runner};
         views.update([&](policy::view &draft) {
             policy::replaceFleet(draft, fleet);
-            draft.book = std::make_shared<policy::rules>();
+            draft.ruleSet = std::make_shared<policy::rules>();
             draft.freshUntil = mono_time::max();
             return true;
         });
@@ -77,11 +77,11 @@
         dispatch_fixture fixture;
         const auto choice = fixture.choose();
         CPPUNIT_ASSERT(succeeded(choice));
-        CPPUNIT_ASSERT(!fixture.sentWork.hasWorkOnItsWayToClosed(*fixture.views.current()));
+        CPPUNIT_ASSERT(!fixture.sentWork.hasUnansweredWorkAtClosedRunner(*fixture.views.current()));
         fixture.reserve();
-        CPPUNIT_ASSERT(fixture.sentWork.hasWorkOnItsWayToClosed(*fixture.views.current()));
+        CPPUNIT_ASSERT(fixture.sentWork.hasUnansweredWorkAtClosedRunner(*fixture.views.current()));
         valueOf(choice).work->onAnswer();
-        CPPUNIT_ASSERT(!fixture.sentWork.hasWorkOnItsWayToClosed(*fixture.views.current()));
+        CPPUNIT_ASSERT(!fixture.sentWork.hasUnansweredWorkAtClosedRunner(*fixture.views.current()));
     }
 
     void closedRunnerIsNotChosen()
@@ -91,7 +91,7 @@
         const auto choice = fixture.choose();
         CPPUNIT_ASSERT(!succeeded(choice));
         CPPUNIT_ASSERT(errorOf(choice).ran == verdict::NotRun);
-        CPPUNIT_ASSERT(!fixture.sentWork.hasWorkOnItsWayToClosed(*fixture.views.current()));
+        CPPUNIT_ASSERT(!fixture.sentWork.hasUnansweredWorkAtClosedRunner(*fixture.views.current()));
     }
 
     void endedTryHasNoUnansweredWork()
@@ -102,7 +102,7 @@
             CPPUNIT_ASSERT(succeeded(choice));
         }
         fixture.reserve();
-        CPPUNIT_ASSERT(!fixture.sentWork.hasWorkOnItsWayToClosed(*fixture.views.current()));
+        CPPUNIT_ASSERT(!fixture.sentWork.hasUnansweredWorkAtClosedRunner(*fixture.views.current()));
     }
 };
 
--- a/tests/node/freshness_test.cpp
+++ b/tests/node/freshness_test.cpp
@@ -31,7 +31,7 @@
     facts.self = {"a"};
     facts.appliedVersion = 7;
     facts.confirmedAt = mono_time(std::chrono::seconds(100));
-    facts.now = facts.confirmedAt + config::freshTime + milliseconds(1);
+    facts.now = facts.confirmedAt + config::maxFreshAge + milliseconds(1);
     facts.listed = {listedOf("a"), listedOf("b"), listedOf("c")};
     facts.members = {memberOf("a", 7)};
     return facts;
@@ -62,7 +62,7 @@
     void confirmedViewIsFresh()
     {
         freshness_facts facts = factsOfThree();
-        facts.now = facts.confirmedAt + config::freshTime - milliseconds(1);
+        facts.now = facts.confirmedAt + config::maxFreshAge - milliseconds(1);
         CPPUNIT_ASSERT(isFresh(facts));
     }
 
@@ -77,12 +77,12 @@
         policy::view published;
         published.freshUntil = freshUntil(facts);
         CPPUNIT_ASSERT(policy::isFresh(published, facts.now));
-        CPPUNIT_ASSERT(!policy::isFresh(published, facts.now + config::freshTime));
-        facts.now = facts.confirmedAt + 2 * config::freshTime;
+        CPPUNIT_ASSERT(!policy::isFresh(published, facts.now + config::maxFreshAge));
+        facts.now = facts.confirmedAt + 2 * config::maxFreshAge;
         facts.members.push_back(memberOf("b", 7));
         published.freshUntil = freshUntil(facts);
         CPPUNIT_ASSERT(policy::isFresh(published, facts.now));
-        CPPUNIT_ASSERT(!policy::isFresh(published, facts.now + config::reachTime));
+        CPPUNIT_ASSERT(!policy::isFresh(published, facts.now + config::majorityCheckValidity));
     }
 
     // An instance that reaches neither the store nor its peers refuses requests as not run. It may
@@ -150,11 +150,11 @@
     {
         acknowledgements known;
         known.version = 9;
-        known.sinceAsked = config::freshTime;
+        known.sinceAsked = config::maxFreshAge;
         known.members = {memberOf("a", 9)};
         known.departed = {{{"b"}, 8}};
         CPPUNIT_ASSERT(!isAppliedEverywhere(known));
-        known.sinceAsked = config::freshTime + config::freshMargin + milliseconds(1);
+        known.sinceAsked = config::maxFreshAge + config::freshMargin + milliseconds(1);
         CPPUNIT_ASSERT(isAppliedEverywhere(known));
         known.sinceAsked = milliseconds(0);
         known.departed = {{{"b"}, 9}};
--- a/tests/node/memory_store.h
+++ b/tests/node/memory_store.h
@@ -14,7 +14,7 @@
 namespace poplarspool::node {
 
 /// Outcome of one write to a memory_store.
-enum class write_fate {
+enum class write_outcome {
     Answered,
     AnswerLost, ///< Takes effect, but the writer gets no answer.
     Held, ///< Is delayed until deliverHeld(); the writer gets no answer.
@@ -25,7 +25,7 @@
 {
 public:
     /// Called for each write, under the store's lock.
-    std::function<write_fate()> fateOf = [] { return write_fate::Answered; };
+    std::function<write_outcome()> outcomeOfWrite = [] { return write_outcome::Answered; };
     /// No read is answered.
     bool isCutOff = false;
     /// If set, every read is refused with this retry time.
@@ -93,13 +93,13 @@
     {
         const std::lock_guard guard(lock);
         ++puts;
-        const write_fate writeOutcome = fateOf();
-        if (writeOutcome == write_fate::Held)
+        const write_outcome writeOutcome = outcomeOfWrite();
+        if (writeOutcome == write_outcome::Held)
             held.push_back({key, value, ifVersion});
-        const auto outcome = writeOutcome == write_fate::Held
+        const auto outcome = writeOutcome == write_outcome::Held
                 ? result<std::uint64_t>(std::uint64_t(0))
                 : apply(key, value, ifVersion);
-        if (writeOutcome != write_fate::Answered)
+        if (writeOutcome != write_outcome::Answered)
             return mayHaveRun(error_code::TimedOut, "no answer");
         return outcome;
     }
--- a/tests/node/order_fakes.h
+++ b/tests/node/order_fakes.h
@@ -46,7 +46,7 @@
 
     fake_engine()
     {
-        report.life = 1;
+        report.incarnation = 1;
         report.models = {model};
     }
 
@@ -88,7 +88,7 @@
     {
         changingTo.reset();
         report.isChanging = false;
-        ++report.life;
+        ++report.incarnation;
     }
 };
 
@@ -120,7 +120,7 @@
 /// One instance that considers itself the planner, and wants one role for the engine.
 struct planning_instance
 {
-    using send_function = decltype(order_tools::send);
+    using send_function = decltype(order_context::send);
 
     instance_id self;
     fake_engine &engine;
@@ -135,7 +135,7 @@
 
     metrics_registry metrics;
     journal events;
-    view_hub views;
+    view_publisher views;
     platform::object_store store;
     planner_core core;
 
@@ -150,20 +150,20 @@
                 metrics, events),
           core(dependencies(), views, context(),
                [this](const policy::view &now, const pool_id &, const policy::plan_rule &,
-                      const policy::plan_memory &memory, const policy::demand_estimate &,
+                      const policy::planner_state &memory, const policy::demand_estimate &,
                       mono_time) { return plan(now, memory); })
     {
         publishView();
     }
 
-    planner_needs dependencies()
+    planner_dependencies dependencies()
     {
         return {self, deployment, milliseconds(500),
                 [](const pool_id &) { return policy::demand_estimate{}; },
                 [this](std::uint64_t) { return isAppliedEverywhere; }};
     }
 
-    order_tools context()
+    order_context context()
     {
         return {self,
                 deployment,
@@ -179,7 +179,7 @@
                 events};
     }
 
-    policy::plan_step plan(const policy::view &now, const policy::plan_memory &memory) const
+    policy::plan_step plan(const policy::view &now, const policy::planner_state &memory) const
     {
         const policy::runner_state &state = now.runners.front();
         const bool isWanted = state.report.role == wantedRole;
@@ -202,7 +202,7 @@
             spec.address = engineAddress;
             spec.checksFence = engine.checksFence;
             now.fleet = std::make_shared<policy::inventory>(fleet);
-            now.book = std::make_shared<policy::rules>();
+            now.ruleSet = std::make_shared<policy::rules>();
             now.runners.assign(1, {});
             now.runners.front().report = engine.report;
             now.runners.front().isReserved = recordIn(platform).phase != order_phase::Settled;
@@ -215,11 +215,11 @@
     }
 
     /// Runs one iteration after some time, with a fresh view.
-    void look(milliseconds after = milliseconds(500))
+    void runOnce(milliseconds after = milliseconds(500))
     {
         clock.now += after;
         publishView();
-        core.look();
+        core.runOnce();
     }
 
     bool hasEvent(const std::string &kind) const { return !events.events({kind, "", ""}).empty(); }
--- a/tests/node/order_guard_test.cpp
+++ b/tests/node/order_guard_test.cpp
@@ -16,12 +16,12 @@
 
 constexpr milliseconds shortWindow{100};
 constexpr milliseconds longWindow{30000};
-constexpr milliseconds safetyTime{30000};
+constexpr milliseconds testTimeout{30000};
 
 /// Simulates a process that is stopped here and resumed after its window has ended.
 void sleepUntilWindowEnds()
 {
-    const auto deadline = std::chrono::steady_clock::now() + safetyTime;
+    const auto deadline = std::chrono::steady_clock::now() + testTimeout;
     while (!order_guard::current()->hasEnded() && std::chrono::steady_clock::now() < deadline)
         std::this_thread::sleep_for(milliseconds(1));
 }
@@ -64,13 +64,13 @@
 
     result<unit> send(const before_send &hook = {})
     {
-        return withGuardedOrders({}, hook).order(address, order, safetyTime);
+        return withGuardedOrders({}, hook).order(address, order, testTimeout);
     }
 
     /// Waits until the engine has read everything that reached it.
     void waitForClosedConnections()
     {
-        const auto deadline = std::chrono::steady_clock::now() + safetyTime;
+        const auto deadline = std::chrono::steady_clock::now() + testTimeout;
         while (server.openConnections() > 0 && std::chrono::steady_clock::now() < deadline)
             std::this_thread::sleep_for(milliseconds(1));
         CPPUNIT_ASSERT_EQUAL(0U, server.openConnections());
--- a/tests/node/orders_race_test.cpp
+++ b/tests/node/orders_race_test.cpp
@@ -36,7 +36,7 @@
         for (planning_instance *each : {&first, &second})
             each->send = [this](const endpoint &, const runner::engine_order &order,
                                 mono_time end) { return send(order, end); };
-        platform.fateOf = [this] { return writeOutcome(); };
+        platform.outcomeOfWrite = [this] { return writeOutcome(); };
     }
 
     void step()
@@ -50,7 +50,7 @@
             platform.deliverHeld();
         engine.report.running = happens(0.1) ? 1 : 0;
         planning_instance &next = happens(0.5) ? first : second;
-        next.look(milliseconds(draw(50, 900)));
+        next.runOnce(milliseconds(draw(50, 900)));
     }
 
     /// Runs without faults and with only the first planner.
@@ -60,7 +60,7 @@
         platform.deliverHeld();
         engine.report.running = 0;
         for (int iteration = 0; iteration < iterationsWithoutFaults; ++iteration) {
-            first.look();
+            first.runOnce();
             deliver();
             engine.finishChange();
         }
@@ -79,11 +79,11 @@
     }
     bool happens(double share) { return isFaulty && std::bernoulli_distribution(share)(random); }
 
-    write_fate writeOutcome()
+    write_outcome writeOutcome()
     {
         if (happens(0.1))
-            return write_fate::AnswerLost;
-        return happens(0.05) ? write_fate::Held : write_fate::Answered;
+            return write_outcome::AnswerLost;
+        return happens(0.05) ? write_outcome::Held : write_outcome::Answered;
     }
 
     /// Delivers the order, or keeps it in transit until the guard and TCP's time limit end it.
@@ -93,7 +93,7 @@
             return notRun(error_code::TimedOut, "window over");
         if (!happens(0.4))
             return engine.order(order);
-        inFlight.push_back({order, end + config::orderDeliveryTime});
+        inFlight.push_back({order, end + config::orderDeliveryTimeout});
         return mayHaveRun(error_code::TimedOut, "no answer");
     }
 
--- a/tests/node/orders_test.cpp
+++ b/tests/node/orders_test.cpp
@@ -50,7 +50,7 @@
     void runUntil(planning_instance &instance, order_phase wanted)
     {
         for (int iteration = 0; iteration < maxIterations; ++iteration) {
-            instance.look();
+            instance.runOnce();
             if (fence() > 0 && phase() == wanted)
                 return;
         }
@@ -62,7 +62,7 @@
         const std::size_t before = engine.received.size();
         for (int iteration = 0; iteration < maxIterations && engine.received.size() == before;
              ++iteration)
-            instance.look();
+            instance.runOnce();
         CPPUNIT_ASSERT_EQUAL(before + 1, engine.received.size());
     }
 
@@ -102,17 +102,17 @@
     void changeGoesThroughAllPhases()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
-        instance.look();
+        instance.runOnce();
         CPPUNIT_ASSERT(phase() == order_phase::Draining);
         runUntilSent(instance);
         CPPUNIT_ASSERT(phase() == order_phase::Open);
         const runner::engine_order sent = engine.received.front();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), sent.fence);
         CPPUNIT_ASSERT(sent.wanted == (policy::wanted_engine{engine_role::Prefill, {model}}));
-        instance.look();
+        instance.runOnce();
         CPPUNIT_ASSERT(phase() == order_phase::Open);
         engine.finishChange();
-        instance.look();
+        instance.runOnce();
         CPPUNIT_ASSERT(phase() == order_phase::Settled);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), engine.received.size());
         for (const auto *kind : {"order_draining", "order_open", "order_sent", "order_settled"})
@@ -137,11 +137,11 @@
     {
         auto instance = makeInstance("a", engine_role::Prefill);
         instance.isAppliedEverywhere = false;
-        instance.look();
+        instance.runOnce();
         const mono_time begun = clock.now;
         while (phase() == order_phase::Draining)
-            instance.look();
-        CPPUNIT_ASSERT(clock.now - begun >= config::drainTime);
+            instance.runOnce();
+        CPPUNIT_ASSERT(clock.now - begun >= config::drainTimeout);
         CPPUNIT_ASSERT(engine.received.empty());
         CPPUNIT_ASSERT(instance.hasEvent("order_withdrawn"));
         instance.isAppliedEverywhere = true;
@@ -155,16 +155,16 @@
     void busyEngineBlocksChange()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
-        instance.look();
-        instance.look();
+        instance.runOnce();
+        instance.runOnce();
         engine.report.running = 1;
         for (int iteration = 0; iteration < maxIterations; ++iteration)
-            instance.look();
+            instance.runOnce();
         CPPUNIT_ASSERT(phase() == order_phase::Draining);
         engine.report.running = 0;
-        instance.look();
+        instance.runOnce();
         CPPUNIT_ASSERT(engine.received.empty());
-        instance.look(config::orderIdleTime);
+        instance.runOnce(config::requiredIdleTime);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), engine.received.size());
     }
 
@@ -175,12 +175,12 @@
         auto instance = makeInstance("a", engine_role::Prefill);
         instance.wantedModels = {{"recovery-llm", "2"}};
         instance.weights = notRun(error_code::Throttled, "rate", milliseconds(3000));
-        instance.look();
+        instance.runOnce();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), fence());
         instance.weights = platform::weight_manifest{};
-        instance.look();
+        instance.runOnce();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), fence());
-        instance.look(milliseconds(3000));
+        instance.runOnce(milliseconds(3000));
         CPPUNIT_ASSERT(phase() == order_phase::Draining);
     }
 
@@ -191,11 +191,11 @@
         auto instance = makeInstance("a", engine_role::Prefill);
         runUntilSent(instance);
         engine.crash();
-        instance.look();
+        instance.runOnce();
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), engine.received.size());
         CPPUNIT_ASSERT(engine.received.front() == engine.received.back());
         engine.finishChange();
-        instance.look();
+        instance.runOnce();
         CPPUNIT_ASSERT(phase() == order_phase::Settled);
     }
 
@@ -230,14 +230,14 @@
         first.send = [&](const endpoint &, const runner::engine_order &order,
                          mono_time end) -> result<unit> {
             held = order;
-            lastMoment = end + config::orderDeliveryTime;
+            lastMoment = end + config::orderDeliveryTimeout;
             return mayHaveRun(error_code::TimedOut, "paused");
         };
         runUntil(first, order_phase::Open);
         const order_record opened = recordIn(platform);
         auto second = makeInstance("b", engine_role::Decode);
         while (clock.now + milliseconds(100) < lastMoment) {
-            second.look(milliseconds(50));
+            second.runOnce(milliseconds(50));
             CPPUNIT_ASSERT(engine.received.empty());
             CPPUNIT_ASSERT(recordIn(platform) == opened);
         }
@@ -265,7 +265,7 @@
         mono_time lastMoment{};
         instance.send = [&](const endpoint &, const runner::engine_order &order,
                             mono_time end) -> result<unit> {
-            lastMoment = end + config::orderDeliveryTime;
+            lastMoment = end + config::orderDeliveryTimeout;
             if (++sends > 1)
                 return engine.order(order);
             return mayHaveRun(error_code::TimedOut, "no answer");
@@ -276,7 +276,7 @@
         engine.finishChange();
         CPPUNIT_ASSERT_EQUAL(2, sends);
         while (clock.now + milliseconds(100) < lastMoment) {
-            instance.look(milliseconds(50));
+            instance.runOnce(milliseconds(50));
             CPPUNIT_ASSERT(phase() == order_phase::Open);
         }
         runUntil(instance, order_phase::Settled);
@@ -287,13 +287,14 @@
     void lostAnswerToOpenKeepsSendWindow()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
-        instance.look();
-        platform.fateOf = [isLost = false]() mutable {
-            return std::exchange(isLost, true) ? write_fate::Answered : write_fate::AnswerLost;
+        instance.runOnce();
+        platform.outcomeOfWrite = [isLost = false]() mutable {
+            return std::exchange(isLost, true) ? write_outcome::Answered
+                                               : write_outcome::AnswerLost;
         };
         runUntilSent(instance);
         engine.finishChange();
-        instance.look();
+        instance.runOnce();
         CPPUNIT_ASSERT(phase() == order_phase::Settled);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), engine.received.size());
     }
@@ -303,13 +304,13 @@
     void conflictingWriterSendsOnlyWinningOrder()
     {
         auto first = makeInstance("a", engine_role::Prefill);
-        first.look();
+        first.runOnce();
         auto second = makeInstance("b", engine_role::Decode);
-        second.look();
+        second.runOnce();
         second.isPlanning = false;
         runUntilSent(first);
-        second.look(config::orderIdleTime);
-        second.look();
+        second.runOnce(config::requiredIdleTime);
+        second.runOnce();
         for (const runner::engine_order &each : engine.received)
             CPPUNIT_ASSERT(each == engine.received.front());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), fence());
@@ -320,13 +321,13 @@
     void slowStoreWriteGivesNoSendWindow()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
-        instance.look();
-        platform.fateOf = [&] {
+        instance.runOnce();
+        platform.outcomeOfWrite = [&] {
             clock.now += config::orderWindow;
-            return write_fate::Answered;
+            return write_outcome::Answered;
         };
         for (int iteration = 0; iteration < maxIterations / 4; ++iteration)
-            instance.look();
+            instance.runOnce();
         CPPUNIT_ASSERT(phase() == order_phase::Open);
         CPPUNIT_ASSERT(engine.received.empty());
     }
@@ -336,7 +337,7 @@
     void nextFenceExceedsThatOfEngine()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
-        instance.look();
+        instance.runOnce();
         engine.report.lastFence = 41;
         runUntilSent(instance);
         CPPUNIT_ASSERT(engine.obeyed.empty());
--- a/tests/node/watched_sync_test.cpp
+++ b/tests/node/watched_sync_test.cpp
@@ -38,7 +38,7 @@
 
     metrics_registry metrics;
     journal events{{"unit"}, systemClock(), 64};
-    view_hub views;
+    view_publisher views;
     platform::object_store store{
             api(), {1e6, 1e6, milliseconds(1), milliseconds(1)}, systemClock(), metrics, events};
     watched_sync sync{dependencies(), store, views, systemClock(), metrics, events};
@@ -107,20 +107,21 @@
         return list;
     }
 
-    sync_needs dependencies()
+    sync_dependencies dependencies()
     {
-        sync_needs dependencies;
+        sync_dependencies dependencies;
         dependencies.deployment = deployment;
         dependencies.peers = [this] {
             const std::lock_guard lock(guard);
             return peers;
         };
-        dependencies.askState = [this](const endpoint &, const peer::watched_ask &) {
+        dependencies.requestState = [this](const endpoint &, const peer::watched_request &) {
             const std::lock_guard lock(guard);
             return result<peer::watched_reply>(peerState);
         };
-        dependencies.askBody = [this](const endpoint &,
-                                      const peer::body_ask &request) -> result<peer::body_reply> {
+        dependencies.requestBody =
+                [this](const endpoint &,
+                       const peer::body_request &request) -> result<peer::body_reply> {
             const auto found = peerBodies.find(request.sha256);
             if (found == peerBodies.end())
                 return notRun(error_code::NotFound, "no body");
--- a/tests/operators/config_files_test.cpp
+++ b/tests/operators/config_files_test.cpp
@@ -246,10 +246,10 @@
         const auto &choices = std::get<settings>(outcome);
         CPPUNIT_ASSERT(choices.callerAddress == (endpoint{"127.0.0.1", 1}));
         CPPUNIT_ASSERT(choices.peerSeeds == std::vector<endpoint>{(endpoint{"::1", 9})});
-        CPPUNIT_ASSERT(choices.leaveGrace == std::chrono::seconds(3));
+        CPPUNIT_ASSERT(choices.leaveGraceTime == std::chrono::seconds(3));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{7}, choices.maxStreams);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2048}, choices.callerLimits.headerBytes);
-        CPPUNIT_ASSERT(choices.gossipTime == config::gossipTime);
+        CPPUNIT_ASSERT(choices.gossipInterval == config::gossipInterval);
     }
 
     void gatewaySettingsAreRead()
@@ -260,7 +260,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("gampaha"), choices.zone.text);
         CPPUNIT_ASSERT_EQUAL(std::uint16_t{7381}, choices.loadAddress.port);
         CPPUNIT_ASSERT_EQUAL(52.0, choices.retryExtra);
-        CPPUNIT_ASSERT(guessKind(contentOf(path)) == file_kind::Gateway);
+        CPPUNIT_ASSERT(detectFileKind(contentOf(path)) == file_kind::Gateway);
         CPPUNIT_ASSERT_EQUAL(0, runCheck({path}).status);
     }
 
@@ -287,7 +287,7 @@
         text.replace(text.find("7381"), 4, "7399");
         const auto outcome = parseGatewaySettings("f", text);
         const auto &choices = std::get<gateway::gateway_settings>(outcome);
-        CPPUNIT_ASSERT_EQUAL(std::uint16_t{7381}, gateway::newsAddressOf(choices).port);
+        CPPUNIT_ASSERT_EQUAL(std::uint16_t{7381}, gateway::updateAddressOf(choices).port);
     }
 
     void runnersInheritPoolDefaults()
@@ -300,7 +300,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{256}, runners[0].kvPieces);
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{512}, runners[1].kvPieces);
         CPPUNIT_ASSERT(runners[0].checksFence && runners[1].checksFence);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runners[1].mayCarry.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runners[1].supportedModels.size());
     }
 
     void poolKeysMustMatchKind()
@@ -326,20 +326,20 @@
                 + "[[requests]]\nname = \"r\"\nmodel = \"demo-7\"\n"
                   "[[plans]]\npool = \"llm\"\nmin_engines = 3\n";
         CPPUNIT_ASSERT_EQUAL(std::string(), linesOf(parseRules("r", rules)));
-        const auto diagnostics = checkTogether("i", sampleInventory(), "r", rules);
+        const auto diagnostics = crossCheck("i", sampleInventory(), "r", rules);
         CPPUNIT_ASSERT_EQUAL(
                 std::string("r:7:9: requests[0].model: is \"demo-7\", expected a model that a pool "
                             "serves; the nearest is \"demo-7b\"\n"
                             "r:10:15: plans[0].min_engines: is 3, but the pool has 2 engines\n"),
                 linesOf(parse_result<policy::rules>(diagnostics)));
-        CPPUNIT_ASSERT(checkTogether("i", sampleInventory(), "r", sampleRules()).empty());
+        CPPUNIT_ASSERT(crossCheck("i", sampleInventory(), "r", sampleRules()).empty());
     }
 
     void fileKindIsDetected()
     {
-        CPPUNIT_ASSERT(guessKind(minimalSettings) == file_kind::Settings);
-        CPPUNIT_ASSERT(guessKind(sampleInventory()) == file_kind::Inventory);
-        CPPUNIT_ASSERT(guessKind(sampleRules()) == file_kind::Rules);
+        CPPUNIT_ASSERT(detectFileKind(minimalSettings) == file_kind::Settings);
+        CPPUNIT_ASSERT(detectFileKind(sampleInventory()) == file_kind::Inventory);
+        CPPUNIT_ASSERT(detectFileKind(sampleRules()) == file_kind::Rules);
     }
 };
 
--- a/tests/peer/calls_test.cpp
+++ b/tests/peer/calls_test.cpp
@@ -85,7 +85,7 @@
     frame_header hello;
     hello.kind = frame_kind::Hello;
     hello.sender = senderNumber(serverIdentity.instance);
-    hello.senderIncarnation = serverIdentity.life;
+    hello.senderIncarnation = serverIdentity.incarnation;
     hello.counter = 1000;
     sendFrame(fd, hello, {});
     receiveHeader(fd);
@@ -97,7 +97,7 @@
     frame_header reply;
     reply.kind = frame_kind::Reply;
     reply.sender = senderNumber(serverIdentity.instance);
-    reply.senderIncarnation = serverIdentity.life;
+    reply.senderIncarnation = serverIdentity.incarnation;
     reply.receiverIncarnation = request.senderIncarnation;
     reply.callId = request.callId;
     return reply;
@@ -113,7 +113,7 @@
     return {{call_kind::Body,
              [&runs](std::string_view payload) -> result<std::string> {
                  ++runs;
-                 const auto request = decode<body_ask>(payload);
+                 const auto request = decode<body_request>(payload);
                  if (!succeeded(request))
                      return errorOf(request);
                  return encode(body_reply{"body of " + valueOf(request).sha256});
@@ -154,8 +154,8 @@
             threads.emplace_back([&, index] {
                 for (int round = 0; round < 50; ++round) {
                     const std::string name = std::to_string(index * 1000 + round);
-                    const auto reply = ask<body_reply>(client, address, call_kind::Body,
-                                                       body_ask{name}, testTimeout);
+                    const auto reply = callTyped<body_reply>(client, address, call_kind::Body,
+                                                             body_request{name}, testTimeout);
                     if (succeeded(reply) && valueOf(reply).content == "body of " + name)
                         ++right;
                 }
@@ -177,12 +177,12 @@
                            context.events);
         const endpoint address = valueOf(server.start());
         call_client client(clientIdentity, context.metrics, context.events);
-        const auto refused =
-                ask<claim_reply>(client, address, call_kind::Claim, claim_ask{}, testTimeout);
+        const auto refused = callTyped<claim_reply>(client, address, call_kind::Claim,
+                                                    claim_request{}, testTimeout);
         CPPUNIT_ASSERT(errorOf(refused)
                        == notRun(error_code::Conflict, "other body", milliseconds(40)));
-        const auto unknown =
-                ask<events_reply>(client, address, call_kind::Events, events_ask{}, testTimeout);
+        const auto unknown = callTyped<events_reply>(client, address, call_kind::Events,
+                                                     events_request{}, testTimeout);
         CPPUNIT_ASSERT(errorOf(unknown).ran == verdict::NotRun);
         const auto tooLarge = client.call(address, call_kind::Body,
                                           std::string(config::maxPeerCallBytes, 'x'), testTimeout);
@@ -198,8 +198,8 @@
             address = gone.address();
         }
         call_client client(clientIdentity, context.metrics, context.events);
-        const auto reply =
-                ask<body_reply>(client, address, call_kind::Body, body_ask{"a"}, testTimeout);
+        const auto reply = callTyped<body_reply>(client, address, call_kind::Body,
+                                                 body_request{"a"}, testTimeout);
         CPPUNIT_ASSERT(errorOf(reply).ran == verdict::NotRun);
     }
 
@@ -208,8 +208,8 @@
         fixture context;
         const scripted_peer peer([](int fd) { acceptCall(fd); });
         call_client client(clientIdentity, context.metrics, context.events);
-        const auto reply = ask<body_reply>(client, peer.address(), call_kind::Body, body_ask{"a"},
-                                           testTimeout);
+        const auto reply = callTyped<body_reply>(client, peer.address(), call_kind::Body,
+                                                 body_request{"a"}, testTimeout);
         CPPUNIT_ASSERT(errorOf(reply).ran == verdict::MayHaveRun);
     }
 
@@ -225,16 +225,16 @@
             other.callId = right.callId + 1;
             sendFrame(fd, other, encodedBody("of another call"));
             frame_header formerClient = right;
-            formerClient.receiverIncarnation = clientIdentity.life - 1;
+            formerClient.receiverIncarnation = clientIdentity.incarnation - 1;
             sendFrame(fd, formerClient, encodedBody("for a former incarnation"));
             frame_header formerPeer = right;
-            formerPeer.senderIncarnation = serverIdentity.life - 1;
+            formerPeer.senderIncarnation = serverIdentity.incarnation - 1;
             sendFrame(fd, formerPeer, encodedBody("of a former incarnation"));
             sendFrame(fd, right, encodedBody("right"));
         });
         call_client client(clientIdentity, context.metrics, context.events);
-        const auto reply = ask<body_reply>(client, peer.address(), call_kind::Body, body_ask{"a"},
-                                           testTimeout);
+        const auto reply = callTyped<body_reply>(client, peer.address(), call_kind::Body,
+                                                 body_request{"a"}, testTimeout);
         CPPUNIT_ASSERT_EQUAL(std::string("right"), valueOf(reply).content);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(3),
                              context.count("poplarspool_peer_stray_answers_total"));
@@ -259,12 +259,12 @@
                            context.events);
         const endpoint address = valueOf(server.start());
         call_client client(clientIdentity, context.metrics, context.events);
-        const auto first =
-                ask<body_reply>(client, address, call_kind::Body, body_ask{"a"}, milliseconds(300));
+        const auto first = callTyped<body_reply>(client, address, call_kind::Body,
+                                                 body_request{"a"}, milliseconds(300));
         CPPUNIT_ASSERT(errorOf(first).code == error_code::TimedOut);
         release.set_value();
-        const auto second =
-                ask<body_reply>(client, address, call_kind::Body, body_ask{"b"}, testTimeout);
+        const auto second = callTyped<body_reply>(client, address, call_kind::Body,
+                                                  body_request{"b"}, testTimeout);
         CPPUNIT_ASSERT(succeeded(second));
         CPPUNIT_ASSERT(valueOf(second).content != "1");
     }
@@ -284,14 +284,14 @@
             frame_header call;
             call.kind = frame_kind::Hello;
             call.sender = senderNumber(clientIdentity.instance);
-            call.senderIncarnation = clientIdentity.life;
+            call.senderIncarnation = clientIdentity.incarnation;
             call.receiverIncarnation = hello.senderIncarnation;
             call.counter = counter == 0 ? hello.counter + 1 : counter;
             const std::uint64_t used = call.counter;
             sendFrame(socket.get(), call, {});
             call.kind = frame_kind::Call;
             ++call.counter;
-            sendFrame(socket.get(), call, encodeCall(call_kind::Body, encode(body_ask{"a"})));
+            sendFrame(socket.get(), call, encodeCall(call_kind::Body, encode(body_request{"a"})));
             readFrame(socket.get(), key, config::maxPeerCallBytes, testDeadline(), -1);
             return used;
         };
@@ -312,8 +312,8 @@
         const endpoint address = valueOf(server.start());
         call_client wrongKeyClient({{"client"}, 3, "another secret"}, context.metrics,
                                    context.events);
-        const auto reply = ask<body_reply>(wrongKeyClient, address, call_kind::Body, body_ask{"a"},
-                                           testTimeout);
+        const auto reply = callTyped<body_reply>(wrongKeyClient, address, call_kind::Body,
+                                                 body_request{"a"}, testTimeout);
         CPPUNIT_ASSERT(errorOf(reply).ran == verdict::NotRun);
 
         const descriptor socket = std::move(valueOf(*connect(address)));
@@ -338,8 +338,8 @@
         });
         call_client client(clientIdentity, context.metrics, context.events);
         auto reply = std::async(std::launch::async, [&] {
-            return ask<body_reply>(client, peer.address(), call_kind::Body, body_ask{"a"},
-                                   testTimeout);
+            return callTyped<body_reply>(client, peer.address(), call_kind::Body, body_request{"a"},
+                                         testTimeout);
         });
         arrived.get_future().wait();
         client.stop();
--- a/tests/peer/decoder_test.cpp
+++ b/tests/peer/decoder_test.cpp
@@ -53,7 +53,7 @@
     record.zone = {"colombo-a"};
     record.callerAddress = {"10.0.0.1", 8080};
     record.peerAddress = {"10.0.0.1", 7000};
-    record.life = 1700000000000;
+    record.incarnation = 1700000000000;
     record.isLeaving = true;
     record.isDead = true;
     record.diedAt = now - milliseconds(77);
@@ -71,16 +71,17 @@
 std::vector<sample> corpus()
 {
     std::vector<sample> all;
-    all.push_back(sampleOf("watched_request", watched_ask{300}));
+    all.push_back(sampleOf("watched_request", watched_request{300}));
     all.push_back(
             sampleOf("watched_reply", watched_reply{9, {{"head", "value", 8}, {"o", "", 9}}}));
-    all.push_back(sampleOf("body_request", body_ask{std::string(64, 'a')}));
+    all.push_back(sampleOf("body_request", body_request{std::string(64, 'a')}));
     all.push_back(sampleOf("body_reply", body_reply{std::string(500, 'x')}));
-    all.push_back(sampleOf("claim_request", claim_ask{"key", "hash", "nonce", {"node-1"}, 1000}));
+    all.push_back(
+            sampleOf("claim_request", claim_request{"key", "hash", "nonce", {"node-1"}, 1000}));
     all.push_back(sampleOf("claim_reply", claim_reply{"hash", "nonce", {"node-2"}}));
-    all.push_back(sampleOf("answer_request", answer_ask{"key", "nonce", 500}));
+    all.push_back(sampleOf("answer_request", answer_request{"key", "nonce", 500}));
     all.push_back(sampleOf("answer_reply", sampleAnswer()));
-    all.push_back(sampleOf("events_request", events_ask{{"order_sent", "", "r1"}}));
+    all.push_back(sampleOf("events_request", events_request{{"order_sent", "", "r1"}}));
     all.push_back(sampleOf("events_reply", events_reply{{sampleEvent(), sampleEvent()}}));
     all.push_back({"gossip", encodeGossip(sampleGossip(), now),
                    [](std::string_view payload) { return succeeded(decodeGossip(payload, now)); }});
@@ -134,7 +135,7 @@
     void messagesRoundTrip()
     {
         assertRoundTrip(watched_reply{9, {{"head", "value", 8}, {"o", "", 9}}});
-        assertRoundTrip(claim_ask{"key", "hash", "nonce", {"node-1"}, 1000});
+        assertRoundTrip(claim_request{"key", "hash", "nonce", {"node-1"}, 1000});
         assertRoundTrip(sampleAnswer());
         assertRoundTrip(events_reply{{sampleEvent(), sampleEvent()}});
         const auto gossip = decodeGossip(encodeGossip(sampleGossip(), now), now);
@@ -198,8 +199,8 @@
 
     void oversizedMessagesAreNotEncoded()
     {
-        CPPUNIT_ASSERT(encode(body_ask{std::string(1000, 'a')}).empty());
-        CPPUNIT_ASSERT(!succeeded(decode<body_ask>({})));
+        CPPUNIT_ASSERT(encode(body_request{std::string(1000, 'a')}).empty());
+        CPPUNIT_ASSERT(!succeeded(decode<body_request>({})));
     }
 
     void frameRoundTrips()
@@ -234,7 +235,7 @@
     void replayedCountersAreRejected()
     {
         replay_guard guard;
-        const auto check = [&](incarnation senderIncarnation, std::uint64_t counter) {
+        const auto check = [&](incarnation_number senderIncarnation, std::uint64_t counter) {
             return guard.check(1, senderIncarnation, counter, now);
         };
         CPPUNIT_ASSERT(check(1, 10) == replay_verdict::Fresh);
--- a/tests/peer/gossip_protocol_test.cpp
+++ b/tests/peer/gossip_protocol_test.cpp
@@ -89,7 +89,7 @@
         net.nodes[2].isFrozen = false;
         net.nodes[2].protocol->onPause(net.now);
         waitUntilAllAlive(net);
-        CPPUNIT_ASSERT(net.nodes[2].protocol->members().self().record.life > 1);
+        CPPUNIT_ASSERT(net.nodes[2].protocol->members().self().record.incarnation > 1);
     }
 
     /// After a pause, an instance has open probes that have timed out. Without the reset in
@@ -99,7 +99,7 @@
         memory_net net(3);
         waitUntilAllAlive(net);
         net.nodes[1].protocol->onRound(net.now + milliseconds(1));
-        net.now += config::suspectTime * 2;
+        net.now += config::probeTimeout * 2;
         net.nodes[1].protocol->onPause(net.now);
         net.nodes[1].protocol->onRound(net.now);
         for (const policy::member &member : net.nodes[1].protocol->listedMembers())
@@ -178,7 +178,7 @@
         };
         CPPUNIT_ASSERT(net.stepUntil([&] { return allKnow(1); }) < spreadRounds);
         const auto retentionRounds =
-                static_cast<std::size_t>(config::rumorKeepTime / config::gossipTime);
+                static_cast<std::size_t>(config::rumorRetention / config::gossipInterval);
         net.stepUntil([] { return false; }, retentionRounds / 2);
         net.nodes[1].protocol->spread({"load/a", 2, "new"}, net.now);
         net.stepUntil([] { return false; }, retentionRounds * 3 / 4);
@@ -211,7 +211,7 @@
                                    });
             });
         });
-        const double seconds = std::chrono::duration<double>(config::gossipTime).count()
+        const double seconds = std::chrono::duration<double>(config::gossipInterval).count()
                 * static_cast<double>(rounds);
         CPPUNIT_ASSERT(seconds <= 11.0);
         for (const auto &node : net.nodes) {
@@ -240,7 +240,7 @@
                     net.now);
         const auto shareAfter = [&](milliseconds time) {
             net.stepUntil([] { return false; },
-                          static_cast<std::size_t>(time / config::gatewayGossipTime));
+                          static_cast<std::size_t>(time / config::gatewayGossipInterval));
             std::size_t known = 0;
             for (const auto &node : net.nodes)
                 known += node.protocol->allRumors().size();
--- a/tests/peer/gossip_table_test.cpp
+++ b/tests/peer/gossip_table_test.cpp
@@ -13,12 +13,12 @@
 constexpr table_times times{milliseconds(4000), milliseconds(60000)};
 const mono_time start = mono_time{} + std::chrono::hours(1);
 
-member_record recordOf(const std::string &name, incarnation memberIncarnation)
+member_record recordOf(const std::string &name, incarnation_number memberIncarnation)
 {
     member_record record;
     record.id = instance_id{name};
     record.peerAddress = {"10.0.0.1", 7000};
-    record.life = memberIncarnation;
+    record.incarnation = memberIncarnation;
     return record;
 }
 
@@ -117,11 +117,11 @@
 
         subject.merge(suspicion, start);
         const member_record refutation = subject.self().record;
-        CPPUNIT_ASSERT_EQUAL(incarnation(5), refutation.life);
+        CPPUNIT_ASSERT_EQUAL(incarnation_number(5), refutation.incarnation);
         third.merge(refutation, start);
         third.merge(suspicion, start);
         accuser.merge(refutation, start);
-        accuser.expire(start + times.deadTime);
+        accuser.expire(start + times.suspicionTimeout);
         CPPUNIT_ASSERT(stateIn(third, "subject") == member_state::Alive);
         CPPUNIT_ASSERT(stateIn(accuser, "subject") == member_state::Alive);
     }
@@ -132,16 +132,16 @@
         const member_record alive = recordOf("a", 2);
         table.merge(alive, start);
         table.suspect(alive.id, 2, start);
-        table.expire(start + times.deadTime);
+        table.expire(start + times.suspicionTimeout);
         CPPUNIT_ASSERT(stateIn(table, "a") == member_state::Dead);
 
         member_record late = alive;
         late.refutation = 9;
         late.heartbeat.sequence = 99;
-        table.merge(late, start + times.deadTime);
-        table.merge(recordOf("a", 1), start + times.deadTime);
+        table.merge(late, start + times.suspicionTimeout);
+        table.merge(recordOf("a", 1), start + times.suspicionTimeout);
         CPPUNIT_ASSERT(stateIn(table, "a") == member_state::Dead);
-        table.merge(recordOf("a", 3), start + times.deadTime);
+        table.merge(recordOf("a", 3), start + times.suspicionTimeout);
         CPPUNIT_ASSERT(stateIn(table, "a") == member_state::Alive);
     }
 
@@ -153,13 +153,13 @@
         gossip_table other(recordOf("other", 1), times);
         other.merge(frozen.self().record, start);
         other.suspect(instance_id{"frozen"}, 5, start);
-        other.expire(start + times.deadTime);
+        other.expire(start + times.suspicionTimeout);
 
         frozen.setLeaving();
-        frozen.merge(other.find(instance_id{"frozen"})->record, start + times.deadTime);
-        CPPUNIT_ASSERT(frozen.self().record.life > 5);
+        frozen.merge(other.find(instance_id{"frozen"})->record, start + times.suspicionTimeout);
+        CPPUNIT_ASSERT(frozen.self().record.incarnation > 5);
         CPPUNIT_ASSERT(!frozen.self().record.isDead);
-        other.merge(frozen.self().record, start + times.deadTime);
+        other.merge(frozen.self().record, start + times.suspicionTimeout);
         CPPUNIT_ASSERT(stateIn(other, "frozen") == member_state::Leaving);
     }
 
@@ -185,13 +185,13 @@
         successor.peerAddress.host = "10.0.0.2";
         table.merge(successor, start);
         CPPUNIT_ASSERT(stateIn(table, "self") == member_state::Leaving);
-        CPPUNIT_ASSERT_EQUAL(incarnation(1), table.self().record.life);
+        CPPUNIT_ASSERT_EQUAL(incarnation_number(1), table.self().record.incarnation);
 
         successor.isDead = true;
         successor.diedAt = start;
         table.merge(successor, start);
         CPPUNIT_ASSERT(stateIn(table, "self") == member_state::Alive);
-        CPPUNIT_ASSERT(table.self().record.life > 8);
+        CPPUNIT_ASSERT(table.self().record.incarnation > 8);
     }
 
     void heartbeatContentIsImmutable()
@@ -215,7 +215,7 @@
         dead.isDead = true;
         dead.diedAt = start;
         table.merge(dead, start);
-        const mono_time later = start + times.deadKeepTime + milliseconds(1);
+        const mono_time later = start + times.deadRetention + milliseconds(1);
         table.expire(later);
         CPPUNIT_ASSERT(table.find(dead.id) == nullptr);
         table.merge(dead, later);
--- a/tests/peer/gossip_test.cpp
+++ b/tests/peer/gossip_test.cpp
@@ -71,11 +71,11 @@
         settings.self.id = instance_id{name};
         settings.self.zone = zone_id{"a"};
         settings.self.peerAddress = {"127.0.0.1", 0};
-        settings.self.life = 1;
+        settings.self.incarnation = 1;
         settings.key = secret;
-        settings.roundTime = milliseconds(10);
-        settings.suspectTime = milliseconds(5000);
-        settings.deadTime = milliseconds(5000);
+        settings.roundInterval = milliseconds(10);
+        settings.probeTimeout = milliseconds(5000);
+        settings.suspicionTimeout = milliseconds(5000);
         settings.fanout = config::gossipFanout;
         settings.bytesPerSecond = 1000000;
         return settings;
@@ -178,7 +178,7 @@
         };
         member_record record;
         record.id = instance_id{"peer"};
-        record.life = 4;
+        record.incarnation = 4;
         record.peerAddress = {"127.0.0.1", 9};
         gossip_message message;
         message.records.push_back(record);
@@ -186,7 +186,7 @@
         const frame_key key = deriveFrameKey(secret);
         frame_header header;
         header.sender = senderNumber(record.id);
-        header.senderIncarnation = record.life;
+        header.senderIncarnation = record.incarnation;
         header.counter = 1;
         const std::string good = sealFrame(key, header, payload);
         frame_header otherIncarnation = header;
--- a/tests/peer/load_news_test.cpp
+++ b/tests/peer/load_update_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-load_news sampleUpdate()
+load_update sampleUpdate()
 {
     return {{{1, 2, 300, 4000, 50000}}, {{1, 77, true}, {2, 88, false}}};
 }
@@ -22,11 +22,11 @@
     test_exchange(const std::string &name, std::uint16_t port, const std::string &key)
         : exchange(
                 {{name}, 1, {"127.0.0.1", port}, key},
-                [this](news_audience) {
+                [this](update_recipients) {
                     throwIfDue(throwingCollects);
                     return sampleUpdate();
                 },
-                [this](std::uint64_t, const load_news &update) {
+                [this](std::uint64_t, const load_update &update) {
                     const std::lock_guard lock(guard);
                     throwIfDue(throwingUpdates);
                     received = update;
@@ -55,7 +55,7 @@
     journal events{{"test"}, systemClock(), 16};
     std::mutex guard;
     std::condition_variable updated;
-    std::optional<load_news> received;
+    std::optional<load_update> received;
     load_exchange exchange;
 };
 
@@ -75,17 +75,18 @@
 public:
     void updatesRoundTrip()
     {
-        CPPUNIT_ASSERT(valueOf(decodeLoadNews(valueOf(encode(sampleUpdate())))) == sampleUpdate());
-        CPPUNIT_ASSERT(valueOf(decodeLoadNews(valueOf(encode({})))) == load_news{});
+        CPPUNIT_ASSERT(valueOf(decodeLoadUpdate(valueOf(encode(sampleUpdate()))))
+                       == sampleUpdate());
+        CPPUNIT_ASSERT(valueOf(decodeLoadUpdate(valueOf(encode({})))) == load_update{});
     }
 
     void malformedUpdatesAreRejected()
     {
         const std::string bytes = valueOf(encode(sampleUpdate()));
         for (std::size_t size = 0; size < bytes.size(); ++size)
-            CPPUNIT_ASSERT(!succeeded(decodeLoadNews(bytes.substr(0, size))));
-        CPPUNIT_ASSERT(!succeeded(decodeLoadNews(bytes + "x")));
-        CPPUNIT_ASSERT(!succeeded(decodeLoadNews("\xff\xff\xff\xff\x0f")));
+            CPPUNIT_ASSERT(!succeeded(decodeLoadUpdate(bytes.substr(0, size))));
+        CPPUNIT_ASSERT(!succeeded(decodeLoadUpdate(bytes + "x")));
+        CPPUNIT_ASSERT(!succeeded(decodeLoadUpdate("\xff\xff\xff\xff\x0f")));
     }
 
     void instancesReceiveUpdates()
@@ -122,7 +123,7 @@
 
     void oversizedUpdatesAreRejected()
     {
-        load_news update;
+        load_update update;
         update.work.resize(config::maxLoadItems + 1);
         CPPUNIT_ASSERT(errorOf(encode(update)).code == error_code::TooLarge);
         update.work.pop_back();
@@ -139,16 +140,17 @@
             const auto perSecond = [&](std::size_t peers, std::size_t budget) {
                 return 1000.0 * static_cast<double>(peers)
                         / static_cast<double>(
-                                loadNewsInterval(peers, sameZone + otherZones, budget).count());
+                                loadUpdateInterval(peers, sameZone + otherZones, budget).count());
             };
             return static_cast<double>(sameZone + otherZones + 1)
-                    * (perSecond(sameZone, config::loadNewsPerSecond)
-                       + perSecond(otherZones, config::farLoadNewsPerSecond));
+                    * (perSecond(sameZone, config::sameZoneLoadUpdatesPerSecond)
+                       + perSecond(otherZones, config::otherZonesLoadUpdatesPerSecond));
         };
         CPPUNIT_ASSERT(sentBy(49, 245) < 1.05 * sentBy(16, 80));
         CPPUNIT_ASSERT(sentBy(99, 900) < 1.05 * sentBy(16, 80));
-        CPPUNIT_ASSERT(loadNewsInterval(16, 66, config::loadNewsPerSecond) == config::loadNewsTime);
-        CPPUNIT_ASSERT(loadNewsInterval(50, 66, config::farLoadNewsPerSecond) == 166ms);
+        CPPUNIT_ASSERT(loadUpdateInterval(16, 66, config::sameZoneLoadUpdatesPerSecond)
+                       == config::loadUpdateInterval);
+        CPPUNIT_ASSERT(loadUpdateInterval(50, 66, config::otherZonesLoadUpdatesPerSecond) == 166ms);
     }
 };
 
--- a/tests/peer/memory_net.h
+++ b/tests/peer/memory_net.h
@@ -33,7 +33,7 @@
             node.protocol->setContacts({nodes.front().address});
     }
 
-    net_node &add(const std::string &name, incarnation nodeIncarnation)
+    net_node &add(const std::string &name, incarnation_number nodeIncarnation)
     {
         gossip_settings settings;
         settings.self.id = instance_id{name};
@@ -42,10 +42,10 @@
                 + std::to_string(nodes.size() % 250);
         settings.self.peerAddress = {host, 7000};
         settings.self.callerAddress = {host, 8080};
-        settings.self.life = nodeIncarnation;
-        settings.roundTime = config::gossipTime;
-        settings.suspectTime = config::suspectTime;
-        settings.deadTime = config::deadTime;
+        settings.self.incarnation = nodeIncarnation;
+        settings.roundInterval = config::gossipInterval;
+        settings.probeTimeout = config::probeTimeout;
+        settings.suspicionTimeout = config::suspicionTimeout;
         settings.fanout = config::gossipFanout;
         settings.bytesPerSecond = config::gossipBytesPerSecond;
         net_node node;
@@ -59,7 +59,7 @@
 
     void deliver(net_node &from, std::vector<outgoing_datagram> datagrams)
     {
-        const std::uint64_t senderIncarnation = from.protocol->members().self().record.life;
+        const std::uint64_t senderIncarnation = from.protocol->members().self().record.incarnation;
         for (outgoing_datagram &datagram : datagrams) {
             from.bytesSent +=
                     datagram.payload.size() + frameHeaderBytes + config::datagramOverheadBytes;
@@ -77,7 +77,7 @@
     /// Advances the time by one gossip round and runs the round at every node that isn't frozen.
     void step()
     {
-        now += config::gossipTime;
+        now += config::gossipInterval;
         for (net_node &node : nodes) {
             if (!node.isFrozen)
                 deliver(node, node.protocol->onRound(now));
