--- a/tests/peer/teller_board_test.cpp
+++ b/tests/peer/relay_election_test.cpp
@@ -1,5 +1,5 @@
 #include "poplarspool/config.h"
-#include "poplarspool/peer/teller_board.h"
+#include "poplarspool/peer/relay_election.h"
 
 #include <algorithm>
 #include <cppunit/extensions/HelperMacros.h>
@@ -21,9 +21,9 @@
     return mono_time(1h) + time;
 }
 
-store_news updateOf(std::uint64_t revision, std::uint32_t ageMs, bool isAnswered = true)
+store_update updateOf(std::uint64_t revision, std::uint32_t ageMs, bool isAnswered = true)
 {
-    kind_news one;
+    kind_update one;
     one.kind = runners;
     one.isAnswered = isAnswered;
     one.since = revision;
@@ -60,12 +60,12 @@
         const bool wasRelay = isRelay[i];
         isRelay[i] = elections[i].decide(true, wantedRelays, now);
         relayStarts += isRelay[i] && !wasRelay ? 1 : 0;
-        if (!isRelay[i] || (wasRelay && now - sentAt[i] < config::storeNewsTime))
+        if (!isRelay[i] || (wasRelay && now - sentAt[i] < config::storeUpdateInterval))
             return;
         sentAt[i] = now;
         for (std::size_t k = 0; k < elections.size(); ++k) {
             if (k != i)
-                elections[k].hear(i + 1, updateOf(5, 0), now);
+                elections[k].receive(i + 1, updateOf(5, 0), now);
         }
     }
 
@@ -76,7 +76,7 @@
 
     std::size_t wantedRelays;
     mono_time now = at(0ms);
-    std::vector<teller_board> elections;
+    std::vector<relay_election> elections;
     std::vector<bool> isAlive;
     std::vector<bool> isRelay;
     std::vector<mono_time> sentAt;
@@ -122,7 +122,7 @@
             instances.isAlive[i] = !instances.isRelay[i];
             instances.isRelay[i] = false;
         }
-        instances.run(config::tellerSilence + config::standInTimeMost + 100ms);
+        instances.run(config::relaySilenceLimit + config::maxTakeoverDelay + 100ms);
         CPPUNIT_ASSERT(instances.relayCount() >= 1);
         CPPUNIT_ASSERT(instances.relayStarts - before <= 4);
     }
@@ -131,18 +131,18 @@
     /// would be sent to a runner that has left.
     void silentRelayIsNotReliedOn()
     {
-        teller_board election{instance_id{"edge-1"}};
-        election.hear(relayNumber, updateOf(5, 0), at(0ms));
+        relay_election election{instance_id{"edge-1"}};
+        election.receive(relayNumber, updateOf(5, 0), at(0ms));
         const auto until = election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(100ms));
-        CPPUNIT_ASSERT(until == at(config::tellerSilence));
+        CPPUNIT_ASSERT(until == at(config::relaySilenceLimit));
         CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(701ms)));
     }
 
     void relayWithoutStoreIsNotReliedOn()
     {
-        teller_board election{instance_id{"edge-1"}};
-        election.hear(relayNumber, updateOf(5, 0), at(0ms));
-        election.hear(relayNumber, updateOf(5, 10, false), at(10ms));
+        relay_election election{instance_id{"edge-1"}};
+        election.receive(relayNumber, updateOf(5, 0), at(0ms));
+        election.receive(relayNumber, updateOf(5, 10, false), at(10ms));
         CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(20ms)));
     }
 
@@ -151,10 +151,10 @@
     /// of its confirmation must end the reliance.
     void relayWithUnansweredWatchIsNotReliedOnForLong()
     {
-        teller_board election{instance_id{"edge-1"}};
+        relay_election election{instance_id{"edge-1"}};
         for (milliseconds time = 0ms; time <= 1500ms; time += 250ms)
-            election.hear(relayNumber, updateOf(5, static_cast<std::uint32_t>(time.count())),
-                          at(time));
+            election.receive(relayNumber, updateOf(5, static_cast<std::uint32_t>(time.count())),
+                             at(time));
         CPPUNIT_ASSERT(election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(1399ms)));
         CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(1400ms)));
     }
@@ -163,8 +163,8 @@
     /// an older version than the relay and must query the store.
     void outdatedInstanceIsNotCovered()
     {
-        teller_board election{instance_id{"edge-1"}};
-        election.hear(relayNumber, updateOf(9, 0), at(0ms));
+        relay_election election{instance_id{"edge-1"}};
+        election.receive(relayNumber, updateOf(9, 0), at(0ms));
         CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(10ms)));
         CPPUNIT_ASSERT(election.coveredUntil({runners, {0, 9}, at(0ms)}, maxAge, at(10ms)));
         CPPUNIT_ASSERT(election.coveredUntil({runners, {0, 12}, at(0ms)}, maxAge, at(10ms)));
@@ -174,16 +174,16 @@
     /// catch up, the instance must query the store.
     void restartedRevisionsAreNotCovered()
     {
-        teller_board election{instance_id{"edge-1"}};
-        election.hear(relayNumber, updateOf(5, 0), at(5s));
+        relay_election election{instance_id{"edge-1"}};
+        election.receive(relayNumber, updateOf(5, 0), at(5s));
         CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 900}, at(0ms)}, maxAge, at(5s)));
     }
 
     void secondRelayCoversForFirst()
     {
-        teller_board election{instance_id{"edge-1"}};
-        election.hear(relayNumber, updateOf(5, 10, false), at(0ms));
-        election.hear(relayNumber + 1, updateOf(5, 0), at(0ms));
+        relay_election election{instance_id{"edge-1"}};
+        election.receive(relayNumber, updateOf(5, 10, false), at(0ms));
+        election.receive(relayNumber + 1, updateOf(5, 0), at(0ms));
         CPPUNIT_ASSERT(election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(10ms)));
     }
 
@@ -192,13 +192,13 @@
     /// with the newer epoch is ahead although its revision is lower.
     void epochsCompareBeforeRevisions()
     {
-        teller_board election({"self"});
-        election.hear(relayNumber, updateOf(9, 0), at(0ms));
+        relay_election election({"self"});
+        election.receive(relayNumber, updateOf(9, 0), at(0ms));
         CPPUNIT_ASSERT(!election.coveredUntil({runners, {1, 5}, at(0ms)}, maxAge, at(10ms)));
         CPPUNIT_ASSERT(election.coveredUntil({runners, {0, 9}, at(0ms)}, maxAge, at(10ms)));
-        store_news newer = updateOf(5, 0);
+        store_update newer = updateOf(5, 0);
         newer.kinds.front().version.epoch = 1;
-        election.hear(relayNumber + 1, newer, at(0ms));
+        election.receive(relayNumber + 1, newer, at(0ms));
         CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 9}, at(0ms)}, maxAge, at(10ms)));
         CPPUNIT_ASSERT(election.coveredUntil({runners, {1, 5}, at(0ms)}, maxAge, at(10ms)));
     }
--- a/tests/peer/store_relay_test.cpp
+++ b/tests/peer/store_update_exchange_test.cpp
@@ -1,4 +1,4 @@
-#include "poplarspool/peer/store_relay.h"
+#include "poplarspool/peer/store_update_exchange.h"
 
 #include "poplarspool/config.h"
 
@@ -22,21 +22,21 @@
         : exchange(
                 {{name}, 1, {"127.0.0.1", port}, "key-of-the-test-fleet"},
                 [this] { return nextIteration(); },
-                [this](std::uint64_t, const store_news &update) { onReceived(update); }, metrics,
+                [this](std::uint64_t, const store_update &update) { onReceived(update); }, metrics,
                 events)
     { }
 
-    relay_turn nextIteration()
+    relay_iteration nextIteration()
     {
         if (++iterations <= throwingIterations)
             throw std::length_error("too many");
-        kind_news update;
+        kind_update update;
         if (iterations <= throwingIterations + oversizedIterations)
             update.changes.emplace_back(config::maxChangeBytes + 1, 'a');
-        return {store_news{{update}}, iterationInterval};
+        return {store_update{{update}}, iterationInterval};
     }
 
-    void onReceived(const store_news &update)
+    void onReceived(const store_update &update)
     {
         const std::lock_guard lock(guard);
         if (throwingUpdates-- > 0)
@@ -61,8 +61,8 @@
     journal events{{"test"}, systemClock(), 16};
     std::mutex guard;
     std::condition_variable changed;
-    std::optional<store_news> received;
-    store_relay exchange;
+    std::optional<store_update> received;
+    store_update_exchange exchange;
 };
 
 } // namespace
--- a/tests/peer/store_news_test.cpp
+++ b/tests/peer/store_update_test.cpp
@@ -1,5 +1,5 @@
 #include "poplarspool/config.h"
-#include "poplarspool/peer/store_news.h"
+#include "poplarspool/peer/store_update.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -29,24 +29,25 @@
 public:
     void updatesRoundTrip()
     {
-        const store_news update{
+        const store_update update{
                 {{0, true, 5, {2, 9}, 250, {"a", ""}}, {1, false, 9, {0, 9}, 0, {}}}};
-        CPPUNIT_ASSERT(valueOf(decodeStoreNews(valueOf(encode(update)))) == update);
+        CPPUNIT_ASSERT(valueOf(decodeStoreUpdate(valueOf(encode(update)))) == update);
     }
 
     void malformedUpdatesAreRejected()
     {
-        const std::string whole = valueOf(encode(store_news{{{0, true, 5, {0, 9}, 250, {"abc"}}}}));
+        const std::string whole =
+                valueOf(encode(store_update{{{0, true, 5, {0, 9}, 250, {"abc"}}}}));
         for (std::size_t size = 0; size < whole.size(); ++size)
-            CPPUNIT_ASSERT(!succeeded(decodeStoreNews(whole.substr(0, size))));
-        CPPUNIT_ASSERT(!succeeded(decodeStoreNews(whole + "x")));
-        CPPUNIT_ASSERT(!succeeded(decodeStoreNews("\xff\xff\xff\xff\x0f")));
+            CPPUNIT_ASSERT(!succeeded(decodeStoreUpdate(whole.substr(0, size))));
+        CPPUNIT_ASSERT(!succeeded(decodeStoreUpdate(whole + "x")));
+        CPPUNIT_ASSERT(!succeeded(decodeStoreUpdate("\xff\xff\xff\xff\x0f")));
     }
 
     void oversizedUpdatesAreRejected()
     {
-        store_news update;
-        update.kinds.resize(config::maxToldKinds + 1);
+        store_update update;
+        update.kinds.resize(config::maxUpdateKinds + 1);
         CPPUNIT_ASSERT(errorOf(encode(update)).code == error_code::TooLarge);
         update.kinds.resize(1);
         update.kinds.front().changes.resize(1, std::string(config::maxChangeBytes + 1, 'a'));
@@ -63,7 +64,7 @@
         recent.add(5, {0, 7}, {"a"}, start);
         recent.add(7, {0, 8}, {}, start);
         recent.add(8, {0, 9}, {"b", "c"}, start);
-        const kind_news update = recent.tell(100);
+        const kind_update update = recent.makeUpdate(100);
         CPPUNIT_ASSERT(update.changes == (std::vector<std::string>{"a", "b", "c"}));
         CPPUNIT_ASSERT(update.since == 5 && update.version.revision == 9);
     }
@@ -76,11 +77,11 @@
         recent.reset({0, 5});
         recent.add(5, {0, 7}, {std::string(80, 'a')}, start);
         recent.add(7, {0, 9}, {std::string(80, 'b')}, start);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, recent.tell(100).since);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, recent.tell(50).since);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, recent.makeUpdate(100).since);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, recent.makeUpdate(50).since);
         recent.add(9, {0, 11}, {std::string(config::maxChangeBytes + 1, 'c')}, start);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{11}, recent.tell(5000).since);
-        CPPUNIT_ASSERT(recent.tell(5000).changes.empty());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{11}, recent.makeUpdate(5000).since);
+        CPPUNIT_ASSERT(recent.makeUpdate(5000).changes.empty());
     }
 
     /// A relay has missed changes between two calls of add(). If its update showed no gap,
@@ -91,7 +92,7 @@
         recent.reset({0, 5});
         recent.add(5, {0, 7}, {"a"}, start);
         recent.add(9, {0, 11}, {"b"}, start);
-        const kind_news update = recent.tell(100);
+        const kind_update update = recent.makeUpdate(100);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, update.since);
         CPPUNIT_ASSERT(update.changes == (std::vector<std::string>{"b"}));
     }
@@ -101,8 +102,8 @@
         recent_changes recent;
         recent.reset({0, 5});
         recent.add(5, {0, 7}, {"a"}, start);
-        recent.add(7, {0, 9}, {}, start + config::toldChangeTime + 1ms);
-        const kind_news update = recent.tell(100);
+        recent.add(7, {0, 9}, {}, start + config::relayedChangeRetention + 1ms);
+        const kind_update update = recent.makeUpdate(100);
         CPPUNIT_ASSERT(update.changes.empty());
         CPPUNIT_ASSERT(update.since == 7 && update.version.revision == 9);
     }
@@ -114,7 +115,7 @@
         recent.reset({0, 5});
         recent.add(5, {0, 9}, {"a"}, start);
         recent.add(6, {1, 8}, {"b"}, start);
-        const kind_news update = recent.tell(100);
+        const kind_update update = recent.makeUpdate(100);
         CPPUNIT_ASSERT(update.changes == (std::vector<std::string>{"b"}));
         CPPUNIT_ASSERT(update.since == 6 && update.version == (store_version{1, 8}));
     }
--- a/tests/platform/object_store_test.cpp
+++ b/tests/platform/object_store_test.cpp
@@ -150,7 +150,7 @@
         fake.isDown = false;
         now += milliseconds(40);
         CPPUNIT_ASSERT(errorOf(store.get("k")).code == error_code::NotFound);
-        CPPUNIT_ASSERT(store.lastAnswer() == now);
+        CPPUNIT_ASSERT(store.lastReplyAt() == now);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), events.events({"store_down", "", ""}).size());
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), events.events({"store_up", "", ""}).size());
     }
--- a/tests/platform/platform_wire_test.cpp
+++ b/tests/platform/platform_wire_test.cpp
@@ -2,7 +2,7 @@
 #include "poplarspool/platform/object_store.h"
 #include "poplarspool/platform/weight_store.h"
 #include "standin/platform.h"
-#include "standin/platform_lines.h"
+#include "standin/platform_instance_list.h"
 
 #include "poplarspool/config.h"
 
@@ -68,7 +68,7 @@
 public:
     void setUp() override
     {
-        pool = std::make_shared<http_pool>(4, config::connectTime, metrics);
+        pool = std::make_shared<http_pool>(4, config::connectTimeout, metrics);
         const auto started = platform.start();
         CPPUNIT_ASSERT(succeeded(started));
         address = valueOf(started);
@@ -210,18 +210,18 @@
 
     void instanceListIsDelayed()
     {
-        using clock_type = standin::lagging_list::clock_type;
+        using clock_type = standin::delayed_instance_list::clock_type;
         clock_type::time_point now = clock_type::now();
-        standin::lagging_list list([&] { return now; });
+        standin::delayed_instance_list list([&] { return now; });
         list.setLag(std::chrono::seconds(3));
         list.set({"a", "z", "p", false});
         now += std::chrono::seconds(2);
         list.set({"a", "z", "p", true});
-        CPPUNIT_ASSERT(list.seen().empty());
+        CPPUNIT_ASSERT(list.visible().empty());
         now += std::chrono::seconds(1);
-        CPPUNIT_ASSERT(!list.seen().front().isLeaving);
+        CPPUNIT_ASSERT(!list.visible().front().isLeaving);
         now += std::chrono::seconds(2);
-        CPPUNIT_ASSERT(list.seen().front().isLeaving);
+        CPPUNIT_ASSERT(list.visible().front().isLeaving);
     }
 };
 
--- a/tests/policy/addresses_test.cpp
+++ b/tests/policy/addresses_test.cpp
@@ -66,7 +66,7 @@
         CPPUNIT_ASSERT_EQUAL(config::maxRankedAddresses, ranked.size());
         const auto elsewhere = std::count_if(ranked.begin(), ranked.end(),
                                              [](std::uint16_t port) { return port % 2 == 1; });
-        CPPUNIT_ASSERT_EQUAL(config::minElsewhereAddresses, std::size_t(elsewhere));
+        CPPUNIT_ASSERT_EQUAL(config::minOtherZoneAddresses, std::size_t(elsewhere));
         CPPUNIT_ASSERT_EQUAL(1, ranked.back() % 2);
     }
 
--- a/tests/policy/fixture.h
+++ b/tests/policy/fixture.h
@@ -26,7 +26,7 @@
         engine.pool = llmPool;
         engine.zone = fleet->zones[i % 2];
         engine.address = {"127.0.0.1", static_cast<std::uint16_t>(9000 + i)};
-        engine.mayCarry = {reader};
+        engine.supportedModels = {reader};
         fleet->runners.push_back(engine);
     }
     runner_spec service;
@@ -61,7 +61,7 @@
         now.runners[i].health = runner_health::Up;
         now.runners[i].reportedAt = startTime;
         now.runners[i].report.kvPiecesTotal = 1000;
-        now.runners[i].report.models = now.fleet->runners[i].mayCarry;
+        now.runners[i].report.models = now.fleet->runners[i].supportedModels;
     }
     return now;
 }
--- a/tests/policy/plan_test.cpp
+++ b/tests/policy/plan_test.cpp
@@ -30,7 +30,7 @@
     static inline const demand_estimate evenMix{3, 3, 0, 0};
 
     plan_rule rule;
-    plan_memory memory;
+    planner_state memory;
 
     plan_step runOnce(const view &now, const demand_estimate &seen = {}) const
     {
@@ -49,7 +49,7 @@
             for (runner_state &runner : now.runners)
                 runner.reportedAt = time;
             const plan_step step = planPool(now, llmPool, rule, memory, demand(second), time);
-            memory = step.memory;
+            memory = step.plannerState;
             for (const planned_change &change : step.changes) {
                 now.runners[change.runner.index].report.role = change.wanted.role;
                 first = std::min(first, second);
@@ -89,7 +89,7 @@
         const model_version next{reader.model, "2"};
         fleet->pools[0].serves = {next};
         for (std::uint32_t i = 0; i < 3; ++i)
-            fleet->runners[i].mayCarry = {reader, next};
+            fleet->runners[i].supportedModels = {reader, next};
         view now = makeView(fleet);
         for (std::uint32_t i = 0; i < 3; ++i)
             now.runners[i].report.models = {reader};
@@ -206,7 +206,7 @@
     {
         const role_split present{10, 0, 0};
         const demand_estimate demand{6, 5, 0.5, 0.5};
-        const auto advice = adviseSplit(present, demand, serving_mode::HandedOver);
+        const auto advice = adviseSplit(present, demand, serving_mode::PrefillHandoff);
         CPPUNIT_ASSERT(advice.gain > 2);
         role_split best = present;
         for (const role_move &move : advice.moves) {
@@ -215,8 +215,8 @@
         }
         CPPUNIT_ASSERT(best.prefill > 0);
         CPPUNIT_ASSERT(best.decode > 0);
-        CPPUNIT_ASSERT(adviseSplit(best, demand, serving_mode::HandedOver).moves.empty());
-        const auto whole = adviseSplit(present, demand, serving_mode::Whole);
+        CPPUNIT_ASSERT(adviseSplit(best, demand, serving_mode::PrefillHandoff).moves.empty());
+        const auto whole = adviseSplit(present, demand, serving_mode::SingleEngine);
         CPPUNIT_ASSERT(whole.moves.empty());
     }
 };
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -37,9 +37,9 @@
     {
         retry_budget budget(0.5, 1);
         CPPUNIT_ASSERT(budget.hasRoom());
-        budget.takeAnyway();
+        budget.takeUnconditionally();
         CPPUNIT_ASSERT(budget.hasRoom() && !budget.tryTake());
-        budget.takeAnyway();
+        budget.takeUnconditionally();
         CPPUNIT_ASSERT(!budget.hasRoom());
         budget.onRequest();
         budget.onRequest();
--- a/tests/policy/routing_test.cpp
+++ b/tests/policy/routing_test.cpp
@@ -84,7 +84,7 @@
         wanted.avoid = {runner_handle{5}};
         const error refused = refusal(now, wanted);
         CPPUNIT_ASSERT(refused.code == error_code::Unavailable);
-        CPPUNIT_ASSERT(refused.retryAfter == config::awayRetryAfter);
+        CPPUNIT_ASSERT(refused.retryAfter == config::noRunnerRetryAfter);
     }
 
     void requestThatWouldBeLateIsRefused()
@@ -139,7 +139,7 @@
     {
         view now = makeView(makeFleet(2));
         setStreams(now.runners[1], 20);
-        now.runners[0].reportedAt = startTime - config::loadStaleTime - milliseconds(1);
+        now.runners[0].reportedAt = startTime - config::loadReportExpiry - milliseconds(1);
         CPPUNIT_ASSERT_EQUAL(1u, chosen(now, readerRequest()));
         setStreams(now.runners[1], 50);
         CPPUNIT_ASSERT_EQUAL(0u, chosen(now, readerRequest()));
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -36,49 +36,54 @@
         request_rule receipts;
         receipts.service = "portal";
         receipts.pathPrefix = "/receipts";
-        receipts.repeat = repeat_rule::Never;
+        receipts.repeat = retry_policy::Never;
         receipts.needsKey = true;
         request_rule all;
         all.service = "portal";
         ruleSet.requests = {receipts, all};
-        CPPUNIT_ASSERT(rulingOf(ruleSet, call("POST", "/receipts/7")).needsKey);
-        CPPUNIT_ASSERT(rulingOf(ruleSet, call("GET", "/receipts")).repeat == repeat_rule::Never);
-        CPPUNIT_ASSERT(rulingOf(ruleSet, call("POST", "/balance")).repeat == repeat_rule::Allowed);
-        CPPUNIT_ASSERT(!rulingOf(ruleSet, call("POST", "/balance")).needsKey);
+        CPPUNIT_ASSERT(effectiveRulesOf(ruleSet, call("POST", "/receipts/7")).needsKey);
+        CPPUNIT_ASSERT(effectiveRulesOf(ruleSet, call("GET", "/receipts")).repeat
+                       == retry_policy::Never);
+        CPPUNIT_ASSERT(effectiveRulesOf(ruleSet, call("POST", "/balance")).repeat
+                       == retry_policy::Allowed);
+        CPPUNIT_ASSERT(!effectiveRulesOf(ruleSet, call("POST", "/balance")).needsKey);
     }
 
     void classComesFromRuleThenCallerThenDefault()
     {
         CPPUNIT_ASSERT_EQUAL(std::string("rest"),
-                             rulingOf(ruleSet, call("GET", "/")).priorityClass);
+                             effectiveRulesOf(ruleSet, call("GET", "/")).priorityClass);
         ruleSet.callers = {{{"desk"}, "", {}, "live"}};
-        CPPUNIT_ASSERT_EQUAL(0u, rulingOf(ruleSet, call("GET", "/")).rank);
+        CPPUNIT_ASSERT_EQUAL(0u, effectiveRulesOf(ruleSet, call("GET", "/")).rank);
         request_rule slow;
         slow.pathPrefix = "/slow";
         slow.priorityClass = "rest";
         ruleSet.requests = {slow};
-        CPPUNIT_ASSERT_EQUAL(5u, rulingOf(ruleSet, call("GET", "/slow")).rank);
-        CPPUNIT_ASSERT(rulingOf(ruleSet, call("GET", "/")).timeLimit == std::chrono::seconds(2));
+        CPPUNIT_ASSERT_EQUAL(5u, effectiveRulesOf(ruleSet, call("GET", "/slow")).rank);
+        CPPUNIT_ASSERT(effectiveRulesOf(ruleSet, call("GET", "/")).timeLimit
+                       == std::chrono::seconds(2));
     }
 
     void postWithoutRuleIsNotRepeated()
     {
-        CPPUNIT_ASSERT(rulingOf(ruleSet, call("POST", "/orders")).repeat == repeat_rule::Never);
-        CPPUNIT_ASSERT(rulingOf(ruleSet, call("GET", "/orders")).repeat == repeat_rule::Allowed);
+        CPPUNIT_ASSERT(effectiveRulesOf(ruleSet, call("POST", "/orders")).repeat
+                       == retry_policy::Never);
+        CPPUNIT_ASSERT(effectiveRulesOf(ruleSet, call("GET", "/orders")).repeat
+                       == retry_policy::Allowed);
         request_facts completion;
         completion.model = "reader";
         completion.method = "POST";
-        CPPUNIT_ASSERT(rulingOf(ruleSet, completion).repeat == repeat_rule::Allowed);
+        CPPUNIT_ASSERT(effectiveRulesOf(ruleSet, completion).repeat == retry_policy::Allowed);
     }
 
     void onlyListedCallersHaveAccess()
     {
-        CPPUNIT_ASSERT(succeeded(admitCaller(ruleSet, "")));
-        CPPUNIT_ASSERT(!valueOf(admitCaller(ruleSet, "any")).isValid());
+        CPPUNIT_ASSERT(succeeded(authenticateCaller(ruleSet, "")));
+        CPPUNIT_ASSERT(!valueOf(authenticateCaller(ruleSet, "any")).isValid());
         ruleSet.callers = {{{"desk"}, sha256Hex("secret"), {}, ""}, {{"none"}, "", {}, ""}};
-        CPPUNIT_ASSERT(valueOf(admitCaller(ruleSet, "secret")) == caller_id{"desk"});
+        CPPUNIT_ASSERT(valueOf(authenticateCaller(ruleSet, "secret")) == caller_id{"desk"});
         for (const std::string_view key : {"", "Secret", "secret "}) {
-            const error refused = errorOf(admitCaller(ruleSet, key));
+            const error refused = errorOf(authenticateCaller(ruleSet, key));
             CPPUNIT_ASSERT(refused.code == error_code::Unauthorized);
             CPPUNIT_ASSERT(refused.ran == verdict::NotRun);
         }
@@ -86,12 +91,12 @@
 
     void callerMayUseOnlyItsWorkspaces()
     {
-        CPPUNIT_ASSERT(mayUse(ruleSet, {}, {"lanka"}));
+        CPPUNIT_ASSERT(mayUseWorkspace(ruleSet, {}, {"lanka"}));
         ruleSet.callers = {{{"desk"}, "", {{"lanka"}}, ""}, {{"any"}, "", {}, ""}};
-        CPPUNIT_ASSERT(mayUse(ruleSet, {"desk"}, {"lanka"}));
-        CPPUNIT_ASSERT(!mayUse(ruleSet, {"desk"}, {"totara"}));
-        CPPUNIT_ASSERT(mayUse(ruleSet, {"any"}, {"totara"}));
-        CPPUNIT_ASSERT(!mayUse(ruleSet, {"stranger"}, {"lanka"}));
+        CPPUNIT_ASSERT(mayUseWorkspace(ruleSet, {"desk"}, {"lanka"}));
+        CPPUNIT_ASSERT(!mayUseWorkspace(ruleSet, {"desk"}, {"totara"}));
+        CPPUNIT_ASSERT(mayUseWorkspace(ruleSet, {"any"}, {"totara"}));
+        CPPUNIT_ASSERT(!mayUseWorkspace(ruleSet, {"stranger"}, {"lanka"}));
     }
 };
 
--- a/tests/runner/engine_control_test.cpp
+++ b/tests/runner/engine_control_test.cpp
@@ -40,7 +40,7 @@
         const auto second = fixture.api.load(fixture.address);
         CPPUNIT_ASSERT(succeeded(first) && succeeded(second));
         const policy::load_report &report = valueOf(second);
-        CPPUNIT_ASSERT(report.life == valueOf(first).life);
+        CPPUNIT_ASSERT(report.incarnation == valueOf(first).incarnation);
         CPPUNIT_ASSERT(report.sequence > valueOf(first).sequence);
         CPPUNIT_ASSERT_EQUAL(1000U, report.kvPiecesTotal);
         CPPUNIT_ASSERT(report.models == std::vector<policy::model_version>({{"m", "1"}}));
@@ -53,11 +53,11 @@
     {
         engine_fixture fixture;
         const auto newer = orderFor(7, "new", policy::engine_role::Decode);
-        CPPUNIT_ASSERT(succeeded(fixture.api.order(fixture.address, newer, safetyTime)));
-        CPPUNIT_ASSERT(succeeded(fixture.api.order(fixture.address, newer, safetyTime)));
+        CPPUNIT_ASSERT(succeeded(fixture.api.order(fixture.address, newer, testTimeout)));
+        CPPUNIT_ASSERT(succeeded(fixture.api.order(fixture.address, newer, testTimeout)));
         for (const auto &stale : {orderFor(6, "old", policy::engine_role::Prefill),
                                   orderFor(7, "twin", policy::engine_role::Prefill)}) {
-            const auto refused = fixture.api.order(fixture.address, stale, safetyTime);
+            const auto refused = fixture.api.order(fixture.address, stale, testTimeout);
             CPPUNIT_ASSERT(errorOf(refused).code == error_code::Stale);
             CPPUNIT_ASSERT(errorOf(refused).ran == verdict::NotRun);
         }
@@ -75,8 +75,8 @@
         engine_fixture fixture(options);
         const auto newer = orderFor(7, "new", policy::engine_role::Decode);
         const auto stale = orderFor(6, "old", policy::engine_role::Prefill);
-        CPPUNIT_ASSERT(succeeded(fixture.api.order(fixture.address, newer, safetyTime)));
-        CPPUNIT_ASSERT(succeeded(fixture.api.order(fixture.address, stale, safetyTime)));
+        CPPUNIT_ASSERT(succeeded(fixture.api.order(fixture.address, newer, testTimeout)));
+        CPPUNIT_ASSERT(succeeded(fixture.api.order(fixture.address, stale, testTimeout)));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), fixture.engine.records().staleOrdersObeyed);
     }
 
@@ -90,7 +90,7 @@
                 [&](const stream_token &token) {
                     const auto order = orderFor(1, "n", policy::engine_role::Decode);
                     return token.index > 0
-                            || succeeded(fixture.api.order(fixture.address, order, safetyTime));
+                            || succeeded(fixture.api.order(fixture.address, order, testTimeout));
                 });
         CPPUNIT_ASSERT(errorOf(outcome).code == error_code::Broken);
         const auto records = fixture.engine.records();
--- a/tests/runner/engine_fixture.h
+++ b/tests/runner/engine_fixture.h
@@ -16,12 +16,12 @@
 namespace poplarspool::runner {
 
 /// Time-out of every wait for an expected event; exceeding it fails the test.
-constexpr milliseconds safetyTime{20000};
+constexpr milliseconds testTimeout{20000};
 
 /// Waits until the condition holds, checking it every millisecond.
 inline void awaitThat(const std::function<bool()> &condition)
 {
-    const auto deadline = std::chrono::steady_clock::now() + safetyTime;
+    const auto deadline = std::chrono::steady_clock::now() + testTimeout;
     while (!condition()) {
         CPPUNIT_ASSERT_MESSAGE("condition was not reached in time",
                                std::chrono::steady_clock::now() < deadline);
@@ -55,7 +55,7 @@
         request.model = "m";
         request.prompt = "prompt of " + name;
         request.maxTokens = tokens;
-        request.timeLeft = safetyTime;
+        request.timeLeft = testTimeout;
         return request;
     }
 
--- a/tests/runner/service_test.cpp
+++ b/tests/runner/service_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr milliseconds safetyTime{20000};
+constexpr milliseconds testTimeout{20000};
 
 struct service_fixture
 {
@@ -21,7 +21,7 @@
                                    "abc",
                                    "text/plain"};
         return api.call(
-                address, request, safetyTime, [](const http_reply &) { return true; },
+                address, request, testTimeout, [](const http_reply &) { return true; },
                 [&](std::string_view piece) {
                     body.append(piece);
                     return true;
@@ -108,7 +108,7 @@
     void serviceWithoutLoadPathCountsAsUp()
     {
         service_fixture fixture;
-        CPPUNIT_ASSERT(valueOf(fixture.api.load(fixture.address)).life > 0);
+        CPPUNIT_ASSERT(valueOf(fixture.api.load(fixture.address)).incarnation > 0);
         metrics_registry metrics;
         int status = 404;
         http_server other(
--- a/tests/scaling/fleet_plan_test.cpp
+++ b/tests/scaling/fleet_plan_test.cpp
@@ -108,7 +108,7 @@
     void unavailableKindIsNotOrdered()
     {
         zone_fleet unavailable = zoneOf("a", 35, 0);
-        unavailable.isSpotDry = true;
+        unavailable.isSpotUnavailable = true;
         CPPUNIT_ASSERT(planOf({unavailable}).empty());
     }
 
@@ -128,7 +128,7 @@
     {
         zone_fleet reclaimed = zoneOf("a", 1, 0);
         reclaimed.regularOrdered = 1;
-        reclaimed.isSpotDry = true;
+        reclaimed.isSpotUnavailable = true;
         zone_fleet alsoReclaimed = reclaimed;
         alsoReclaimed.zone = {"b"};
         CPPUNIT_ASSERT(planOf({reclaimed, alsoReclaimed, zoneWithSpare("c")})
@@ -146,11 +146,11 @@
 
     void checkpointSurvivesEncoding()
     {
-        const fleet_note checkpoint{{{"s", {{"a"}, true, 34}}, {"s", {{"b"}, false, 1}}},
-                                    {{"s", {{"a"}, false, 35}}}};
-        CPPUNIT_ASSERT(decodeFleetNote(encode(checkpoint)) == checkpoint);
+        const fleet_checkpoint checkpoint{{{"s", {{"a"}, true, 34}}, {"s", {{"b"}, false, 1}}},
+                                          {{"s", {{"a"}, false, 35}}}};
+        CPPUNIT_ASSERT(decodeFleetCheckpoint(encode(checkpoint)) == checkpoint);
         for (const char *text : {"", "{", "[]", "{\"given\":[{}],\"sizes\":[]}"})
-            CPPUNIT_ASSERT_MESSAGE(text, !decodeFleetNote(text));
+            CPPUNIT_ASSERT_MESSAGE(text, !decodeFleetCheckpoint(text));
     }
 };
 
--- a/tests/standin/batch_test.cpp
+++ b/tests/standin/batch_test.cpp
@@ -31,7 +31,7 @@
 
     sequence_ptr add(const std::string &prompt, std::uint32_t outputTokens, std::uint32_t rank = 0)
     {
-        piece_chain chain("m", pieceTokens);
+        prefix_hash_chain chain("m", pieceTokens);
         for (const char letter : prompt)
             chain.add({&letter, 1});
         auto one = std::make_shared<sequence>();
@@ -39,7 +39,7 @@
         one->arrival = ++arrivals;
         one->hashes = chain.hashes();
         one->contextTokens = static_cast<std::uint32_t>(prompt.size());
-        one->wantedTokens = outputTokens;
+        one->outputTokens = outputTokens;
         work.add(one);
         return one;
     }
@@ -53,7 +53,7 @@
         std::uint32_t iterations = 0;
         while (!work.isEmpty()) {
             iterate();
-            CPPUNIT_ASSERT(cache.held() <= cache.total());
+            CPPUNIT_ASSERT(cache.inUse() <= cache.total());
             CPPUNIT_ASSERT(++iterations < 1000);
         }
         return iterations;
@@ -90,7 +90,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), fixture.iterate().size());
         CPPUNIT_ASSERT_EQUAL(2U, fixture.runToCompletion());
         CPPUNIT_ASSERT_EQUAL(3U, one->produced);
-        CPPUNIT_ASSERT_EQUAL(0U, fixture.cache.held());
+        CPPUNIT_ASSERT_EQUAL(0U, fixture.cache.inUse());
     }
 
     void cachedPrefixesAreReused()
@@ -150,7 +150,7 @@
             tokens += static_cast<std::uint32_t>(fixture.iterate().size());
         CPPUNIT_ASSERT_EQUAL(64U, tokens);
         CPPUNIT_ASSERT(fixture.work.preemptedCount() > 0);
-        CPPUNIT_ASSERT_EQUAL(0U, fixture.cache.held());
+        CPPUNIT_ASSERT_EQUAL(0U, fixture.cache.inUse());
     }
 
     void roleScalesTheRates()
@@ -160,7 +160,7 @@
         batch work(fixture.options, fixture.cache);
         auto one = std::make_shared<sequence>();
         one->contextTokens = 4000;
-        one->wantedTokens = 1;
+        one->outputTokens = 1;
         work.add(one);
         const auto mixed = work.plan({1.0, 1.0}).duration;
         const auto own = work.plan({2.0, 0.5}).duration;
--- a/tests/standin/engine_core_test.cpp
+++ b/tests/standin/engine_core_test.cpp
@@ -75,8 +75,8 @@
         CPPUNIT_ASSERT_EQUAL(409, std::get<engine_refusal>(refusal).status);
         const auto records = core.records();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), records.cut);
-        CPPUNIT_ASSERT(records.requests.at(0).hasBegun && records.requests.at(0).wasCut);
-        CPPUNIT_ASSERT(!records.requests.at(1).hasBegun && !records.requests.at(1).wasCut);
+        CPPUNIT_ASSERT(records.requests.at(0).hasStarted && records.requests.at(0).wasCut);
+        CPPUNIT_ASSERT(!records.requests.at(1).hasStarted && !records.requests.at(1).wasCut);
         core.stop();
     }
 
@@ -90,7 +90,7 @@
         core.start();
         const auto before = core.report();
         CPPUNIT_ASSERT(!core.order(5, "n", {"decode", {{"m", "1"}}}));
-        waitUntil([&] { return core.report().life > before.life; });
+        waitUntil([&] { return core.report().incarnation > before.incarnation; });
         waitUntil([&] { return core.waitUntilReachable(); });
         const auto after = core.report();
         CPPUNIT_ASSERT_EQUAL(std::string("mixed"), after.setup.role);
