--- a/src/bench/answer_reader.h
+++ b/src/bench/answer_reader.h
@@ -22,8 +22,8 @@
     mono_time firstTextAt{};
 };
 
-/// @returns The error in a reply's body. Its verdict is "may have run" unless the body says "not
-/// run".
+/// @returns The error in a reply's body. Unless the body says "not run", its verdict is "may have
+///          run".
 error parseFailure(const http_reply &reply);
 
 /// Incremental parser for a streamed completion (server-sent events).
--- a/src/bench/call_command.cpp
+++ b/src/bench/call_command.cpp
@@ -75,7 +75,7 @@
     add("to", "Address", cxxopts::value<std::string>());
     add("method", "Method", cxxopts::value<std::string>()->default_value("GET"));
     add("path", "Path and query", cxxopts::value<std::string>()->default_value("/"));
-    add("body", "JSON", cxxopts::value<std::string>()->default_value(""));
+    add("body", "JSON body", cxxopts::value<std::string>()->default_value(""));
     return parseAndRun(options, arguments, runCall);
 }
 
--- a/src/bench/command.h
+++ b/src/bench/command.h
@@ -51,7 +51,7 @@
 
 /// Reads an unsigned integer option that is declared as a string: cxxopts' own integer parser does
 /// not compile everywhere with -Werror=restrict of g++ 12.
-/// @throws usage_error
+/// @throws usage_error If the value is not an unsigned integer, or is below `min`.
 std::uint64_t countOption(const cxxopts::ParseResult &parsed, const std::string &name,
                           std::uint64_t min = 0);
 
--- a/src/bench/load_call.cpp
+++ b/src/bench/load_call.cpp
@@ -18,18 +18,18 @@
 
 constexpr milliseconds initialBackoff{100};
 constexpr milliseconds maxBackoff{2000};
-/// Extra time beyond the time limit, in which the reply that the limit has passed still arrives.
+/// Added to a call's time limit, so that the instance can still answer that the limit has passed.
 constexpr milliseconds verdictGraceTime{1000};
 
-/// Why a try was not run.
+/// Why an attempt was not run.
 struct refusal
 {
     error failure;
     bool isUnreached = false; ///< No instance could be reached.
 };
 
-/// Result of one try: the final outcome, or why it was not run.
-using try_outcome = std::variant<call_outcome, refusal>;
+/// Result of one attempt: the final outcome, or why it was not run.
+using attempt_outcome = std::variant<call_outcome, refusal>;
 
 call_outcome ended(call_end end, std::string detail = {})
 {
@@ -115,16 +115,16 @@
                  : ended(call_end::Wrong, "answer belongs to another call");
 }
 
-/// @returns The outcome of a try that failed before any part of the answer was received.
-try_outcome failedTry(const error &failure, bool isUnreached)
+/// @returns The outcome of an attempt that failed before any part of the answer was received.
+attempt_outcome failedAttempt(const error &failure, bool isUnreached)
 {
     if (failure.ran == verdict::NotRun)
         return refusal{failure, isUnreached};
     return ended(call_end::MayHaveRun, std::string(nameOf(failure.code)) + ": " + failure.message);
 }
 
-try_outcome tryStreamed(const load_call &call, const endpoint &to, const http_request &request,
-                        http_pool &pool, milliseconds timeLeft, mono_time due)
+attempt_outcome sendStreamed(const load_call &call, const endpoint &to, const http_request &request,
+                             http_pool &pool, milliseconds timeLeft, mono_time due)
 {
     const clock_source clock = systemClock();
     stream_answer_reader reader(clock);
@@ -143,44 +143,45 @@
     const result<http_reply> sent =
             pool.stream(to, request, timeLeft + verdictGraceTime, onHead, onPiece);
     if (succeeded(sent) && refused)
-        return failedTry(parseFailure(*refused), false);
+        return failedAttempt(parseFailure(*refused), false);
     const completion_answer &answer = reader.answer();
     if (answer.text.empty() && answer.failure)
-        return failedTry(*answer.failure, false);
+        return failedAttempt(*answer.failure, false);
     if (answer.text.empty() && !succeeded(sent))
-        return failedTry(errorOf(sent), true);
+        return failedAttempt(errorOf(sent), true);
     call_outcome outcome = checkCompletion(call, answer);
     outcome.firstByte = answer.firstTextAt - due;
     return outcome;
 }
 
-try_outcome tryPlain(const load_call &call, const endpoint &to, const http_request &request,
-                     http_pool &pool, milliseconds timeLeft, mono_time due)
+attempt_outcome sendPlain(const load_call &call, const endpoint &to, const http_request &request,
+                          http_pool &pool, milliseconds timeLeft, mono_time due)
 {
     const clock_source clock = systemClock();
     const result<http_reply> sent = pool.send(to, request, timeLeft + verdictGraceTime);
     if (!succeeded(sent))
-        return failedTry(errorOf(sent), true);
+        return failedAttempt(errorOf(sent), true);
     const http_reply &reply = valueOf(sent);
     if (reply.status != 200)
-        return failedTry(parseFailure(reply), false);
+        return failedAttempt(parseFailure(reply), false);
     call_outcome outcome = call.model.empty() ? checkServiceReply(call, reply)
                                               : checkCompletion(call, parseAnswer(reply, clock));
     outcome.firstByte = clock.mono() - due;
     return outcome;
 }
 
-try_outcome tryOnce(const load_call &call, const caller_identity &identity, const endpoint &to,
-                    http_pool &pool, milliseconds timeLeft, mono_time due)
+attempt_outcome sendAttempt(const load_call &call, const caller_identity &identity,
+                            const endpoint &to, http_pool &pool, milliseconds timeLeft,
+                            mono_time due)
 {
     http_request request = call.model.empty() ? serviceRequest(call) : completionRequest(call);
     request.headers = headersOf(call, identity, timeLeft);
     if (call.isStreamed)
-        return tryStreamed(call, to, request, pool, timeLeft, due);
-    return tryPlain(call, to, request, pool, timeLeft, due);
+        return sendStreamed(call, to, request, pool, timeLeft, due);
+    return sendPlain(call, to, request, pool, timeLeft, due);
 }
 
-/// @returns Whether another try may succeed; other refusals are final.
+/// @returns Whether another attempt may succeed; other refusals are final.
 bool isRetryable(const error &failure)
 {
     return failure.retryAfter || failure.code == error_code::Unavailable
@@ -189,18 +190,18 @@
 
 /// Tries each address once, best first. Moves on to the next one only if the connection could not
 /// be made.
-try_outcome tryAddresses(const load_call &call, const caller_identity &identity,
-                         address_cache &addressCache, http_pool &pool, mono_time deadline,
-                         mono_time due)
+attempt_outcome tryAddresses(const load_call &call, const caller_identity &identity,
+                             address_cache &addressCache, http_pool &pool, mono_time deadline,
+                             mono_time due)
 {
     const clock_source clock = systemClock();
-    try_outcome outcome =
+    attempt_outcome outcome =
             refusal{notRun(error_code::Unavailable, "no address could be reached"), true};
     for (const endpoint &to : addressCache.addresses()) {
         const auto timeLeft = std::chrono::duration_cast<milliseconds>(deadline - clock.mono());
         if (timeLeft <= milliseconds(0))
             break;
-        outcome = tryOnce(call, identity, to, pool, timeLeft, due);
+        outcome = sendAttempt(call, identity, to, pool, timeLeft, due);
         const auto *refused = std::get_if<refusal>(&outcome);
         if (refused == nullptr || !refused->isUnreached)
             return outcome;
@@ -218,7 +219,7 @@
     milliseconds backoff = initialBackoff;
     std::uint32_t notRunAnswers = 0;
     for (;;) {
-        try_outcome outcome = tryAddresses(call, identity, addressCache, pool, deadline, due);
+        attempt_outcome outcome = tryAddresses(call, identity, addressCache, pool, deadline, due);
         if (auto *finalOutcome = std::get_if<call_outcome>(&outcome)) {
             finalOutcome->notRunAnswers = notRunAnswers;
             return *finalOutcome;
--- a/src/bench/load_call.h
+++ b/src/bench/load_call.h
@@ -27,7 +27,7 @@
 /// Final outcome of a request as its caller sees it.
 enum class call_end {
     Whole,
-    Refused, ///< The last try failed with the verdict "not run".
+    Refused, ///< The last attempt failed with the verdict "not run".
     MayHaveRun, ///< Failed before any part of the answer, with the verdict "may have run".
     Doubled,
     Cut, ///< The answer began and did not end completely, whatever error was reported.
@@ -38,7 +38,9 @@
 {
     call_end end = call_end::MayHaveRun;
     std::chrono::nanoseconds firstByte{0}; ///< Counted from `due`; only set for Whole.
-    std::uint32_t notRunAnswers = 0; ///< Number over all tries.
+    /// Number of attempts that were not run. Moving on to another address after a failed connection
+    /// does not count; a round in which no address could be reached counts as one.
+    std::uint32_t notRunAnswers = 0;
     std::string detail; ///< Error message of a failure.
 };
 
--- a/src/bench/load_plan.h
+++ b/src/bench/load_plan.h
@@ -42,7 +42,7 @@
     milliseconds timeLimit{60000};
 };
 
-/// @returns The request of that number.
+/// @returns The request with that number.
 /// @param elapsed Time since the start of the run.
 load_call makeCall(const load_plan &plan, std::uint64_t number, std::chrono::nanoseconds elapsed);
 
--- a/src/bench/load_run.h
+++ b/src/bench/load_run.h
@@ -29,11 +29,13 @@
     std::uint64_t requests = 0;
     std::uint64_t whole = 0;
     std::uint64_t refused = 0;
-    std::uint64_t notRun = 0; ///< "Not run" answers, including tries that were retried.
+    std::uint64_t notRun = 0; ///< "Not run" answers, including those to retried attempts.
     std::uint64_t mayHaveRun = 0;
     /// Answers with repeated tokens, and runs of a key beyond its first.
     std::uint64_t doubled = 0;
     std::uint64_t cut = 0;
+    /// Wrong answers, keys with a complete answer that no service ran, and 1 if the records could
+    /// not be fetched.
     std::uint64_t wrong = 0;
     /// Keys reported as "not run" to the caller although a service ran them; 0 without a
     /// comparison.
--- a/src/standin/batch.h
+++ b/src/standin/batch.h
@@ -76,6 +76,7 @@
     void add(sequence_ptr added);
     void remove(const sequence_ptr &removed);
     /// Drops all sequences, queued and running.
+    /// @returns The dropped sequences.
     std::vector<sequence_ptr> clear();
 
     bool isEmpty() const { return queue.empty() && running.empty(); }
--- a/src/standin/kv_cache.h
+++ b/src/standin/kv_cache.h
@@ -56,7 +56,7 @@
     void publish(std::uint64_t hash);
     void releaseShared(std::uint64_t hash);
     /// Adds an imported piece to the cache, not in use by any sequence.
-    /// @returns False if there is no free memory.
+    /// @returns False if sequences use all memory.
     bool insert(std::uint64_t hash);
     /// Drops everything, as a restart does.
     void clear();
@@ -70,8 +70,8 @@
 
     void acquire(shared_piece &piece);
     void makeIdle(std::uint64_t hash, shared_piece &piece);
-    /// Evicts cached pieces until that many are free.
-    /// @returns False if there are not enough.
+    /// Evicts idle pieces until that many are free.
+    /// @returns False if too many pieces are in use; nothing is evicted then.
     bool evictUntilFree(std::uint32_t count);
 
     std::uint32_t pieces;
--- a/src/standin/platform_faults.h
+++ b/src/standin/platform_faults.h
@@ -27,14 +27,15 @@
     bool isEnding = false;
 };
 
-/// Rate limit of the weight store: a token bucket with a capacity of one second.
+/// Rate limit of the weight store: a token bucket that holds the calls of one second, at least one
+/// call.
 class rate_limit
 {
 public:
     explicit rate_limit(double perSecond);
 
     bool tryTake();
-    /// @returns Seconds until the next call is allowed, rounded up; for Retry-After.
+    /// @returns Seconds until the next call is allowed, rounded up, at least 1; for Retry-After.
     std::uint32_t secondsLeft();
 
 private:
--- a/src/standin/platform_objects.h
+++ b/src/standin/platform_objects.h
@@ -81,8 +81,8 @@
     std::optional<object_map> snapshot;
     std::uint64_t snapshotVersion = 0;
     std::uint64_t rollbackVersion = 0; ///< Store version after the last rollback.
-    object_map
-            lostWrites; ///< Latest version of each object lost in a rollback and not replayed yet.
+    /// Latest version of each object that was lost in a rollback and is not replayed yet.
+    object_map lostWrites;
     std::uint64_t wakes = 0;
     bool isEnding = false;
 };
--- a/tests/bench/load_call_test.cpp
+++ b/tests/bench/load_call_test.cpp
@@ -56,7 +56,7 @@
 
     endpoint address;
     std::vector<endpoint> addresses; ///< Returned by /v1/addresses.
-    std::vector<std::string> keys; ///< Idempotency keys of all tries.
+    std::vector<std::string> keys; ///< Idempotency keys of all attempts.
 
 private:
     std::optional<http_reply> serve(const http_request &request, http_sink &sink)
@@ -148,9 +148,9 @@
         CPPUNIT_ASSERT(outcome.firstByte.count() > 0);
     }
 
-    // Two tries end with the verdict "not run" and the third one succeeds. All must have the same
-    // idempotency key: with a new key, a false verdict would run the request twice without being
-    // detected.
+    // Two attempts end with the verdict "not run" and the third one succeeds. All must have the
+    // same idempotency key: with a new key, a false verdict would run the request twice without
+    // being detected.
     void notRunIsRetriedWithTheSameKey()
     {
         fake_instance instance(streamedCall());
--- a/tests/standin/platform_snapshots_test.cpp
+++ b/tests/standin/platform_snapshots_test.cpp
@@ -132,7 +132,8 @@
         CPPUNIT_ASSERT_EQUAL(200, watch(kept));
     }
 
-    /// A normal reply would name a version of the previous epoch.
+    // The store is rolled back while a watch is pending. A normal reply would name a version of the
+    // previous epoch, so the connection is closed without one.
     void pendingWatchIsClosedByRollback()
     {
         platform_client store;
@@ -185,7 +186,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("since"), store.get("a"));
     }
 
-    /// As above, with a snapshot taken before the replay.
+    // As above, with a snapshot taken before the replay.
     void replayKeepsNewerWritesOfASnapshot()
     {
         platform_client store;
@@ -198,7 +199,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("since"), store.get("a"));
     }
 
-    /// The store is rolled back twice before the lost writes are replayed.
+    // The store is rolled back twice before the lost writes are replayed.
     void lostWritesSurviveASecondRollback()
     {
         platform_client store;
