--- a/model/claims.pml
+++ b/model/claims.pml
@@ -275,7 +275,7 @@
         answerState = 0;
         answerTable[nonce] = RUNNING }; goto claim
     :: atomic { maySupersede(answerState) && nonce == me + 4 -> reportNotRun() }; goto done
-    :: !maySupersede(answerState) -> goto done /* the caller is told that it may have run */
+    :: !maySupersede(answerState) -> goto done /* the caller gets the verdict "may have run" */
     fi;
 
 #ifdef NO_FINAL_GIVE_UP
--- a/model/views.pml
+++ b/model/views.pml
@@ -111,7 +111,7 @@
     peerReplyAge[me] = 0
 }
 
-/* watched_sync::take */
+/* watched_sync::applyUpdate */
 inline applyView(newHead, newReserved, newAge)
 {
     oldHead = head[me];
--- a/tests/faults/at_most_once_scenarios.cpp
+++ b/tests/faults/at_most_once_scenarios.cpp
@@ -111,7 +111,7 @@
             fleet.injectServiceFault({{"mode", "die_after_run"}, {"count", 1}});
         const call_record first = caller.send(key, turn % 3);
         expectOutcome(first, turn % 2 == 0 ? call_outcome::MayHaveRun : call_outcome::Whole,
-                      "the first try");
+                      "the first attempt");
         const call_record second = caller.send(key, (turn + 1) % 3);
         expectOutcome(second, first.outcome, "its duplicate has the same outcome");
     }
@@ -143,14 +143,14 @@
 }
 
 // Calls are repeated after every instance has been replaced, so that no instance has them in
-// memory. By the claims in the store, the answer is "may have run".
+// memory. Since their claims are still in the store, the answer is "may have run".
 outcome_counts claimsOutliveInstances(const scenario_environment &environment)
 {
     test_fleet fleet(environment, {});
     key_caller caller(fleet);
     for (std::size_t turn = 0; turn < 12; ++turn)
         expectOutcome(caller.send("order-" + std::to_string(turn), turn % 3), call_outcome::Whole,
-                      "the first try");
+                      "the first attempt");
     for (std::size_t replaced : {0, 1, 2}) {
         const std::size_t added = fleet.addInstance();
         waitUntil("the new instance is up", [&] {
--- a/tests/faults/child_process.cpp
+++ b/tests/faults/child_process.cpp
@@ -19,7 +19,7 @@
 /// Runs in the forked child, so it may only make calls that are safe between fork and exec.
 [[noreturn]] void runChild(char *const *argv, int log)
 {
-    // The child must not outlive this program, even if it is killed.
+    // The child must not outlive this program, even if this program is killed.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     dup2(log, STDOUT_FILENO);
     dup2(log, STDERR_FILENO);
--- a/tests/faults/outcome_counts.h
+++ b/tests/faults/outcome_counts.h
@@ -12,7 +12,7 @@
 {
     std::uint64_t requests = 0;
     std::uint64_t whole = 0;
-    std::uint64_t notRun = 0; ///< "Not run" answers, including those to attempts that were retried.
+    std::uint64_t notRun = 0; ///< "Not run" answers, including those to retried attempts.
     std::uint64_t mayHaveRun = 0;
     /// Repeated runs of an idempotency key, and answers in which a token came twice.
     std::uint64_t doubled = 0;
--- a/tests/faults/test_fleet.cpp
+++ b/tests/faults/test_fleet.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t idlePerTarget = 8;
 constexpr milliseconds connectTimeout{500};
 constexpr milliseconds callTimeout{5000};
-/// Longer than an instance takes at most to decide on a change.
+/// Longer than the maximum time that an instance takes to decide on a change.
 constexpr milliseconds applyTimeout{12000};
 constexpr const char *peerKey = "only-for-fault-scenarios-on-loopback";
 
@@ -109,9 +109,9 @@
     return all;
 }
 
-std::size_t test_fleet::indexInName(const std::string &instance)
+std::size_t test_fleet::indexInName(const std::string &name)
 {
-    return std::stoul(instance.substr(instance.rfind('-') + 1));
+    return std::stoul(name.substr(name.rfind('-') + 1));
 }
 
 std::unique_ptr<child_process> test_fleet::spawn(const std::string &name,
--- a/tests/faults/test_fleet.h
+++ b/tests/faults/test_fleet.h
@@ -22,7 +22,7 @@
 {
     std::string build; ///< Holds the programs.
     std::string folder; ///< Holds this scenario's settings and logs.
-    /// Third byte of all its addresses, 127.DRIVER.SUBNET.x; DRIVER depends on the process id of
+    /// Third byte of all its addresses, 127.NETWORK.SUBNET.x; NETWORK depends on the process id of
     /// this program.
     std::uint32_t subnet = 0;
 };
@@ -86,7 +86,7 @@
     /// @returns The caller addresses of all instances ever started, also of those that have ended.
     std::vector<endpoint> callerAddresses() const;
     /// @returns The index that the name of an instance or a runner ends with.
-    static std::size_t indexInName(const std::string &instance);
+    static std::size_t indexInName(const std::string &name);
 
     // Fault injection through the stand-ins; see docs/API-PLATFORM.md and docs/API-ENGINES.md.
     void injectPlatformFault(const nlohmann::json &fault);
@@ -156,8 +156,8 @@
     std::vector<std::unique_ptr<store_fault_proxy>> storeProxies;
     std::vector<std::unique_ptr<child_process>> engines;
     std::vector<std::unique_ptr<child_process>> services;
-    std::vector<std::unique_ptr<child_process>>
-            instances; ///< Declared after the others: ended first.
+    /// Declared after the other processes, so that the instances are ended before them.
+    std::vector<std::unique_ptr<child_process>> instances;
     std::vector<nlohmann::json> savedRecords;
 };
 
--- a/tests/fuzz/store.cpp
+++ b/tests/fuzz/store.cpp
@@ -19,7 +19,7 @@
 const mono_time fixedNow{std::chrono::hours(1000)};
 
 /// An update that one instance sends to others must be decoded to what the store returned, unless
-/// its encoding is refused by the sender.
+/// the sender refuses to encode it.
 void checkUpdateEncoding(const gateway::route_table &table)
 {
     const gateway::route_table noTable;
