--- a/include/poplarspool/policy/routing.h
+++ b/include/poplarspool/policy/routing.h
@@ -46,9 +46,10 @@
 };
 
 /// Chooses a runner, or refuses the request as not run. Errors: NotFound if the inventory has no
-/// runner for the model or service; TooLarge if the request needs more KV memory than any engine
-/// that can take it has; Overloaded with retryAfter if it can't finish in time; Unavailable if no
-/// runner that could serve it takes work now.
+/// runner for the model or service; TooLarge if the request needs more KV memory than each
+/// evaluated engine has (at most config::maxEvaluatedRunners are evaluated); Overloaded with
+/// retryAfter if it can't finish in time; Unavailable if no runner that could serve it takes work
+/// now.
 /// @param sent One entry per runner of the view.
 /// @param tieBreak Seed of the random choices. Must differ between requests and between instances:
 ///                 instances that count up from the same start choose the same runners.
--- a/src/node/request_once.cpp
+++ b/src/node/request_once.cpp
@@ -18,7 +18,7 @@
 /// Content type of a kept completion; never sent to callers.
 constexpr std::string_view keptCompletionType = "application/x-poplarspool-completion";
 
-/// Hex digits of a body's hash: 128 bits, half the size of the full hash in each claim.
+/// Hex digits of a body's hash in a claim: 128 bits, half the size of the full hash.
 constexpr std::size_t hashDigits = 32;
 
 std::string hashOfParts(std::initializer_list<std::string_view> parts)
@@ -45,7 +45,7 @@
 {
     const json body = parseJson(kept.body);
     if (body.is_discarded())
-        return sink.fail(mayHaveRun(error_code::Duplicate, "the kept answer is unreadable"));
+        return sink.fail(mayHaveRun(error_code::Duplicate, "the stored answer is unreadable"));
     if (!sink.token(body.at("text").get<std::string>()))
         return;
     sink.finish({body.at("finish_reason").get<std::string>(),
--- a/src/policy/routing.cpp
+++ b/src/policy/routing.cpp
@@ -20,7 +20,7 @@
     const view &now;
     const route_request &wanted;
     std::span<const sent_work> sent;
-    load_query question;
+    load_query query;
     std::uint64_t tieBreak;
     std::uint32_t zone = UINT32_MAX;
     double secondsLeft = 0;
@@ -39,7 +39,7 @@
     std::array<scored_runner, config::maxScoredRunners> runners;
     std::array<double, config::maxScoredRunners> scores;
     std::size_t count = 0;
-    std::size_t tried = 0;
+    std::size_t evaluated = 0;
     bool hasFitting = false;
     double earliestEnd = std::numeric_limits<double>::infinity();
     double aheadSum = 0;
@@ -90,8 +90,7 @@
 {
     const runner_state &state = task.now.runners[candidate.runner.index];
     const runner_rates &rates = candidate.facts.rates;
-    const runner_load load =
-            estimateLoad(rates, state, sentTo(task, candidate.runner), task.question);
+    const runner_load load = estimateLoad(rates, state, sentTo(task, candidate.runner), task.query);
     scored_runner scored{&candidate, {}, load.requestsAhead};
     if (task.wanted.service.empty())
         scored.estimate = estimateEngine(rates, roleOf(task, candidate), load, task.wanted);
@@ -111,7 +110,7 @@
 double reportAge(const routing_task &task, const indexed_candidate &candidate)
 {
     const mono_time reported = task.now.runners[candidate.runner.index].reportedAt;
-    const auto age = std::clamp<std::chrono::nanoseconds>(task.question.time - reported, {},
+    const auto age = std::clamp<std::chrono::nanoseconds>(task.query.time - reported, {},
                                                           config::loadReportExpiry);
     return std::chrono::duration<double>(age).count();
 }
@@ -119,7 +118,7 @@
 void addIfSuitable(const routing_task &task, const indexed_candidate &candidate, shortlist &found)
 {
     const scored_runner scored = scoreOf(task, candidate);
-    ++found.tried;
+    ++found.evaluated;
     if (!scored.estimate.fits)
         return;
     found.hasFitting = true;
@@ -136,14 +135,14 @@
 }
 
 /// Scores candidates, starting at a random index, until the shortlist is full or the maximum number
-/// of candidates has been tried. Each decision scores a different part of a long list, so its cost
-/// is bounded even if no runner can take the request.
+/// of candidates has been evaluated. Each decision scores a different part of a long list, so its
+/// cost is bounded even if no runner can take the request.
 void scan(const routing_task &task, const candidate_list &list, bool decodeRole, shortlist &found)
 {
     const std::vector<indexed_candidate> &runners = list.runners;
     std::size_t at = runners.empty() ? 0 : mixBits(task.tieBreak) % runners.size();
     for (std::size_t left = runners.size(); left > 0; --left) {
-        if (found.count == found.runners.size() || found.tried == config::maxEvaluatedRunners)
+        if (found.count == found.runners.size() || found.evaluated == config::maxEvaluatedRunners)
             return;
         const indexed_candidate &candidate = runners[at];
         at = at + 1 < runners.size() ? at + 1 : 0;
@@ -218,8 +217,8 @@
 
 /// @returns Estimated number of requests that other instances have sent since the reports. Each
 ///          instance is assumed to have as many open requests as this one, plus a small constant,
-///          since an instance that sends rarely has none most of the time. By Little's law their
-///          rate is the number of open requests divided by their duration.
+///          because an instance with little traffic has no open requests most of the time. By
+///          Little's law their rate is the number of open requests divided by their duration.
 double unseenRequests(const routing_task &task, const shortlist &found)
 {
     const auto alive =
@@ -252,12 +251,13 @@
 
 error refusalOf(const routing_task &task, const shortlist &found)
 {
-    if (found.tried == 0)
-        return notRun(error_code::Unavailable, "all runners that could are away",
+    if (found.evaluated == 0)
+        return notRun(error_code::Unavailable, "no runner for the request is available",
                       config::noRunnerRetryAfter);
     if (!found.hasFitting)
-        return notRun(error_code::TooLarge, "prompt and output exceed the KV memory of an engine");
-    return notRun(error_code::Overloaded, "can't be done within the time limit",
+        return notRun(error_code::TooLarge,
+                      "prompt and output exceed the KV memory of every evaluated engine");
+    return notRun(error_code::Overloaded, "request can't finish within its time limit",
                   retryAfterOf(found.earliestEnd - task.secondsLeft));
 }
 
@@ -297,7 +297,8 @@
                            std::span<const sent_work> sent, mono_time time, std::uint64_t tieBreak)
 {
     if (!now.fleet || now.runners.size() != now.fleet->runners.size())
-        return notRun(error_code::Unavailable, "no inventory yet", config::noRunnerRetryAfter);
+        return notRun(error_code::Unavailable, "inventory not loaded yet",
+                      config::noRunnerRetryAfter);
     if (now.index && now.index->fleet == now.fleet)
         return routeByIndex(now, wanted, sent, time, tieBreak, *now.index);
     return routeByIndex(now, wanted, sent, time, tieBreak, indexOf(now.fleet));
--- a/src/policy/rules.cpp
+++ b/src/policy/rules.cpp
@@ -111,7 +111,7 @@
             found = &rule;
     }
     if (!found || bearerKey.empty())
-        return notRun(error_code::Unauthorized, "no or an unknown bearer key");
+        return notRun(error_code::Unauthorized, "bearer key missing or unknown");
     return found->id;
 }
 
