--- a/include/poplarspool/node/orders.h
+++ b/include/poplarspool/node/orders.h
@@ -20,11 +20,11 @@
 
 enum class order_phase {
     Draining, ///< The engine is reserved: instances send it no new work. The order is not sent yet.
-    Open, ///< The order may have been sent under this fencing number.
+    Open, ///< The order may have been sent under this fencing token.
     Settled, ///< The engine has applied the order, or the order was withdrawn before it was open.
 };
 
-/// The order record of one engine, stored under orderKey(). Its fencing number only increases.
+/// The order record of one engine, stored under orderKey(). Its fencing token only increases.
 struct order_record
 {
     runner_id runner;
--- a/include/poplarspool/policy/view.h
+++ b/include/poplarspool/policy/view.h
@@ -48,7 +48,7 @@
     std::uint32_t kvPiecesUsed = 0;
     std::uint32_t kvPiecesTotal = 0;
     std::uint64_t prefillTokensQueued = 0;
-    std::uint64_t lastFence = 0; ///< Highest fencing token of an order it has executed.
+    std::uint64_t lastFence = 0; ///< Highest fencing token of an order it has accepted.
     std::vector<model_version> models; ///< Loaded models.
 
     bool operator==(const load_report &) const = default;
--- a/src/node/order_writer.cpp
+++ b/src/node/order_writer.cpp
@@ -188,7 +188,7 @@
     }
     if (now - *drainStartedAt < drainTime)
         return;
-    // No order was sent under this fencing number, and none will be: Open is only written over the
+    // No order was sent under this fencing token, and none will be: Open is only written over the
     // version that this write replaces.
     backoffUntil = now + config::orderHoldTime;
     settle("order_withdrawn");
@@ -239,9 +239,9 @@
     if (!succeeded(report))
         return;
     // An order that arrives late, after the engine is back in service, aborts the work that runs
-    // there. An engine that ignores fencing numbers obeys it even after the next order, and one
-    // that checks them may have restarted without its number. So no order is settled while a copy
-    // may still arrive, and an order to an engine that ignores fencing numbers is not taken over
+    // there. An engine that ignores fencing tokens applies it even after the next order, and one
+    // that checks them may have restarted without its token. So no order is settled while a copy
+    // may still arrive, and an order to an engine that ignores fencing tokens is not taken over
     // during that time either.
     const bool isNoneInFlight = context.clock.mono() >= inFlightUntil;
     if (hasApplied(spec, valueOf(report))) {
@@ -277,7 +277,7 @@
                          {"code", std::string(nameOf(fault.code))},
                          {"verdict", std::string(nameOf(fault.ran))}});
     if (fault.code == error_code::Stale) {
-        // The engine has obeyed a higher fencing number, so it will never obey this one.
+        // The engine has accepted a higher fencing token, so it will never apply this order.
         highestSeenFence = std::max(highestSeenFence, present.fence);
         settle("order_stale");
         return;
--- a/src/node/order_writer.h
+++ b/src/node/order_writer.h
@@ -42,7 +42,7 @@
 
     /// Adopts the record that the store holds.
     void adopt(const order_record &record, std::uint64_t version);
-    /// Records that the store holds no record of this engine.
+    /// Marks the engine as having no record in the store.
     void adoptMissing();
 
     /// @returns False if the record must be read, or read again, first.
@@ -76,8 +76,8 @@
 
     struct sent_order
     {
-        incarnation_number engineIncarnation =
-                0; ///< Incarnation of the engine before the order was sent.
+        /// Incarnation of the engine before the order was sent.
+        incarnation_number engineIncarnation = 0;
         mono_time at;
     };
 
@@ -111,8 +111,8 @@
     std::optional<mono_time> drainStartedAt;
     std::optional<idle_observation> idle;
     std::optional<sent_order> sent;
-    std::uint64_t highestSeenFence =
-            0; ///< Highest fencing number that the engine has reported as seen.
+    /// Highest fencing token that the engine is known to have seen.
+    std::uint64_t highestSeenFence = 0;
     mono_time backoffUntil{};
 };
 
--- a/tests/node/order_fakes.h
+++ b/tests/node/order_fakes.h
@@ -33,7 +33,7 @@
     }
 };
 
-/// A model engine that changes its state only when a test tells it to.
+/// A model engine whose state changes only through calls of the test.
 struct fake_engine
 {
     bool checksFence = true;
@@ -63,7 +63,7 @@
             return notRun(error_code::Unavailable, "down");
         received.push_back(wanted);
         if (checksFence && wanted.fence < report.lastFence)
-            return notRun(error_code::Stale, "old fencing number");
+            return notRun(error_code::Stale, "outdated fencing token");
         obeyed.push_back(wanted);
         report.lastFence = wanted.fence;
         changingTo = wanted.wanted;
@@ -83,7 +83,7 @@
         changingTo.reset();
     }
 
-    /// Loses the change in progress. Keeps the fencing number, as engines that check it must.
+    /// Loses the change in progress. Keeps the fencing token, as engines that check it must.
     void crash()
     {
         changingTo.reset();
--- a/tests/node/orders_race_test.cpp
+++ b/tests/node/orders_race_test.cpp
@@ -114,7 +114,7 @@
     std::vector<in_flight_order> inFlight;
 };
 
-/// @returns Whether fencing numbers never decrease and each one identifies one order.
+/// @returns Whether fencing tokens never decrease and each one identifies one order.
 bool areFencesConsistent(const std::vector<runner::engine_order> &orders)
 {
     std::map<std::uint64_t, runner::engine_order> byFence;
@@ -154,11 +154,12 @@
 public:
     // Two instances consider themselves the planner and want opposite roles, while the store loses
     // answers or delivers writes late, orders arrive late and the engine crashes. The engine
-    // refuses old fencing numbers, so it obeys one wanted state per number and never an old number.
+    // refuses outdated fencing tokens, so it applies one wanted state per token, and none under an
+    // outdated token.
     void engineCheckingFencesObeysOrdersInSequence() { race(true); }
 
-    // The same with an engine that obeys every order. It must not even receive an order after one
-    // with a higher fencing number, because nothing else would refuse it.
+    // The same with an engine that applies every order. It must not even receive an order after one
+    // with a higher fencing token, because nothing else would refuse it.
     void engineIgnoringFencesReceivesOrdersInSequence() { race(false); }
 };
 
--- a/tests/node/orders_test.cpp
+++ b/tests/node/orders_test.cpp
@@ -185,7 +185,7 @@
     }
 
     // The engine crashes during the change and restarts in its old state. It is sent the same order
-    // under the same fencing number, so that it can't be mistaken for a new one.
+    // under the same fencing token, so that it can't be mistaken for a new one.
     void crashedEngineReceivesSameOrderAgain()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
@@ -200,7 +200,7 @@
     }
 
     // The writer stops permanently right after it wrote Open, before it sent the order. Its
-    // successor wants a different state, but first finishes that order under its fencing number.
+    // successor wants a different state, but first finishes that order under its fencing token.
     void successorFinishesOpenOrder()
     {
         auto first = makeInstance("a", engine_role::Prefill);
@@ -219,7 +219,7 @@
     }
 
     // The writer is paused after it wrote Open, and its order reaches the engine at the last
-    // possible moment. The engine ignores fencing numbers, so the successor must not send or settle
+    // possible moment. The engine ignores fencing tokens, so the successor must not send or settle
     // anything before that, or the late order would undo a newer one.
     void successorWaitsForEngineThatIgnoresFences()
     {
@@ -248,13 +248,13 @@
     }
 
     // The order is sent twice because the engine crashed; the first copy is still in transit when
-    // the second is obeyed. The engine ignores fencing numbers, so the next order must wait until
+    // the second is applied. The engine ignores fencing tokens, so the next order must wait until
     // that copy can no longer arrive.
     void unansweredSendDelaysSettling() { unansweredSend(false); }
 
-    // As above, but the engine checks fencing numbers. It may restart without the number that it
-    // obeyed and then take the late copy for a new order: if the order were settled too early, the
-    // engine would change role while streams are running on it.
+    // As above, but the engine checks fencing tokens. It may restart without the token that it
+    // accepted and then take the late copy for a new order: if the order were settled too early,
+    // the engine would change role while streams are running on it.
     void unansweredSendDelaysSettlingWithFenceChecks() { unansweredSend(true); }
 
     void unansweredSend(bool checksFence)
@@ -332,8 +332,8 @@
         CPPUNIT_ASSERT(engine.received.empty());
     }
 
-    // The engine has already seen a higher fencing number than the record has. It refuses the
-    // order; the record is settled, and the next order's number exceeds the engine's.
+    // The engine has already seen a higher fencing token than the record has. It refuses the
+    // order; the record is settled, and the next order's token exceeds the engine's.
     void nextFenceExceedsThatOfEngine()
     {
         auto instance = makeInstance("a", engine_role::Prefill);
