--- a/tests/duties/lease_test.cpp
+++ b/tests/duties/lease_test.cpp
@@ -121,8 +121,8 @@
     }
 
     /// An instance sends an order to an engine and loses its connection; its successor sends
-    /// another order to the same engine. If these are less than the bound apart, the engine may
-    /// execute the first order after the second.
+    /// another order to the same engine. If the two orders are less than the bound apart, the
+    /// engine may execute the first one after the second.
     void successorWaitsForBoundAfterTermEnd()
     {
         test_store test;
--- a/tests/duties/usage_exchange_test.cpp
+++ b/tests/duties/usage_exchange_test.cpp
@@ -45,9 +45,9 @@
 {
     test_instance(const std::string &name, std::uint64_t incarnation, std::uint16_t port,
                   const std::vector<policy::member> &all, const std::string &host)
-        : ledger(incarnation),
+        : table(incarnation),
           exchange(
-                  {{name}, 1, {host, port}, "key"}, incarnation, {ledger, time, 5s},
+                  {{name}, 1, {host, port}, "key"}, incarnation, {table, time, 5s},
                   [all] { return all; }, systemClock(), metrics, events)
     {
         CPPUNIT_ASSERT(succeeded(exchange.start()));
@@ -56,7 +56,7 @@
     metrics_registry metrics;
     journal events{{"test"}, systemClock(), 64};
     fleet_clock time{systemClock()};
-    usage_table ledger;
+    usage_table table;
     usage_exchange exchange;
 };
 
@@ -112,11 +112,11 @@
         test_instance a("a", 1, port, all, "127.0.0.1");
         test_instance b("b", 2, port, all, "127.0.0.2");
         const window_number window = windowAt(a.time.now().at, 5s);
-        a.ledger.recordRequestStart(window, {"x"});
-        b.ledger.recordRequestStart(window, {"x"});
+        a.table.recordRequestStart(window, {"x"});
+        b.table.recordRequestStart(window, {"x"});
         const usage_counts both{{{"x"}, 2}};
-        CPPUNIT_ASSERT(becomesTrue([&] { return a.ledger.totalOf(window) == both; }));
-        CPPUNIT_ASSERT(becomesTrue([&] { return b.ledger.totalOf(window) == both; }));
+        CPPUNIT_ASSERT(becomesTrue([&] { return a.table.totalOf(window) == both; }));
+        CPPUNIT_ASSERT(becomesTrue([&] { return b.table.totalOf(window) == both; }));
         CPPUNIT_ASSERT(becomesTrue([&] { return a.time.now().clocks == 2; }));
     }
 
@@ -129,14 +129,14 @@
         test_instance a("a", 1, port, all, "127.0.0.1");
         test_instance b("b", 2, port, all, "127.0.0.2");
         const window_number window = windowAt(a.time.now().at, 5s);
-        a.ledger.recordRequestStart(window, {"x"});
-        CPPUNIT_ASSERT(becomesTrue([&] { return b.ledger.totalOf(window).contains({"x"}); }));
-        a.ledger.recordRequestStart(window, {"x"});
+        a.table.recordRequestStart(window, {"x"});
+        CPPUNIT_ASSERT(becomesTrue([&] { return b.table.totalOf(window).contains({"x"}); }));
+        a.table.recordRequestStart(window, {"x"});
         a.exchange.stop();
-        CPPUNIT_ASSERT(becomesTrue([&] { return b.ledger.totalOf(window).at({"x"}) == 2; }));
+        CPPUNIT_ASSERT(becomesTrue([&] { return b.table.totalOf(window).at({"x"}) == 2; }));
         // The other instance no longer waits for counts of the stopped one.
         CPPUNIT_ASSERT(
-                becomesTrue([&] { return b.ledger.isComplete(window, endOf(window + 9, 5s)); }));
+                becomesTrue([&] { return b.table.isComplete(window, endOf(window + 9, 5s)); }));
     }
 };
 
--- a/tests/duties/usage_reporter_test.cpp
+++ b/tests/duties/usage_reporter_test.cpp
@@ -92,26 +92,26 @@
     test_instance(simulation &environment, std::string name, std::uint64_t incarnation,
                   milliseconds ahead = 0ms)
         : environment(environment), name(std::move(name)), incarnation(incarnation), ahead(ahead),
-          ledger(incarnation), keeper({{ledger, time, windowLength},
-                                       reportDeadline,
-                                       environment.sinkOf(this->name),
-                                       clock,
-                                       environment.events,
-                                       environment.metrics,
-                                       [this] { return isOwner; }},
-                                      environment.store(), {this->name}, leaseBound)
+          table(incarnation), reporter({{table, time, windowLength},
+                                        reportDeadline,
+                                        environment.sinkOf(this->name),
+                                        clock,
+                                        environment.events,
+                                        environment.metrics,
+                                        [this] { return isOwner; }},
+                                       environment.store(), {this->name}, leaseBound)
     { }
 
     void count(const std::string &workspace)
     {
-        ledger.recordRequestStart(windowAt(time.now().at, windowLength), {workspace});
+        table.recordRequestStart(windowAt(time.now().at, windowLength), {workspace});
     }
 
     void sendTo(test_instance &other)
     {
-        for (const incarnation_usage &part : ledger.collect(true))
-            other.ledger.merge(part);
-        other.ledger.recordReceivedUpTo(incarnation, other.time.now().at, false);
+        for (const incarnation_usage &part : table.collect(true))
+            other.table.merge(part);
+        other.table.recordReceivedUpTo(incarnation, other.time.now().at, false);
         other.time.recordClock(incarnation, environment.truth + ahead);
     }
 
@@ -122,10 +122,10 @@
     clock_source clock{[this] { return environment.mono; },
                        [this] { return environment.truth + ahead; }};
     fleet_clock time{clock};
-    usage_table ledger;
+    usage_table table;
     bool isOwner = false;
     bool isDisconnected = false; ///< From the other instances.
-    usage_reporter keeper;
+    usage_reporter reporter;
 };
 
 /// Advances the time until the holder has reported the window.
@@ -133,7 +133,7 @@
 {
     while (test.received.empty() || test.received.back().report.window < window) {
         test.pass(500ms);
-        holder.keeper.runOnce();
+        holder.reporter.runOnce();
     }
     return test.received.back();
 }
@@ -165,9 +165,9 @@
 
 } // namespace
 
-class usage_keeper_test : public CppUnit::TestFixture
+class usage_reporter_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(usage_keeper_test);
+    CPPUNIT_TEST_SUITE(usage_reporter_test);
     CPPUNIT_TEST(windowIsReportedWhenComplete);
     CPPUNIT_TEST(waitForSilentInstancesIsBounded);
     CPPUNIT_TEST(nonOwnerMakesNoStoreCalls);
@@ -194,7 +194,7 @@
     }
 
     /// Guards against a report without the counts of an instance that is disconnected for some
-    /// seconds.
+    /// seconds. The wait for it ends early enough for another holder to send the report in time.
     void waitForSilentInstancesIsBounded()
     {
         simulation test;
@@ -215,13 +215,13 @@
         test_instance a(test, "a", 1);
         for (int i = 0; i < 40; ++i) {
             test.pass(500ms);
-            a.keeper.runOnce();
+            a.reporter.runOnce();
         }
         CPPUNIT_ASSERT(test.events.events({"lease_unknown", {}, {}}).empty());
     }
 
     /// The holder crashes after it has written the checkpoint and before it sends the report. Its
-    /// successor has received more counts.
+    /// successor has received more counts. Guards against two different reports of one window.
     void successorSendsStoredReport()
     {
         simulation test;
@@ -231,15 +231,15 @@
             a.count("x");
             test.pass(windowLength + 2s);
             test.isPlatformDown = true;
-            a.keeper.runOnce();
+            a.reporter.runOnce();
         }
         test.isPlatformDown = false;
         test_instance b(test, "b", 2);
         b.isOwner = true;
         const auto stored = decodeUsageCheckpoint(test.record.checkpoint)->reports;
-        b.ledger.merge({1, stored.back().window, {{{"x"}, 40}}});
+        b.table.merge({1, stored.back().window, {{{"x"}, 40}}});
         for (int i = 0; i < 20 && test.received.empty(); ++i) {
-            b.keeper.runOnce();
+            b.reporter.runOnce();
             test.pass(500ms);
         }
         CPPUNIT_ASSERT(test.received[0].report == stored.front());
@@ -253,11 +253,11 @@
         a.isOwner = true;
         test.losesStoreAnswers = true;
         test.pass(windowLength + 2s);
-        a.keeper.runOnce();
+        a.reporter.runOnce();
         CPPUNIT_ASSERT(test.received.empty());
         test.losesStoreAnswers = false;
         test.pass(1s);
-        a.keeper.runOnce();
+        a.reporter.runOnce();
         CPPUNIT_ASSERT(!test.received.empty());
     }
 
@@ -270,7 +270,7 @@
         a.isOwner = true;
         test.pass(windowLength + 2s);
         test.beforeSend = leaseBound;
-        a.keeper.runOnce();
+        a.reporter.runOnce();
         CPPUNIT_ASSERT(test.received.empty());
     }
 
@@ -281,11 +281,11 @@
         a.isOwner = true;
         test.pass(windowLength + 2s);
         test.losesPlatformAnswers = true;
-        a.keeper.runOnce();
+        a.reporter.runOnce();
         const std::size_t before = test.received.size();
         test.losesPlatformAnswers = false;
         test.pass(1s);
-        a.keeper.runOnce();
+        a.reporter.runOnce();
         CPPUNIT_ASSERT(before > 0 && test.received.size() > before);
         CPPUNIT_ASSERT(test.received[before].report == test.received[0].report);
         checkInvariants(test, "");
@@ -314,7 +314,7 @@
             instances[i]->isOwner = i == owner;
         for (int step = 0; step < 50; ++step) {
             test.pass(500ms);
-            instances[owner]->keeper.runOnce();
+            instances[owner]->reporter.runOnce();
         }
     }
 
@@ -352,7 +352,7 @@
                 if (one.isOwner && chance(25))
                     test.beforeSend = milliseconds(random() % 3'000);
                 if (step % 2 == 0)
-                    one.keeper.runOnce();
+                    one.reporter.runOnce();
                 if (one.isOwner && chance(30))
                     instances[i] = std::make_unique<test_instance>(test, "n" + std::to_string(i),
                                                                    ++incarnation, skew());
@@ -367,6 +367,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(usage_keeper_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(usage_reporter_test);
 
 } // namespace poplarspool::duties
--- a/tests/duties/usage_test.cpp
+++ b/tests/duties/usage_test.cpp
@@ -58,14 +58,14 @@
 
     void countsOfAllIncarnationsAreAdded()
     {
-        usage_table ledger(1);
-        ledger.recordRequestStart(7, {"a"});
-        ledger.recordRequestStart(7, {"a"});
-        ledger.recordRequestStart(8, {"a"});
-        ledger.merge({2, 7, {{{"a"}, 5}, {{"b"}, 1}}});
-        ledger.merge({3, 7, {{{"b"}, 2}}});
-        CPPUNIT_ASSERT(ledger.totalOf(7) == (usage_counts{{{"a"}, 7}, {{"b"}, 3}}));
-        CPPUNIT_ASSERT(ledger.totalOf(9).empty());
+        usage_table table(1);
+        table.recordRequestStart(7, {"a"});
+        table.recordRequestStart(7, {"a"});
+        table.recordRequestStart(8, {"a"});
+        table.merge({2, 7, {{{"a"}, 5}, {{"b"}, 1}}});
+        table.merge({3, 7, {{{"b"}, 2}}});
+        CPPUNIT_ASSERT(table.totalOf(7) == (usage_counts{{{"a"}, 7}, {{"b"}, 3}}));
+        CPPUNIT_ASSERT(table.totalOf(9).empty());
     }
 
     /// Guards against counts that are added twice when datagrams are delayed, duplicated or lost.
@@ -92,58 +92,58 @@
 
     void changedCountsAreSentRepeatedly()
     {
-        usage_table ledger(1);
-        ledger.recordRequestStart(7, {"a"});
+        usage_table table(1);
+        table.recordRequestStart(7, {"a"});
         for (std::uint32_t i = 0; i < config::usageUpdateRepeats; ++i)
-            CPPUNIT_ASSERT(ledger.collect(false)
+            CPPUNIT_ASSERT(table.collect(false)
                            == (std::vector<incarnation_usage>{{1, 7, {{{"a"}, 1}}}}));
-        CPPUNIT_ASSERT(ledger.collect(false).empty());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ledger.collect(true).size());
-        ledger.recordRequestStart(7, {"a"});
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, ledger.collect(false)[0].counts[0].second);
+        CPPUNIT_ASSERT(table.collect(false).empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.collect(true).size());
+        table.recordRequestStart(7, {"a"});
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, table.collect(false)[0].counts[0].second);
     }
 
     void manyWorkspacesAreSentInParts()
     {
-        usage_table ledger(1);
+        usage_table table(1);
         usage_table other(2);
         for (int i = 0; i < 2'000; ++i)
-            ledger.recordRequestStart(7, {"workspace-" + std::to_string(i)});
-        for (const incarnation_usage &part : ledger.collect(true)) {
+            table.recordRequestStart(7, {"workspace-" + std::to_string(i)});
+        for (const incarnation_usage &part : table.collect(true)) {
             std::size_t bytes = 0;
             for (const auto &entry : part.counts)
                 bytes += entry.first.text.size() + 3;
             CPPUNIT_ASSERT(bytes <= config::usageBytesPerDatagram);
             other.merge(part);
         }
-        CPPUNIT_ASSERT(other.totalOf(7) == ledger.totalOf(7));
+        CPPUNIT_ASSERT(other.totalOf(7) == table.totalOf(7));
     }
 
     /// Guards against a report without the counts of an instance that is temporarily disconnected.
     void windowIsCompleteWhenAllCountsAreReceived()
     {
-        usage_table ledger(1);
-        CPPUNIT_ASSERT(ledger.isComplete(7, at(40'000)));
-        ledger.merge({2, 7, {{{"a"}, 1}}});
-        ledger.recordReceivedUpTo(2, at(39'000), false);
-        CPPUNIT_ASSERT(!ledger.isComplete(7, at(40'000)));
-        CPPUNIT_ASSERT(ledger.isComplete(8, at(40'000)));
-        ledger.recordReceivedUpTo(2, at(40'100), false);
-        CPPUNIT_ASSERT(ledger.isComplete(7, at(40'000)));
-        ledger.merge({3, 7, {{{"a"}, 1}}});
-        CPPUNIT_ASSERT(!ledger.isComplete(7, at(40'000)));
-        ledger.recordReceivedUpTo(3, at(39'000), true);
-        CPPUNIT_ASSERT(ledger.isComplete(7, at(40'000)));
+        usage_table table(1);
+        CPPUNIT_ASSERT(table.isComplete(7, at(40'000)));
+        table.merge({2, 7, {{{"a"}, 1}}});
+        table.recordReceivedUpTo(2, at(39'000), false);
+        CPPUNIT_ASSERT(!table.isComplete(7, at(40'000)));
+        CPPUNIT_ASSERT(table.isComplete(8, at(40'000)));
+        table.recordReceivedUpTo(2, at(40'100), false);
+        CPPUNIT_ASSERT(table.isComplete(7, at(40'000)));
+        table.merge({3, 7, {{{"a"}, 1}}});
+        CPPUNIT_ASSERT(!table.isComplete(7, at(40'000)));
+        table.recordReceivedUpTo(3, at(39'000), true);
+        CPPUNIT_ASSERT(table.isComplete(7, at(40'000)));
     }
 
     void oldWindowsAreRemoved()
     {
-        usage_table ledger(1);
-        ledger.recordRequestStart(7, {"a"});
-        ledger.merge({2, 7, {{{"a"}, 1}}});
-        ledger.forgetBefore(8);
-        CPPUNIT_ASSERT(ledger.totalOf(7).empty() && ledger.collect(true).empty());
-        CPPUNIT_ASSERT(ledger.isComplete(7, at(40'000)));
+        usage_table table(1);
+        table.recordRequestStart(7, {"a"});
+        table.merge({2, 7, {{{"a"}, 1}}});
+        table.forgetBefore(8);
+        CPPUNIT_ASSERT(table.totalOf(7).empty() && table.collect(true).empty());
+        CPPUNIT_ASSERT(table.isComplete(7, at(40'000)));
     }
 
     void checkpointSurvivesEncoding()
--- a/tests/node/answers_test.cpp
+++ b/tests/node/answers_test.cpp
@@ -39,8 +39,8 @@
         CPPUNIT_ASSERT(expected == table.find({"k", "n", 0}));
     }
 
-    // A duplicate that asks while the first attempt is running waits until that attempt ends, and
-    // gets its answer.
+    // A duplicate that arrives while the first attempt is running waits until that attempt ends,
+    // and gets its answer.
     void waiterIsWokenWhenAttemptEnds()
     {
         answer_table table(clock());
--- a/tests/node/claims_test.cpp
+++ b/tests/node/claims_test.cpp
@@ -50,7 +50,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), shared.putCount());
     }
 
-    // While the store asks its clients to back off for a long time, claims fail at once with "not
+    // While the store makes its clients back off for a long time, claims fail at once with "not
     // run" and a retry time instead of waiting for a claim that can't be granted.
     void claimFailsAtOnceWhileStoreIsDown()
     {
@@ -98,14 +98,14 @@
         link({&a, &b});
         shared.outcomeOfWrite = [] { return write_outcome::Held; };
         const auto first =
-                a.guard.claimOrReplay("k1", "body", systemClock().mono() + milliseconds(30));
+                a.duplicates.claimOrReplay("k1", "body", systemClock().mono() + milliseconds(30));
         CPPUNIT_ASSERT(std::get<error>(first).ran == verdict::NotRun);
         shared.outcomeOfWrite = [] { return write_outcome::Answered; };
         shared.deliverHeld();
-        const auto second = b.guard.claimOrReplay("k1", "body", soon());
+        const auto second = b.duplicates.claimOrReplay("k1", "body", soon());
         CPPUNIT_ASSERT(std::holds_alternative<dispatch_grant>(second));
         b.answers.onDone("k1", std::get<dispatch_grant>(second).nonce, {200, {}, "made", ""});
-        const auto third = a.guard.claimOrReplay("k1", "body", soon());
+        const auto third = a.duplicates.claimOrReplay("k1", "body", soon());
         CPPUNIT_ASSERT_EQUAL(std::string("made"), std::get<earlier_answer>(third).reply.body);
     }
 
@@ -174,7 +174,7 @@
               claims(
                       "test", store, peers(), [] { return config::claimRetention; }, systemClock(),
                       metrics, events),
-              guard(id, claims, answers, peers(), systemClock(), events)
+              duplicates(id, claims, answers, peers(), systemClock(), events)
         { }
 
         claim_peers peers()
@@ -197,7 +197,7 @@
         platform::object_store store;
         answer_table answers;
         claim_manager claims;
-        request_deduplicator guard;
+        request_deduplicator duplicates;
     };
 
     static void link(const std::vector<instance_fixture *> &all)
@@ -225,7 +225,7 @@
         const std::string answer = "answer" + std::to_string(key);
         const mono_time end = soon();
         while (systemClock().mono() < end) {
-            const auto decision = through.guard.claimOrReplay(
+            const auto decision = through.duplicates.claimOrReplay(
                     name, "body", systemClock().mono() + milliseconds(200));
             if (const auto *granted = std::get_if<dispatch_grant>(&decision)) {
                 ++runs[key];
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -27,8 +27,8 @@
             budget.onRequest();
             retries += budget.tryTake() ? 1 : 0;
         }
-        CPPUNIT_ASSERT_EQUAL(
-                104, retries); // The budget is full at the first request, so its share is lost.
+        // The budget is full at the first request, so its share is lost.
+        CPPUNIT_ASSERT_EQUAL(104, retries);
     }
 
     /// Engines fail during prefill for another engine. Each such failure is deducted regardless of
--- a/tests/scaling/fleet_plan_test.cpp
+++ b/tests/scaling/fleet_plan_test.cpp
@@ -64,7 +64,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Guards against seconds without any runner in service.
+    /// Guards against seconds without any runner in service, which would follow if regular runners
+    /// were removed before the spot runners that replace them are in service.
     void spotRunnersAreOrderedFirst()
     {
         CPPUNIT_ASSERT(planOf({zoneOf("a", 35, 0)})
@@ -82,7 +83,8 @@
         CPPUNIT_ASSERT(planOf({booting}) == (std::vector<fleet_order>{{{"a"}, false, 1}}));
     }
 
-    /// All spot runners of a zone are reclaimed at once.
+    /// Guards against too few runners after all spot runners of one zone are reclaimed at once:
+    /// each zone gets enough spare runners that the other zones still have the wanted number.
     void fleetToleratesLossOfOneZone()
     {
         const auto orders = planOf(
@@ -123,7 +125,8 @@
                        == (std::vector<fleet_order>{{{"a"}, true, 46}}));
     }
 
-    /// Half of the fleet is reclaimed, and there is no spot capacity.
+    /// Two of three zones are reclaimed, and there is no spot capacity to replace them. Without
+    /// regular runners too few would be left.
     void regularRunnersReplaceTwoReclaimedZones()
     {
         zone_fleet reclaimed = zoneOf("a", 1, 0);
