--- a/include/poplarspool/duties/limits.h
+++ b/include/poplarspool/duties/limits.h
@@ -39,10 +39,11 @@
 inline constexpr std::size_t maxClockSamples = 8;
 /// Bytes of counts in one datagram; the remainder is for its frame and the other message fields.
 inline constexpr std::size_t usageBytesPerDatagram = 1100;
-/// Counts in one datagram, and instance incarnations kept per window.
+/// Maximum number of counts in one datagram, and of instance incarnations kept per window.
 inline constexpr std::size_t maxCountsPerUpdate = 512;
 inline constexpr std::size_t maxUsageIncarnations = 4096;
-/// Windows that are kept, and the most recent windows that may be added to one term's reports.
+/// Number of windows that are kept, and maximum number of windows that one term adds to the
+/// reports; these are the most recent ones.
 inline constexpr std::uint64_t usageWindowsKept = 8;
 inline constexpr std::uint64_t maxUsageWindowsPerTerm = 3;
 /// Time from the end of a window until its counts have arrived, if all instances are reachable.
--- a/include/poplarspool/duties/usage.h
+++ b/include/poplarspool/duties/usage.h
@@ -65,7 +65,8 @@
     /// @returns The sum over all incarnations.
     usage_counts totalOf(window_number window) const;
     /// @returns Whether the counts up to `end` have been received from all incarnations that have
-    ///          counted requests in window `since` or later.
+    ///          counted requests in window `since` or later. An incarnation that has ended has sent
+    ///          all its counts.
     bool isComplete(window_number since, wall_time end) const;
     void forgetBefore(window_number window);
 
@@ -73,8 +74,8 @@
     struct own_count
     {
         std::uint64_t count = 0;
-        std::uint64_t changedInUpdate =
-                0; ///< Number of the first update that sends the present count.
+        /// Number of the first update that sends the present count.
+        std::uint64_t changedInUpdate = 0;
     };
 
     struct incarnation_state
--- a/include/poplarspool/duties/usage_exchange.h
+++ b/include/poplarspool/duties/usage_exchange.h
@@ -19,7 +19,7 @@
 {
     usage_table &table;
     fleet_clock &fleetClock;
-    milliseconds windowLength; ///< Length.
+    milliseconds windowLength; ///< Length of the windows in which requests are counted.
 };
 
 /// Sends the local usage counts to a few replicas, which hold the counts of all instances, and
--- a/include/poplarspool/duties/usage_reporter.h
+++ b/include/poplarspool/duties/usage_reporter.h
@@ -18,8 +18,8 @@
 struct usage_reporter_dependencies
 {
     const usage_context usage;
-    const milliseconds
-            reportDeadline; ///< Time after a window's end by which its report must have arrived.
+    /// Time after a window's end by which its report must have arrived.
+    const milliseconds reportDeadline;
     const usage_sink sink;
     const clock_source clock;
     journal &events;
@@ -35,7 +35,7 @@
 class usage_reporter
 {
 public:
-    usage_reporter(usage_reporter_dependencies tools, lease_store store, instance_id self,
+    usage_reporter(usage_reporter_dependencies given, lease_store store, instance_id self,
                    milliseconds leaseBound);
 
     void start() { thread.start(); }
@@ -57,8 +57,8 @@
     counter &sent;
     counter &failed;
     counter &skipped;
-    std::optional<window_number>
-            reportedUpTo; ///< All windows up to it have been reported; none: unknown.
+    /// All windows up to it have been reported; none: unknown.
+    std::optional<window_number> reportedUpTo;
     std::optional<window_number> deliveredUpTo; ///< This instance has sent all reports up to it.
     mono_time retryAt{};
     periodic_thread thread; ///< Last member: stops before the state it uses is destroyed.
--- a/include/poplarspool/node/answers.h
+++ b/include/poplarspool/node/answers.h
@@ -20,8 +20,7 @@
     /// The attempt ended without being dispatched, and will never be dispatched.
     void onNotDispatched(const std::string &key, const std::string &nonce);
     /// @param reply The complete answer. One larger than config::maxStoredAnswerBytes is recorded
-    /// as
-    ///              lost.
+    ///              as lost.
     void onDone(const std::string &key, const std::string &nonce, const http_reply &reply);
     /// The attempt may have run, and its complete answer is not available.
     void onLost(const std::string &key, const std::string &nonce);
--- a/include/poplarspool/workspaces/limits.h
+++ b/include/poplarspool/workspaces/limits.h
@@ -6,7 +6,7 @@
 /// Limits for workspaces.
 namespace poplarspool::config {
 
-/// Maximum size in bytes of a key to look up; operators issue no longer keys.
+/// Maximum size in bytes of a key that is looked up. Operators issue no keys above this size.
 inline constexpr std::size_t maxWorkspaceKeyBytes = 512;
 
 } // namespace poplarspool::config
--- a/src/node/answers.cpp
+++ b/src/node/answers.cpp
@@ -86,8 +86,8 @@
     clock_source clock;
     std::mutex lock;
     std::condition_variable changed;
-    std::array<entries, 5>
-            byState; ///< One list per answer_state; entries unchanged for longest come first.
+    /// One list per answer_state; entries unchanged for longest come first.
+    std::array<entries, 5> byState;
     std::unordered_map<std::string, entries::iterator> byName;
     std::size_t bytes = 0;
 };
--- a/src/node/demand.cpp
+++ b/src/node/demand.cpp
@@ -66,7 +66,8 @@
         if (from.first != pool)
             continue;
         totals &counted = alreadyCounted[from];
-        // A counter that decreased is of a restarted instance, which counts from zero again.
+        // A counter that has decreased belongs to a restarted instance, which counts from zero
+        // again.
         if (sum.prefill < counted.prefill || sum.decode < counted.decode)
             counted = {};
         if (elapsed > 0) {
--- a/src/node/freshness.h
+++ b/src/node/freshness.h
@@ -21,10 +21,10 @@
     std::vector<platform::listed_instance> listed; ///< As last fetched; empty if never fetched.
 };
 
-/// A view is fresh for a limited time after its last confirmation by the store. After that,
-/// either the store is down for all instances, or this instance is partitioned from it. The view
-/// then counts as fresh only while this instance reaches a majority of the listed instances and no
-/// known instance has a newer view: then no newer configuration can have been accepted.
+/// A view is fresh for a limited time after its last confirmation by the store. After that, either
+/// the store is down for all instances, or this instance is partitioned from it. The view then
+/// counts as fresh only while this instance reaches a majority of the listed instances and no known
+/// instance has a newer view: then no newer configuration can have been accepted.
 ///
 /// @returns The time until which the view is fresh; a time in the past if it is not.
 mono_time freshUntil(const freshness_facts &facts);
@@ -49,9 +49,9 @@
 };
 
 /// @returns Whether every instance that may still serve has applied that version: all gossip
-///          members and all listed instances. A listed instance that is silent, or that was
-///          never seen, delays the result. An instance that is in neither may be partitioned and
-///          serve until its view is no longer fresh, so it delays the result for that time.
+///          members and all listed instances. A listed instance that is silent, or that was never
+///          seen, delays the result. An instance that is in neither may be partitioned and serve
+///          until its view is no longer fresh, so it delays the result for that time.
 bool isAppliedEverywhere(const acknowledgements &known);
 
 } // namespace poplarspool::node
--- a/src/node/load_monitor.h
+++ b/src/node/load_monitor.h
@@ -82,8 +82,8 @@
     std::map<runner_id, poll_state> pollStates;
     std::mutex guard;
     std::condition_variable wake;
-    std::map<runner_id, std::pair<load_rumor, mono_time>>
-            received; ///< Received, not yet published in a view.
+    /// Load that has been received and is not yet published in a view.
+    std::map<runner_id, std::pair<load_rumor, mono_time>> received;
     bool isStopping = false;
     std::thread poller;
 };
--- a/src/node/request_handler.h
+++ b/src/node/request_handler.h
@@ -64,7 +64,8 @@
     void recordDemand(const policy::view &now, const policy::route_request &wanted);
     policy::route_request routeRequestFor(const caller::completion_request &request,
                                           const admitted_request &admission) const;
-    result<runner::stream_end> tryOnce(const chosen_runner &to, runner::generate_request &work,
+    result<runner::stream_end> tryOnce(const chosen_runner &to,
+                                       runner::generate_request &generation,
                                        const text_receiver &onText);
     std::optional<error> callServiceAtMostOnce(const caller::service_request &call,
                                                const admitted_request &admission, http_sink &sink);
--- a/src/node/sent_work_table.h
+++ b/src/node/sent_work_table.h
@@ -26,8 +26,8 @@
     std::atomic<std::uint64_t> sentTokens{0}; ///< Prompt tokens, since the slot was created.
     std::atomic<std::uint64_t> sentAtReport{0}; ///< `sent` at the time of the last report.
     std::atomic<std::uint64_t> tokensAtReport{0};
-    std::atomic<std::int64_t> ejectedUntilNs{
-            0}; ///< Monotonic time until which the runner is ejected after a refused connection.
+    /// Monotonic time until which the runner is ejected after a refused connection.
+    std::atomic<std::int64_t> ejectedUntilNs{0};
 };
 
 using slot_ptr = std::shared_ptr<sent_work_slot>;
@@ -41,8 +41,8 @@
     open_work(const open_work &) = delete;
     open_work &operator=(const open_work &) = delete;
 
-    /// The runner has sent part of its answer: nothing of this request is in transit any
-    /// more.
+    /// Called when the runner has sent part of its answer: nothing of this request is in transit
+    /// any more.
     void onAnswer();
 
 private:
--- a/src/node/try_series.h
+++ b/src/node/try_series.h
@@ -62,7 +62,7 @@
     counter &retried;
 
 private:
-    result<chosen_runner> chooseFrom(const policy::view_ptr &seen,
+    result<chosen_runner> chooseFrom(const policy::view_ptr &now,
                                      const policy::route_request &wanted);
     bool isStillOpen(const chosen_runner &choice) const;
 
@@ -87,8 +87,8 @@
 
     /// Records a failed try.
     /// @returns The request's final error; none if another try may follow.
-    /// @attention Sleeps before a try that completes a partly sent stream without a token of the
-    ///            retry budget.
+    /// @attention Sleeps before a try that completes a partly sent stream although the retry budget
+    ///            is used up.
     std::optional<error> onFailure(const chosen_runner &choice, const error &failure,
                                    response_progress progress);
 
@@ -108,8 +108,8 @@
     std::uint32_t triesMade = 0;
     bool hasStarted = false;
     std::vector<runner_handle> avoid;
-    std::shared_ptr<const policy::inventory>
-            avoidFleet; ///< The fleet to which the handles in `avoid` belong.
+    /// The fleet to which the handles in `avoid` belong.
+    std::shared_ptr<const policy::inventory> avoidFleet;
 };
 
 } // namespace poplarspool::node
--- a/src/node/watched_sync.cpp
+++ b/src/node/watched_sync.cpp
@@ -134,17 +134,17 @@
         isWatch = hasListed;
     }
     const std::string prefix = operators::watchedPrefix(dependencies.deployment);
-    const mono_time asked = clock.mono();
+    const mono_time requestedAt = clock.mono();
     const milliseconds wait = config::configWatchTimeout;
     const auto answer = isWatch ? store.watch(prefix, after, wait) : store.list(prefix);
     if (!succeeded(answer))
         return false;
     const platform::object_list &changes = valueOf(answer);
-    // A watch that timed out without changes confirms that nothing changed until `asked + wait`.
-    // The time at which its answer is read must not be used: the process may have been frozen while
-    // the answer was in its socket.
+    // A watch that timed out without changes confirms that nothing changed until
+    // `requestedAt + wait`. The time at which its answer is read must not be used: the process may
+    // have been frozen while the answer was in its socket.
     const bool isUnchanged = isWatch && changes.objects.empty();
-    if (!applyUpdate(changes.objects, 0, isUnchanged ? asked + wait : asked))
+    if (!applyUpdate(changes.objects, 0, isUnchanged ? requestedAt + wait : requestedAt))
         return false;
     const std::lock_guard lock(guard);
     hasListed = true;
--- a/src/node/watched_sync.h
+++ b/src/node/watched_sync.h
@@ -79,7 +79,7 @@
     bool pullFromStore();
     void pullFromPeers();
     bool applyUpdate(const std::vector<platform::object> &changed, std::uint64_t completeTo,
-                     mono_time confirmed);
+                     mono_time confirmedNow);
     bool publish(const object_map &next, std::uint64_t completeTo);
     result<std::string> findBody(const std::string &sha256);
     void pause(milliseconds time);
@@ -99,7 +99,7 @@
     std::map<std::string, std::string> bodies; ///< By SHA-256; bodies of the current configuration.
     std::uint64_t completeVersion = 0;
     bool hasListed = false; ///< The store's list was applied; from then on the store is watched.
-    std::uint64_t cursor = 0; ///< Store version after which the next watch asks for changes.
+    std::uint64_t cursor = 0; ///< Store version after which the next watch requests changes.
     mono_time confirmed{};
     bool isStopping = false;
     std::thread storeThread;
--- a/src/policy/addresses.cpp
+++ b/src/policy/addresses.cpp
@@ -27,8 +27,8 @@
 
 /// @returns Number of streams above which an instance counts as overloaded compared with the
 ///          others. Callers keep an address for seconds and the counts are delayed, so a strict
-///          order by load would send all callers to the least loaded instance. A bound only spares
-///          the most loaded ones.
+///          order by load would send all callers to the least loaded instance. A bound only ranks
+///          the most loaded ones after the others.
 double loadBound(const view &now)
 {
     double streams = 0;
--- a/src/policy/role_split.cpp
+++ b/src/policy/role_split.cpp
@@ -18,8 +18,8 @@
     double decode = 0;
 };
 
-/// Loss if each request is served by a single engine: capacity is the multiple of the demand that
-/// the engines can serve.
+/// Loss if each request is served by a single engine: the engines can serve `served` times the
+/// demand.
 double lossSingleEngine(const role_split &split, const work_rate &work)
 {
     const auto servedBy = [&](double engines, engine_role role) {
