--- a/include/poplarspool/duties/usage.h
+++ b/include/poplarspool/duties/usage.h
@@ -65,8 +65,8 @@
     /// @returns The sum over all incarnations.
     usage_counts totalOf(window_number window) const;
     /// @returns Whether the counts up to `end` have been received from all incarnations that have
-    ///          counted requests in window `since` or later. An incarnation that has ended has sent
-    ///          all its counts.
+    ///          counted requests in window `since` or later. An incarnation that has ended counts
+    ///          as complete.
     bool isComplete(window_number since, wall_time end) const;
     void forgetBefore(window_number window);
 
--- a/src/node/instance.cpp
+++ b/src/node/instance.cpp
@@ -76,7 +76,8 @@
 
 } // namespace
 
-/// All components of one instance; each depends only on those above it.
+/// All components of one instance. Each is constructed from those above it; only its callbacks
+/// refer to later ones.
 struct instance::state
 {
     explicit state(settings given);
--- a/src/node/request_handler.cpp
+++ b/src/node/request_handler.cpp
@@ -191,7 +191,7 @@
     }
 }
 
-/// Refused requests count too: they show the planner that there are too few engines.
+/// Requests that routing refuses count too: they show the planner that there are too few engines.
 void request_handler::recordDemand(const policy::view &now, const policy::route_request &wanted)
 {
     for (const policy::runner_spec &spec : now.fleet->runners) {
