--- a/include/poplarspool/base/hash.h
+++ b/include/poplarspool/base/hash.h
@@ -30,8 +30,8 @@
 /// @returns The first 128 bits of the SHA-256.
 digest_128 digest128Of(std::string_view bytes);
 
-/// Weight of `owner` for `key` in rendezvous hashing: the owner with the highest weight owns the
-/// key.
+/// Weight of `owner` for `key` in rendezvous hashing: a key belongs to the owner with the highest
+/// weight.
 std::uint64_t rendezvousWeight(std::string_view owner, std::string_view key);
 
 /// @returns 128 random bits in hex, from the cryptographic random generator.
--- a/include/poplarspool/base/http.h
+++ b/include/poplarspool/base/http.h
@@ -48,7 +48,7 @@
     std::size_t headerBytes;
     std::size_t bodyBytes;
     std::uint32_t connections;
-    milliseconds readTimeout; ///< For receiving a whole request.
+    milliseconds readTimeout; ///< For receiving a whole request, even if it arrives in pieces.
     milliseconds writeTimeout; ///< For one blocked write.
     milliseconds keepAliveTimeout;
     std::size_t keepAliveRequests;
@@ -70,8 +70,8 @@
     /// @returns Whether the peer has reset the connection or closed both directions. A peer that
     ///          only shut down its sending side may still read the reply and is not gone.
     virtual bool isGone() const = 0;
-    /// @returns Descriptor of the connection, to be polled for its end by the peer; -1 if there is
-    ///          none.
+    /// @returns The connection's descriptor, which can be polled to detect that the peer has closed
+    ///          the connection; -1 if there is none.
     virtual int descriptorNumber() const { return -1; }
 };
 
--- a/include/poplarspool/base/published.h
+++ b/include/poplarspool/base/published.h
@@ -8,8 +8,7 @@
 namespace poplarspool {
 
 /// Holder of an immutable value that is read often and replaced rarely (read-copy-update). Readers
-/// don't wait for writers, and a value stays valid and unchanged for as long as a reader holds
-/// it.
+/// don't wait for writers, and a value stays valid and unchanged while a reader holds it.
 template <class T>
 class published
 {
--- a/include/poplarspool/base/settings.h
+++ b/include/poplarspool/base/settings.h
@@ -11,8 +11,8 @@
 
 namespace poplarspool {
 
-/// Settings of one instance, read from its TOML file and validated; docs/SETTINGS.md describes each
-/// key.
+/// Settings of one instance, read from its TOML file and validated. docs/SETTINGS.md describes the
+/// keys.
 struct settings
 {
     instance_id instance; ///< `instance`
@@ -22,7 +22,8 @@
     endpoint callerAddress; ///< `caller.address`: address for callers.
     /// `operator.address`: status, event timeline and metrics; not meant for callers.
     endpoint operatorAddress;
-    std::string operatorKeySha256; ///< `operator.key_sha256`: hex; empty: no key.
+    /// `operator.key_sha256`: hex. If empty, requests to operatorAddress need no key.
+    std::string operatorKeySha256;
     endpoint peerAddress; ///< `peer.address`: UDP gossip and TCP calls on the same port.
     /// `peer.key`: secret shared by all instances, for the MAC of every message.
     std::string peerKey;
--- a/include/poplarspool/config.h
+++ b/include/poplarspool/config.h
@@ -141,7 +141,7 @@
 /// Number of peers that an instance sends to in one gossip round.
 inline constexpr std::size_t gossipFanout = 3;
 /// Maximum gossip traffic that one instance sends, in bytes per second. It receives as much again,
-/// and requirement 1 allows 17 KB per second for all control traffic.
+/// and the users allow 17 KB per second for all control traffic.
 inline constexpr std::size_t gossipBytesPerSecond = 8 * 1024;
 /// Time without an answer after which a member becomes suspect, and time after which a suspect
 /// member is declared dead.
@@ -167,7 +167,7 @@
 /// relay dies, freezes or is rejected by the store, the others need not query the store themselves.
 /// With fewer instances, the second relay costs more store calls than it saves: with 18 instances,
 /// 235 calls on an undisturbed and 369 on a disturbed benchmark day instead of 175 and 283 (534 and
-/// 1,233 where each instance watches the store itself).
+/// 1,233 if each instance watches the store itself).
 inline constexpr std::size_t minOthersForTwoRelays = 32;
 /// Interval between two datagrams of a relay without changes, and time without a datagram after
 /// which a relay is considered gone. Two datagrams may be lost.
@@ -287,7 +287,7 @@
 inline constexpr double typicalOutputTokens = 256;
 /// Minimum time between two tokens of one stream, on an engine without other load, in seconds.
 inline constexpr double minTokenSeconds = 0.008;
-/// Maximum number of candidates able to serve the request that one decision chooses from.
+/// Maximum number of candidates that can serve the request, from which one decision chooses.
 inline constexpr std::size_t maxScoredRunners = 32;
 /// Number of open requests that each other instance is assumed to have in addition to as many as
 /// this instance has (docs/design/routing.md).
@@ -322,7 +322,7 @@
 /// Minimum and maximum Retry-After for a refused caller.
 inline constexpr std::chrono::milliseconds minRetryAfter = 100ms;
 inline constexpr std::chrono::milliseconds maxRetryAfter = 30s;
-/// Retry-After where no runner is available: a drain or a role change takes seconds.
+/// Retry-After if no runner is available: a drain or a role change takes seconds.
 inline constexpr std::chrono::milliseconds noRunnerRetryAfter = 2s;
 /// Time constant of the moving average of a pool's demand, in seconds.
 inline constexpr double demandTimeConstantSeconds = 10;
--- a/include/poplarspool/operators/config_files.h
+++ b/include/poplarspool/operators/config_files.h
@@ -38,7 +38,7 @@
 parse_result<policy::rules> parseRules(const std::string &file, std::string_view text);
 
 /// Checks rules against an inventory, for example that each pool named by a rule exists.
-/// @returns The errors, located in the rules file; empty where one of the files is itself invalid.
+/// @returns The errors, located in the rules file; empty if one of the files is itself invalid.
 std::vector<diagnostic> crossCheck(const std::string &inventoryFile, std::string_view inventoryText,
                                    const std::string &rulesFile, std::string_view rulesText);
 
--- a/include/poplarspool/operators/config_store.h
+++ b/include/poplarspool/operators/config_store.h
@@ -81,12 +81,12 @@
 };
 
 /// Reads the head and its bodies, and verifies the SHA-256 of each body.
-/// @returns Broken where the head is unreadable or a body does not match its hash.
+/// @returns Broken if the head is unreadable or a body does not match its hash.
 result<stored_config> readConfig(platform::object_store &store, const std::string &deployment);
 
 /// Writes the bodies, then replaces the head with a conditional write. The caller has validated the
 /// texts.
-/// @returns Conflict (NotRun) that describes the other change where another operator was first.
+/// @returns Conflict (NotRun) that describes the other change if another operator was first.
 result<apply_reply> applyConfig(platform::object_store &store, const std::string &deployment,
                                 const apply_request &request, mono_time deadline);
 
--- a/include/poplarspool/operators/operator_server.h
+++ b/include/poplarspool/operators/operator_server.h
@@ -61,7 +61,7 @@
 };
 
 /// Parses the body of a /status reply.
-/// @returns Broken where the body is not a valid status.
+/// @returns Broken if the body is not a valid status.
 result<fleet_status> parseFleetStatus(std::string_view json);
 
 /// @returns The number of listed instances that aren't dead.
@@ -70,8 +70,8 @@
 /// @returns Whether `version` is applied by every listed instance that isn't dead.
 bool isInForce(const fleet_status &status, std::uint64_t version);
 
-/// HTTP server for operators on a separate address: /status, /timeline, /metrics, /config. Where
-/// the settings contain the hash of a key, requests without this bearer key are rejected with 401.
+/// HTTP server for operators on a separate address: /status, /timeline, /metrics, /config. If the
+/// settings contain the hash of a key, requests without this bearer key are rejected with 401.
 class operator_server
 {
 public:
--- a/src/base/connection_pool.cpp
+++ b/src/base/connection_pool.cpp
@@ -37,7 +37,7 @@
 }
 
 /// Takes the most recently used connection, so that the surplus connections of a load peak expire
-/// after it.
+/// once it is over.
 descriptor connection_pool::acquireIdle(const endpoint &to)
 {
     const std::lock_guard lock(guard);
--- a/src/base/connection_pool.h
+++ b/src/base/connection_pool.h
@@ -25,7 +25,7 @@
     /// @returns The most recently used idle connection; a closed descriptor if none is usable.
     descriptor acquireIdle(const endpoint &to);
 
-    /// Returns a connection to the pool, whose last reply must be complete.
+    /// Returns a connection to the pool. Its last reply must be complete.
     /// @param idleTime Time after which the pool closes it.
     void release(const endpoint &to, descriptor connection, milliseconds idleTime);
 
--- a/src/base/connection_threads.cpp
+++ b/src/base/connection_threads.cpp
@@ -24,7 +24,7 @@
     std::mutex guard;
     std::condition_variable jobAvailable;
     std::condition_variable threadEnded;
-    std::deque<std::function<void()>> pendingJobs; ///< Each already has an idle thread.
+    std::deque<std::function<void()>> pendingJobs; ///< An idle thread is reserved for each.
     std::uint32_t busy = 0;
     std::uint32_t idle = 0; ///< Idle threads without a pending job.
     std::uint32_t threads = 0;
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -61,10 +61,10 @@
 digest_128 digest128Of(std::string_view bytes)
 {
     const sha256_bytes whole = sha256Of(bytes);
-    digest_128 made;
-    std::memcpy(&made.high, whole.data(), sizeof(made.high));
-    std::memcpy(&made.low, whole.data() + sizeof(made.high), sizeof(made.low));
-    return made;
+    digest_128 digest;
+    std::memcpy(&digest.high, whole.data(), sizeof(digest.high));
+    std::memcpy(&digest.low, whole.data() + sizeof(digest.high), sizeof(digest.low));
+    return digest;
 }
 
 std::uint64_t rendezvousWeight(std::string_view owner, std::string_view key)
--- a/src/base/http_listener.cpp
+++ b/src/base/http_listener.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// Pause between two attempts to bind the address again after the listening socket was lost.
+/// Pause between two tries to bind the address again after the listening socket was lost.
 constexpr std::chrono::milliseconds rebindPause{50};
 
-/// Runs each task on the accepting thread. The server has its own threads, which reject a
-/// connection above the limit immediately, while the library would queue it without a limit.
+/// Runs each task on the accepting thread. The server has its own thread pool, which rejects
+/// connections above its limit immediately; the library's pool would queue them without a limit.
 class inline_task_queue : public httplib::TaskQueue
 {
 public:
--- a/src/base/http_server.cpp
+++ b/src/base/http_server.cpp
@@ -79,8 +79,8 @@
     counter &refused;
     counter &timeouts;
     counter &badRequests;
-    const step_failure_reporter
-            faults; ///< For exceptions in the handler and in connection threads.
+    /// For exceptions in the handler and in connection threads.
+    const step_failure_reporter faults;
     std::atomic<std::uint32_t> open{0};
     std::atomic<bool> isShuttingDown{false};
     pollable_flag stopping;
--- a/src/base/http_text.cpp
+++ b/src/base/http_text.cpp
@@ -254,7 +254,7 @@
     parsed.isChunked = std::get<body_framing>(framing).isChunked;
     parsed.bodyBytes = std::get<body_framing>(framing).bodyBytes.value_or(0);
     if (parsed.isChunked && !parsed.supportsChunks)
-        return bad_request{400, "chunked encoding needs HTTP/1.1"};
+        return bad_request{400, "chunked encoding requires HTTP/1.1"};
     parsed.keepsAlive = keepsAlive(parsed.headers, parsed.supportsChunks);
     parsed.expectsContinue = equalsIgnoringCase(headerOf(parsed.headers, "expect"), "100-continue");
     return parsed;
--- a/src/base/pooled_call.h
+++ b/src/base/pooled_call.h
@@ -7,7 +7,7 @@
 
 namespace poplarspool {
 
-/// Callbacks that receive a reply while it arrives.
+/// Callbacks that receive a reply as it arrives.
 struct call_receivers
 {
     http_head_receiver onHead;
@@ -44,7 +44,7 @@
     const socket_deadline deadline;
     const pollable_flag &stopping;
 
-    // State of the request:
+    // State of the call:
     bool expectsBody = true;
     bool isCancelled = false;
     bool isHeadPassed = false;
