--- a/src/caller/caller_server.cpp
+++ b/src/caller/caller_server.cpp
@@ -65,7 +65,8 @@
     return reply;
 }
 
-/// A reply and its outcome for log and metrics. No reply: it was written to the sink.
+/// A reply, and the outcome of the request for log and metrics. Without a reply, the handler has
+/// written it to the sink.
 struct serve_result
 {
     std::optional<http_reply> reply;
@@ -133,11 +134,11 @@
     return {{"addresses", std::move(addresses)}, {"keep_seconds", answer.keepTime.count()}};
 }
 
-/// An internal fault; whether the request had run is unknown here, so it is MayHaveRun.
+/// The verdict is MayHaveRun, because it is unknown here whether the request has run.
 error internalError()
 {
     return mayHaveRun(error_code::Internal,
-                      "internal fault; the log of the instance has its cause");
+                      "internal fault; the instance's log contains the cause");
 }
 
 } // namespace
@@ -166,15 +167,16 @@
 
     std::optional<http_reply> serve(const http_request &request, http_sink &connection);
     serve_result routeOrFail(const http_request &request, const result<request_head> &head,
-                             reply_tracker &probe);
-    serve_result route(const http_request &request, const request_head &head, reply_tracker &probe);
+                             reply_tracker &tracker);
+    serve_result route(const http_request &request, const request_head &head,
+                       reply_tracker &tracker);
     serve_result serveAddresses(const http_request &request, const request_head &head);
     serve_result serveModels(const request_head &head);
     serve_result serveCompletion(const http_request &request, const request_head &head,
-                                 reply_tracker &probe);
+                                 reply_tracker &tracker);
     serve_result serveService(const http_request &request, const request_head &head,
-                              reply_tracker &probe);
-    void complete(const completion_request &ask, completion_sink &sink,
+                              reply_tracker &tracker);
+    void complete(const completion_request &request, completion_sink &sink,
                   const completion_outcome &outcome);
 
     caller_handlers handlers;
@@ -197,9 +199,9 @@
         knownHead = valueOf(head);
 
     observer.onRequestStarted(kind, knownHead);
-    reply_tracker probe(connection, id, clock);
-    serve_result served = routeOrFail(request, head, probe);
-    observer.onRequestFinished(kind, knownHead, served.outcome, probe.firstByteAt());
+    reply_tracker tracker(connection, id, clock);
+    serve_result served = routeOrFail(request, head, tracker);
+    observer.onRequestFinished(kind, knownHead, served.outcome, tracker.firstByteAt());
     if (served.reply)
         served.reply->headers = withRequestId(served.reply->headers, id);
     return std::move(served.reply);
@@ -207,12 +209,12 @@
 
 serve_result caller_server::state::routeOrFail(const http_request &request,
                                                const result<request_head> &head,
-                                               reply_tracker &probe)
+                                               reply_tracker &tracker)
 {
     if (!succeeded(head))
         return failureResult(errorOf(head));
     try {
-        return route(request, valueOf(head), probe);
+        return route(request, valueOf(head), tracker);
     } catch (const std::exception &thrown) {
         observer.onHandlerThrew(valueOf(head), thrown.what());
     } catch (...) {
@@ -221,15 +223,15 @@
     serve_result out = failureResult(internalError());
     // A reply that has started can't be replaced. Leaving it without its end closes the connection,
     // which shows the caller that the reply is incomplete.
-    if (probe.hasStarted()) {
+    if (tracker.hasStarted()) {
         out.reply.reset();
-        out.outcome.status = probe.status();
+        out.outcome.status = tracker.status();
     }
     return out;
 }
 
 serve_result caller_server::state::route(const http_request &request, const request_head &head,
-                                         reply_tracker &probe)
+                                         reply_tracker &tracker)
 {
     if (const fixed_route *fixed = findFixed(request.path)) {
         if (request.method != fixed->method)
@@ -241,9 +243,9 @@
     case route_kind::Models:
         return serveModels(head);
     case route_kind::Completions:
-        return serveCompletion(request, head, probe);
+        return serveCompletion(request, head, tracker);
     case route_kind::Services:
-        return serveService(request, head, probe);
+        return serveService(request, head, tracker);
     case route_kind::Health:
         return successResult(jsonReply({{"status", "ok"}}));
     case route_kind::Other:
@@ -273,15 +275,15 @@
     return successResult(jsonReply(modelList(valueOf(models))));
 }
 
-void caller_server::state::complete(const completion_request &ask, completion_sink &sink,
+void caller_server::state::complete(const completion_request &request, completion_sink &sink,
                                     const completion_outcome &outcome)
 {
     try {
-        handlers.complete(ask, sink);
+        handlers.complete(request, sink);
     } catch (const std::exception &thrown) {
-        observer.onHandlerThrew(ask.head, thrown.what());
+        observer.onHandlerThrew(request.head, thrown.what());
     } catch (...) {
-        observer.onHandlerThrew(ask.head, "not an exception type of the standard library");
+        observer.onHandlerThrew(request.head, "not an exception type of the standard library");
     }
     // A handler that threw or did not end the answer must not leave the caller with a partial one.
     if (!outcome.isEnded)
@@ -289,46 +291,46 @@
 }
 
 serve_result caller_server::state::serveCompletion(const http_request &request,
-                                                   const request_head &head, reply_tracker &probe)
+                                                   const request_head &head, reply_tracker &tracker)
 {
     const result<completion_body> body = parseCompletion(request.body);
     if (!succeeded(body))
         return failureResult(errorOf(body));
     const completion_body &parsed = valueOf(body);
-    const completion_request ask{head, parsed.model, parsed.prompt, parsed.maxTokens,
-                                 parsed.isStreamed};
+    const completion_request completion{head, parsed.model, parsed.prompt, parsed.maxTokens,
+                                        parsed.isStreamed};
     const auto created =
             std::chrono::duration_cast<std::chrono::seconds>(clock.wall().time_since_epoch());
-    const completion_metadata label{head.request, parsed.model, created.count()};
-    if (!ask.isStreamed) {
-        buffered_completion sink(label, probe);
-        complete(ask, sink, sink.outcome());
+    const completion_metadata metadata{head.request, parsed.model, created.count()};
+    if (!completion.isStreamed) {
+        buffered_completion sink(metadata, tracker);
+        complete(completion, sink, sink.outcome());
         http_reply reply = sink.takeReply();
         const int status = reply.status;
         return {std::move(reply), {status, sink.outcome().failure, sink.outcome().tokens}};
     }
-    streamed_completion sink(label, probe);
-    complete(ask, sink, sink.outcome());
+    streamed_completion sink(metadata, tracker);
+    complete(completion, sink, sink.outcome());
     std::optional<http_reply> reply = sink.takeReply();
-    const int status = reply ? reply->status : probe.status();
+    const int status = reply ? reply->status : tracker.status();
     return {std::move(reply), {status, sink.outcome().failure, sink.outcome().tokens}};
 }
 
 serve_result caller_server::state::serveService(const http_request &request,
-                                                const request_head &head, reply_tracker &probe)
+                                                const request_head &head, reply_tracker &tracker)
 {
     const auto target =
             parseServiceTarget(std::string_view(request.path).substr(servicesPrefix.size()));
     if (!succeeded(target))
         return failureResult(errorOf(target));
-    service_request ask{head, valueOf(target).service, request};
-    ask.request.path = valueOf(target).path;
-    ask.request.headers = headersForService(request.headers, head.request);
-    const std::optional<error> failure = handlers.callService(ask, probe);
-    if (failure && !probe.hasStarted())
+    service_request call{head, valueOf(target).service, request};
+    call.request.path = valueOf(target).path;
+    call.request.headers = headersForService(request.headers, head.request);
+    const std::optional<error> failure = handlers.callService(call, tracker);
+    if (failure && !tracker.hasStarted())
         return failureResult(*failure);
-    request_outcome outcome{probe.status(), failure, 0};
-    if (!failure && !probe.isComplete())
+    request_outcome outcome{tracker.status(), failure, 0};
+    if (!failure && !tracker.isComplete())
         outcome.failure = mayHaveRun(error_code::Broken, "the reply was cut short");
     return {std::nullopt, std::move(outcome)};
 }
--- a/src/caller/completion_json.cpp
+++ b/src/caller/completion_json.cpp
@@ -20,8 +20,8 @@
                   "member " + std::string(member) + ": " + std::string(what));
 }
 
-/// A member that clients of the usual completions API send and that has no effect here, with the
-/// check of its value.
+/// A member of the request body that has no effect here but is sent by clients of the usual
+/// completions API, and the check of its value.
 struct compatibility_member
 {
     std::string_view name;
@@ -241,8 +241,8 @@
 {
     if (result.isEnded)
         return;
-    // After token() returned false the handler reports the caller as disconnected. The caller is
-    // still connected, so it gets the actual cause.
+    // When token() returns false, the handler fails the answer as if the caller had disconnected.
+    // The caller is still connected, so it gets the actual cause.
     const error reported = isTooLong
             ? mayHaveRun(error_code::TooLarge,
                          "the answer is too long for a reply without streaming")
--- a/src/caller/completion_stream.cpp
+++ b/src/caller/completion_stream.cpp
@@ -13,23 +13,23 @@
 constexpr std::string_view doneEvent = "data: [DONE]\n\n";
 
 /// @returns The start of every chunk of one answer, up to its choices.
-std::string chunkPrefix(const completion_metadata &label)
+std::string chunkPrefix(const completion_metadata &metadata)
 {
     std::string prefix(eventPrefix);
     prefix += R"({"id":"cmpl-)";
-    appendEscaped(prefix, label.request.text);
+    appendEscaped(prefix, metadata.request.text);
     prefix += R"(","object":"text_completion","created":)";
-    prefix += std::to_string(label.createdSeconds);
+    prefix += std::to_string(metadata.createdSeconds);
     prefix += R"(,"model":")";
-    appendEscaped(prefix, label.model);
+    appendEscaped(prefix, metadata.model);
     prefix += '"';
     return prefix;
 }
 
 } // namespace
 
-streamed_completion::streamed_completion(const completion_metadata &label, http_sink &connection)
-    : connection(connection), tokenPrefix(chunkPrefix(label)), endPrefix(tokenPrefix)
+streamed_completion::streamed_completion(const completion_metadata &metadata, http_sink &connection)
+    : connection(connection), tokenPrefix(chunkPrefix(metadata)), endPrefix(tokenPrefix)
 {
     tokenPrefix += R"(,"choices":[{"index":0,"text":")";
     endPrefix += R"(,"choices":[{"index":0,"text":"","logprobs":null,"finish_reason":")";
--- a/src/caller/completion_stream.h
+++ b/src/caller/completion_stream.h
@@ -10,7 +10,7 @@
 class streamed_completion final : public completion_sink
 {
 public:
-    streamed_completion(const completion_metadata &label, http_sink &connection);
+    streamed_completion(const completion_metadata &metadata, http_sink &connection);
 
     bool token(std::string_view text) override;
     void finish(const completion_summary &end) override;
--- a/src/caller/request_observer.cpp
+++ b/src/caller/request_observer.cpp
@@ -13,8 +13,8 @@
     return std::string(name) + "{" + std::string(labels) + "}";
 }
 
-/// Only completions and service calls are logged: frequent address lookups and health checks would
-/// evict their events from the journal's ring buffer.
+/// Only completions and service calls are logged. Address lookups and health checks are so frequent
+/// that their events would displace those of real requests from the journal's ring buffer.
 bool isLogged(route_kind route)
 {
     return route == route_kind::Completions || route == route_kind::Services;
--- a/src/caller/request_observer.h
+++ b/src/caller/request_observer.h
@@ -24,7 +24,7 @@
 };
 
 /// Records metrics and events of requests. Looks up every metric once at construction, so that
-/// requests do not take the registry's lock.
+/// requests don't take the registry's lock.
 class request_observer
 {
 public:
--- a/src/caller/service_path.h
+++ b/src/caller/service_path.h
@@ -7,7 +7,7 @@
 
 namespace poplarspool::caller {
 
-/// Service and path that the path of a request names.
+/// The service that a request is for, and the path within that service.
 struct service_target
 {
     std::string service;
--- a/src/operators/apply_command.cpp
+++ b/src/operators/apply_command.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::chrono::milliseconds statusPollInterval{200};
 
-/// What the steps of one command run share.
+/// State shared by the steps of one run of the command.
 struct apply_context
 {
     const cxxopts::Options &options;
--- a/src/operators/check_command.cpp
+++ b/src/operators/check_command.cpp
@@ -45,7 +45,7 @@
     return file;
 }
 
-/// @returns The file of this kind; nullptr where there is none or more than one.
+/// @returns The file of this kind; nullptr if there is none or more than one.
 checked_file *findSingle(std::vector<checked_file> &files, file_kind kind)
 {
     checked_file *match = nullptr;
--- a/src/operators/command_line.h
+++ b/src/operators/command_line.h
@@ -19,7 +19,7 @@
 inline constexpr int exitFailure = 1;
 inline constexpr int exitInvalidInput = 2; ///< Invalid arguments or invalid files.
 
-/// The parsed arguments, or the exit status where help was printed or the arguments are invalid.
+/// The parsed arguments, or the exit status if help was printed or the arguments are invalid.
 using arguments_or_exit_code = std::variant<cxxopts::ParseResult, int>;
 
 /// Adds --help and parses the arguments. Prints the help or a usage error.
@@ -31,7 +31,7 @@
 /// @returns exitInvalidInput.
 int reportUsageError(const cxxopts::Options &options, const std::string &reason, std::ostream &err);
 
-/// @returns The content; nullopt, after an error message, where the file can't be read.
+/// @returns The content; nullopt, after an error message, if the file can't be read.
 std::optional<std::string> readFile(const std::string &path, std::ostream &err);
 
 } // namespace poplarspool::operators
--- a/src/operators/config_diff.cpp
+++ b/src/operators/config_diff.cpp
@@ -124,8 +124,8 @@
     diff_list diff;
     compareInventories(diff, from.fleet, to.fleet);
     compareRules(diff, from.ruleSet, to.ruleSet);
-    // The items may be equal but ordered differently; the order of classes and of request rules has
-    // a meaning.
+    // The items may be equal but ordered differently; the order of classes and of request rules is
+    // significant.
     if (diff.entries.empty() && !(from == to))
         diff.keyChanged("order of classes or requests");
     return diff.entries;
--- a/src/operators/config_diff.h
+++ b/src/operators/config_diff.h
@@ -21,7 +21,7 @@
 ///          (draining)" (changed, with the changed keys).
 std::vector<std::string> differences(const configuration &from, const configuration &to);
 
-/// @returns The first few differences in one line and the number of the others; "nothing" where
+/// @returns One line with the first few differences and the number of the others; "nothing" if
 ///          there are none.
 std::string summaryOf(const std::vector<std::string> &differences);
 
--- a/src/operators/config_store.cpp
+++ b/src/operators/config_store.cpp
@@ -16,7 +16,7 @@
 
 using platform::object_store;
 
-/// The head as read from the store; version 0 where none exists yet.
+/// The head as read from the store; version 0 if none exists yet.
 struct current_head
 {
     std::uint64_t version = 0;
@@ -44,8 +44,8 @@
             head.nonce,      head.author,       head.wallMs};
 }
 
-/// @returns The version at which the change with this nonce was accepted; nullopt where it isn't in
-///          the history.
+/// @returns The version at which the change with this nonce was accepted; nullopt if the head and
+///          its history don't contain it.
 std::optional<std::uint64_t> versionOfChange(const current_head &current, const std::string &nonce)
 {
     if (current.version != 0 && current.head.nonce == nonce)
@@ -169,7 +169,7 @@
 }
 
 /// Describes the accepted change and the rejected one. Both are compared with the configuration
-/// that the rejected one is based on, where the history still contains it.
+/// that the rejected one is based on, if the history still contains it.
 error conflictOf(object_store &store, const std::string &deployment, const current_head &current,
                  const apply_request &request, std::uint64_t baseVersion)
 {
--- a/src/operators/file_keys.h
+++ b/src/operators/file_keys.h
@@ -11,8 +11,7 @@
 /// The declared keys of the four kinds of files.
 namespace poplarspool::operators {
 
-/// The content of an inventory file. The runners in `fleet` have inherited the defaults of their
-/// pool.
+/// The content of an inventory file. The runners in `fleet` inherit the defaults of their pools.
 struct inventory_file
 {
     policy::inventory fleet;
--- a/src/operators/gateway_file.cpp
+++ b/src/operators/gateway_file.cpp
@@ -13,8 +13,9 @@
 
 constexpr std::size_t maxDuties = 16;
 
-/// Bounds of the times that limit how late a change of the store takes effect: below 500 ms a watch
-/// could not wait for changes, above 60 s a change would count as late.
+/// Bounds of the settings that limit how late a change of the store takes effect. Below 500 ms, a
+/// watch would have no time to wait for changes; above 60 s, a change would come too late to be
+/// useful.
 auto updateDelayRule()
 {
     return timeRule<milliseconds>(milliseconds(500), milliseconds(60000));
--- a/src/operators/operator_client.cpp
+++ b/src/operators/operator_client.cpp
@@ -18,7 +18,7 @@
             || (reply.status >= 400 && reply.status < 500 && reply.status != 429);
 }
 
-/// @returns The addresses; empty where one of them is not an IP address with a port.
+/// @returns The addresses; empty if one of them is not an IP address with a port.
 std::vector<endpoint> parseEndpoints(const std::vector<std::string> &texts)
 {
     std::vector<endpoint> addresses;
--- a/src/operators/operator_client.h
+++ b/src/operators/operator_client.h
@@ -17,13 +17,13 @@
 class operator_client
 {
 public:
-    /// @param key Bearer key; empty where the instances require none.
+    /// @param key Bearer key; empty if the instances require none.
     operator_client(std::vector<endpoint> addresses, std::string key);
 
-    /// Tries the addresses in order until a reply is final, that is, any other instance would give
-    /// the same one.
-    /// @returns The final reply, or the last failure. The verdict of the failure is NotRun only
-    ///          where no try can have had an effect.
+    /// Tries the addresses in order until a reply is final, which means that any other instance
+    /// would reply the same.
+    /// @returns The final reply, or the last failure. The verdict of the failure is NotRun only if
+    ///          no try can have had an effect.
     result<http_reply> call(const http_request &request);
 
 private:
--- a/src/operators/operator_server.cpp
+++ b/src/operators/operator_server.cpp
@@ -89,7 +89,7 @@
 }
 
 /// Checks the nonce and the author of a change.
-/// @returns An error message; empty where both are valid.
+/// @returns An error message; empty if both are valid.
 std::string checkMetadata(const apply_request &request)
 {
     const auto isBounded = [](const std::string &text) {
--- a/src/operators/settings_file.cpp
+++ b/src/operators/settings_file.cpp
@@ -178,8 +178,8 @@
     return keys;
 }
 
-/// Reports servers on the same address, where the second one could not bind. The peer address
-/// counts too, since peers also connect by TCP.
+/// Reports addresses that are used twice; binding the second socket would fail. This includes the
+/// peer address, since peers also connect by TCP.
 void checkAddresses(const settings &choices, const toml::table &root, diagnostic_sink &diagnostics)
 {
     const auto report = [&](const std::string &key, const std::string &other) {
--- a/src/operators/toml_reader.cpp
+++ b/src/operators/toml_reader.cpp
@@ -74,7 +74,7 @@
                          std::move(message));
 }
 
-/// Reports undeclared keys, and values at keys where a table is expected.
+/// Reports undeclared keys, and keys that have a value instead of the expected table.
 void checkNames(const toml::table &table, const std::string &prefix, const table_walk &walk)
 {
     for (const auto &[name, node] : table) {
@@ -95,7 +95,7 @@
 /// Result of the lookup of a dotted name.
 struct found_node
 {
-    const toml::node *node = nullptr; ///< nullptr where the key is missing.
+    const toml::node *node = nullptr; ///< nullptr if the key is missing.
     const toml::node *nearest = nullptr; ///< The innermost existing node on the path.
 };
 
@@ -118,10 +118,10 @@
 
 diagnostic_sink::diagnostic_sink(std::string file) : file(std::move(file)) { }
 
-void diagnostic_sink::add(const toml::source_region &where, const std::string &key,
+void diagnostic_sink::add(const toml::source_region &region, const std::string &key,
                           std::string message)
 {
-    entries.push_back({file, where.begin.line, where.begin.column, key, std::move(message)});
+    entries.push_back({file, region.begin.line, region.begin.column, key, std::move(message)});
 }
 
 std::vector<diagnostic> diagnostic_sink::sorted() const
--- a/src/operators/toml_reader.h
+++ b/src/operators/toml_reader.h
@@ -18,7 +18,7 @@
 public:
     explicit diagnostic_sink(std::string file);
 
-    void add(const toml::source_region &where, const std::string &key, std::string message);
+    void add(const toml::source_region &region, const std::string &key, std::string message);
     bool isEmpty() const { return entries.empty(); }
     /// @returns All errors, ordered by line and column.
     std::vector<diagnostic> sorted() const;
@@ -28,7 +28,7 @@
     std::vector<diagnostic> entries;
 };
 
-/// A value in a file, and where to report errors about it.
+/// A value in a file, its key, and the sink for errors about it.
 struct value_location
 {
     const toml::node &node;
@@ -66,7 +66,7 @@
 {
     key_row row;
     bool isRequired = false;
-    std::vector<key_row> nested; ///< Keys of the tables in its array, where it has one.
+    std::vector<key_row> nested; ///< Keys of the tables, if the value is an array of tables.
     std::function<void(const value_location &, T &)> read;
 };
 
--- a/src/operators/value_rules.cpp
+++ b/src/operators/value_rules.cpp
@@ -121,7 +121,7 @@
     auto read = [bounds, min, max](const value_location &location, double &into) {
         const bool isNumber = location.node.is_number();
         const double number = location.node.value_or(min - 1);
-        // In this form, the condition is also false for NaN.
+        // Written so that the condition is also false for NaN.
         if (isNumber && number >= min && number <= max)
             into = number;
         else
--- a/src/operators/value_rules.h
+++ b/src/operators/value_rules.h
@@ -34,7 +34,7 @@
 value_rule<double> realRule(double min, double max);
 value_rule<endpoint> endpointRule();
 
-/// @returns The integer; nullopt, after an error that states the bounds, where it is invalid.
+/// @returns The integer; nullopt, after an error that states the bounds, if it is invalid.
 std::optional<std::int64_t> readInteger(const value_location &location, std::int64_t min,
                                         std::int64_t max);
 std::string integerBounds(std::int64_t min, std::int64_t max);
--- a/src/operators/wire_json.h
+++ b/src/operators/wire_json.h
@@ -17,7 +17,7 @@
 
 /// @returns `{"faults":[{"file","line","column","key","message"}]}`
 nlohmann::ordered_json jsonOf(const std::vector<diagnostic> &diagnostics);
-/// @returns The errors in the body of a 422 reply; empty where it is something else.
+/// @returns The errors in the body of a 422 reply; empty if it is something else.
 std::vector<diagnostic> parseDiagnostics(std::string_view text);
 
 std::string textOf(const apply_request &request);
--- a/src/runner/engine_json.cpp
+++ b/src/runner/engine_json.cpp
@@ -273,7 +273,7 @@
     cache_events parsed;
     parsed.next = *next;
     parsed.hasGap = flagIn(*object, "gap");
-    // After a gap that the engine reports, it may count from a lower number (restart).
+    // An engine that reports a gap may have restarted and count from a lower number.
     std::uint64_t last = parsed.hasGap ? 0 : after;
     for (const json &entry : *list) {
         const auto event = parseCacheEvent(entry);
--- a/src/runner/engine_json.h
+++ b/src/runner/engine_json.h
@@ -37,8 +37,9 @@
 std::optional<policy::load_report> parseLoad(std::string_view body);
 std::optional<kv_export> parseExport(std::string_view body);
 
-/// @param after The requested sequence number. Events up to it are dropped; a jump in the sequence
-///              counts as a gap, even if the engine reports none.
+/// @param after Sequence number after which events were requested; events up to and including it
+///              are dropped. A jump in the sequence counts as a gap, even if the engine reports
+///              none.
 std::optional<cache_events> parseCacheEvents(std::string_view body, std::uint64_t after);
 
 /// Converts a reply with a status other than 200 to an error.
