--- a/tests/base/connection_threads_test.cpp
+++ b/tests/base/connection_threads_test.cpp
@@ -13,6 +13,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
+    // The job throws in a pool of one thread. If the exception ended the thread without releasing
+    // its slot, all later jobs would be rejected.
     void throwingJobFreesItsThread()
     {
         metrics_registry metrics;
--- a/tests/base/http_fixture.h
+++ b/tests/base/http_fixture.h
@@ -51,6 +51,7 @@
     return all;
 }
 
+/// Client that sends exactly the given bytes on one connection.
 class raw_caller
 {
 public:
--- a/tests/base/http_test.cpp
+++ b/tests/base/http_test.cpp
@@ -213,12 +213,13 @@
     // close would make the truncated reply appear complete, so the connection must be reset.
     void truncatedHttp10ReplyIsReset()
     {
-        std::promise<void> seen;
-        std::shared_future<void> go = seen.get_future().share();
-        start([go](const http_request &request, http_sink &sink) -> std::optional<http_reply> {
+        std::promise<void> release;
+        std::shared_future<void> released = release.get_future().share();
+        start([released](const http_request &request,
+                         http_sink &sink) -> std::optional<http_reply> {
             sink.begin(200, {}, "text/plain");
             sink.write("half");
-            go.wait_for(testTimeout);
+            released.wait_for(testTimeout);
             if (request.path == "/whole")
                 sink.end();
             return std::nullopt;
@@ -229,7 +230,7 @@
         whole.send("GET /whole HTTP/1.0\r\n\r\n");
         CPPUNIT_ASSERT(!contains(cut.readTo("half"), "chunked"));
         whole.readTo("half");
-        seen.set_value();
+        release.set_value();
         char byte = 0;
         CPPUNIT_ASSERT(!receiveSome(cut.fd(), &byte, 1, testDeadline(), -1).isEnd);
         CPPUNIT_ASSERT(receiveSome(whole.fd(), &byte, 1, testDeadline(), -1).isEnd);
--- a/tests/base/named_thread_test.cpp
+++ b/tests/base/named_thread_test.cpp
@@ -18,13 +18,13 @@
 {
     clock_source source()
     {
-        clock_source made = systemClock();
-        made.wall = [this, wall = made.wall] {
+        clock_source clock = systemClock();
+        clock.wall = [this, wall = clock.wall] {
             if (isFailing.exchange(false))
                 throw std::runtime_error("no time");
             return wall();
         };
-        return made;
+        return clock;
     }
 
     std::atomic<bool> isFailing{false};
@@ -132,8 +132,8 @@
                        != std::string::npos);
     }
 
-    /// An exception thrown while the journal's lock is held: the terminating process deadlocked
-    /// instead of ending, and so it was never restarted.
+    /// An exception is thrown while the journal's lock is held. The process deadlocked instead of
+    /// terminating, so it was never restarted.
     void uncaughtExceptionIsLoggedWhileJournalIsLocked()
     {
         const std::string text = outputOfThrowingProcess(throwWhileJournalIsLocked);
@@ -143,7 +143,7 @@
                                        != std::string::npos);
     }
 
-    /// With two loggers in a process, the terminate handler called itself until the stack
+    /// With two loggers in one process, the terminate handler called itself until the stack
     /// overflowed.
     void twoLoggersTerminateTheProcessOnce()
     {
@@ -151,6 +151,8 @@
         CPPUNIT_ASSERT(text.find("event=uncaught_exception thread=watch") != std::string::npos);
     }
 
+    /// A second exception arrives while the line of the first is being written. If the second
+    /// thread terminated the process immediately, the line would be lost.
     void secondExceptionDoesNotTruncateLineOfFirst()
     {
         const std::string text = outputOfThrowingProcess(throwOnTwoThreads);
--- a/tests/base/process_signal_test.cpp
+++ b/tests/base/process_signal_test.cpp
@@ -6,9 +6,9 @@
 
 namespace poplarspool {
 
-class end_signal_test : public CppUnit::TestFixture
+class process_signal_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(end_signal_test);
+    CPPUNIT_TEST_SUITE(process_signal_test);
     CPPUNIT_TEST(sighupRequestsReload);
     CPPUNIT_TEST_SUITE_END();
 
@@ -19,19 +19,19 @@
     {
         // On a separate thread, so that the signal mask of the other tests doesn't change.
         bool isReload = false;
-        bool isEnd = false;
+        bool isTermination = false;
         std::thread serving([&] {
             blockSignals();
             raise(SIGHUP);
             isReload = waitForSignal() == process_signal::Reload;
             raise(SIGTERM);
-            isEnd = waitForSignal() == process_signal::Terminate;
+            isTermination = waitForSignal() == process_signal::Terminate;
         });
         serving.join();
-        CPPUNIT_ASSERT(isReload && isEnd);
+        CPPUNIT_ASSERT(isReload && isTermination);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(end_signal_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(process_signal_test);
 
 } // namespace poplarspool
--- a/tests/caller/completion_json_test.cpp
+++ b/tests/caller/completion_json_test.cpp
@@ -44,8 +44,8 @@
         CPPUNIT_ASSERT(succeeded(body));
     }
 
-    // A recursive parser overflows the stack on a deeply nested body and ends the process. The
-    // parse runs in a process of its own, so that the failure is reported.
+    // A recursive parser overflows the stack on a deeply nested body, which terminates the process.
+    // The parser runs in a child process, so that such a crash is reported as a failed test.
     void deeplyNestedBodyIsRejected()
     {
         test::expectCleanExit([] {
--- a/tests/caller/completion_stream_test.cpp
+++ b/tests/caller/completion_stream_test.cpp
@@ -22,7 +22,7 @@
     void streamEndsWithDone()
     {
         recording_sink connection;
-        streamed_completion sink(label(), connection);
+        streamed_completion sink(metadata(), connection);
         CPPUNIT_ASSERT(sink.token("a\"b"));
         CPPUNIT_ASSERT(sink.token("Tō\n"));
         sink.finish({"stop", 4, 2});
@@ -42,7 +42,7 @@
     void emptyAnswerIsStreamed()
     {
         recording_sink connection;
-        streamed_completion sink(label(), connection);
+        streamed_completion sink(metadata(), connection);
         sink.finish({"stop", 4, 0});
         CPPUNIT_ASSERT_EQUAL(200, connection.status);
         CPPUNIT_ASSERT_EQUAL(std::string("[DONE]"), eventsOf(connection.body).back());
@@ -53,7 +53,7 @@
     void failureBeforeTheFirstTokenGivesAnErrorStatus()
     {
         recording_sink connection;
-        streamed_completion sink(label(), connection);
+        streamed_completion sink(metadata(), connection);
         sink.fail(notRun(error_code::Overloaded, "busy", milliseconds(1500)));
         CPPUNIT_ASSERT_EQUAL(0, connection.status);
         const auto reply = sink.takeReply();
@@ -68,7 +68,7 @@
     void failureAfterTheFirstTokenGivesAnErrorEvent()
     {
         recording_sink connection;
-        streamed_completion sink(label(), connection);
+        streamed_completion sink(metadata(), connection);
         sink.token("a");
         sink.fail(mayHaveRun(error_code::Broken, "the engine died"));
         sink.finish({"stop", 1, 1});
@@ -83,7 +83,7 @@
     void tokenIsRejectedAfterTheCallerDisconnects()
     {
         recording_sink connection;
-        streamed_completion sink(label(), connection);
+        streamed_completion sink(metadata(), connection);
         CPPUNIT_ASSERT(sink.token("a"));
         connection.isDisconnected = true;
         CPPUNIT_ASSERT(!sink.token("b"));
@@ -92,7 +92,7 @@
     }
 
 private:
-    static completion_metadata label() { return {{"r1"}, "model \"x\"", 17}; }
+    static completion_metadata metadata() { return {{"r1"}, "model \"x\"", 17}; }
 
     static std::vector<std::string> eventsOf(const std::string &body)
     {
--- a/tests/known_red.h
+++ b/tests/known_red.h
@@ -6,9 +6,8 @@
 /// Tests that are known to fail because of a fault that isn't fixed yet.
 namespace poplarspool::test {
 
-/// @param file One test per line. Each line starts with the test's name as the runner prints it;
-/// the
-///             name ends at the first blank.
+/// @param file One test per line. A line starts with the test's name as the test program prints it,
+///             which ends at the first blank.
 /// @returns The lines; none if the file doesn't exist.
 std::vector<std::string> readKnownRed(const std::string &file);
 
--- a/tests/runner/engine_control_test.cpp
+++ b/tests/runner/engine_control_test.cpp
@@ -68,6 +68,8 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), fixture.engine.records().staleOrdersRefused);
     }
 
+    // An engine that doesn't check fencing tokens applies a stale order. The stand-in must do so
+    // too, and count it so that the stale order can be detected.
     void staleOrdersAreAppliedWithoutFencing()
     {
         auto options = engine_fixture::fastOptions();
--- a/tests/runner/engine_fixture.h
+++ b/tests/runner/engine_fixture.h
@@ -15,7 +15,7 @@
 
 namespace poplarspool::runner {
 
-/// Time-out of every wait for an expected event; exceeding it fails the test.
+/// Time limit of every wait for an expected event. The test fails when it expires.
 constexpr milliseconds testTimeout{20000};
 
 /// Waits until the condition holds, checking it every millisecond.
--- a/tests/runner/service_test.cpp
+++ b/tests/runner/service_test.cpp
@@ -59,8 +59,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("k"), fixture.service.records().records.at(0).key);
     }
 
-    // The service processes the order and crashes before it replies. The verdict must not be
-    // NotRun: the caller would send the order again and it would be processed twice.
+    // The service processes an order and crashes before it replies. With the verdict NotRun, the
+    // caller would send the order again, and it would be processed twice.
     void lostAnswerMayHaveRun()
     {
         service_fixture fixture;
