--- a/include/poplarspool/gateway/catalogue_updater.h
+++ b/include/poplarspool/gateway/catalogue_updater.h
@@ -27,7 +27,7 @@
 result<std::string> encode(const runner_change &change);
 result<runner_change> decodeRunnerChange(std::string_view text);
 /// Encodes a route table as a delta against the previous one: the complete routes of one user took
-/// 2 KB, which does not fit into a datagram.
+/// 2 KB and did not fit into a datagram.
 result<std::string> encode(const route_table &table, const route_table &before);
 /// @returns The newer of both tables; Stale if the delta is based on another table than `before`.
 result<route_table> decodeRouteTable(std::string_view text, const route_table &before);
@@ -64,8 +64,8 @@
     /// @param version Store version up to which all changes have been applied.
     void confirmRunners(mono_time at, store_version version);
     /// Records that a call to the store failed.
-    /// @param askedAt When the call was sent; the store may have recovered any time after that.
-    void recordStoreFailure(mono_time askedAt);
+    /// @param sentAt When the call was sent; the store may have recovered any time after that.
+    void recordStoreFailure(mono_time sentAt);
     /// Records that the store answered a call.
     void recordStoreAnswer();
     /// Records that the store was restored from an older snapshot. The next list of runners is
--- a/include/poplarspool/gateway/gateway.h
+++ b/include/poplarspool/gateway/gateway.h
@@ -62,8 +62,8 @@
     /// Called after a store rollback.
     void recordStoreRollback();
 
-    /// @returns Whether callers may be sent here: routes and runners are known, and the instance
-    ///          is not leaving.
+    /// @returns Whether callers may be sent here: routes and runners are known, and the instance is
+    ///          not leaving.
     bool isReady() const;
     /// @returns Addresses of instances for a caller. They include this instance unless it is
     ///          leaving.
@@ -72,7 +72,7 @@
     /// Begins a graceful shutdown: new callers are no longer accepted, and replies announce that
     /// their connections close.
     void leave();
-    /// Serves the open requests to their end, at most for `leave.seconds`, then stops.
+    /// Completes the open requests, for at most `leave.seconds`, then stops.
     void finish();
 
 private:
--- a/include/poplarspool/gateway/gateway_settings.h
+++ b/include/poplarspool/gateway/gateway_settings.h
@@ -23,15 +23,16 @@
     std::chrono::seconds addressKeepTime{2}; ///< `directory.keep_seconds`
     endpoint peerAddress; ///< `peer.address`: gossip between instances.
     endpoint loadAddress; ///< `peer.load_address`: load updates between instances.
-    /// `peer.share_store_news`: otherwise each instance watches the store itself.
+    /// `peer.share_store_news`: instances relay store changes to each other; if false, each
+    /// instance watches the store itself.
     bool sharesStoreUpdates = false;
     endpoint metricsAddress; ///< `metrics.address`
     endpoint storeAddress; ///< `store.address`
     /// `store.settle_ms`: time for which updates may be late after the store or the connection to
     /// it has recovered.
     milliseconds settleTime{3000};
-    /// `store.runners_ms`, `store.routes_ms`: in normal operation, the time within which a leaving
-    /// runner gets no more requests and new routes are in force.
+    /// `store.runners_ms`, `store.routes_ms`: in normal operation, the time after which a leaving
+    /// runner gets no more requests, and the time after which new routes are in force.
     milliseconds runnersBound{2000};
     milliseconds routesBound{2000};
     double retryShare = 0.1; ///< `retries.share`: of the requests, for the whole fleet.
@@ -41,7 +42,8 @@
     endpoint dutyAddress; ///< `duties.address`: the platform's address for calls of one instance.
     std::vector<std::string> dutyKinds; ///< `duties.kinds`: the duties that are enabled.
     double usageWindowSeconds = 5; ///< `duties.usage_window_seconds`: period of one report.
-    double usageLateSeconds = 10; ///< `duties.usage_late_seconds`: after the window's end.
+    /// `duties.usage_late_seconds`: time after the end of a window from which its report is late.
+    double usageLateSeconds = 10;
     /// `scaling.spot`: spot runners replace regular ones; if false, none are ordered.
     bool usesSpotRunners = true;
     /// `workspaces.strict_revoke`: without a confirmation from the store for
@@ -54,8 +56,8 @@
     bool operator==(const gateway_settings &) const = default;
 };
 
-/// @returns Where instances exchange store updates: the port after peerAddress's. Invalid if they
-///          don't.
+/// @returns Where instances exchange store updates: the port after peerAddress's. Invalid if store
+///          updates are not shared.
 inline endpoint updateAddressOf(const gateway_settings &settings)
 {
     if (!settings.sharesStoreUpdates || !settings.peerAddress.isValid())
@@ -76,8 +78,8 @@
             && std::ranges::find(settings.dutyKinds, kind) != settings.dutyKinds.end();
 }
 
-/// @returns Where instances exchange usage updates: two ports after peerAddress's. Invalid if they
-///          don't.
+/// @returns Where instances exchange usage updates: two ports after peerAddress's. Invalid if the
+///          usage duty is disabled.
 inline endpoint usageAddressOf(const gateway_settings &settings)
 {
     if (!hasDuty(settings, usageDuty) || !settings.peerAddress.isValid())
--- a/include/poplarspool/gateway/limits.h
+++ b/include/poplarspool/gateway/limits.h
@@ -40,7 +40,7 @@
 /// step; a request takes several tens of steps between its first and last event.
 inline constexpr double decodeCostMsPerRequest = 1.5;
 /// Costs of leaving the zone, of copying KV cache and of a prefill handoff, in milliseconds of the
-/// caller's time. Each has a price, which is small compared with a late answer.
+/// caller's time. Each of them has a price, which is small compared with that of a late answer.
 inline constexpr double engineCrossZoneMs = 3;
 inline constexpr double kvCopyCostMs = 20;
 inline constexpr double prefillHandoffCostMs = 15;
@@ -83,17 +83,17 @@
 inline constexpr double maxSlowness = 20;
 /// Times below this are not compared: they consist of overhead.
 inline constexpr double minMedianStartMs = 10;
-/// Priorities at engines, 0 to 9: prompts that were prefilled elsewhere and only have to run,
-/// urgent requests (plus their rank), and requests that are late anyway (plus their rank).
+/// Priorities at engines, from 0 (first) to 9: requests whose prompt was prefilled elsewhere and
+/// that only have to run, urgent requests (plus their rank), and late requests (plus their rank).
 inline constexpr std::uint32_t prefilledPriority = 0;
 inline constexpr std::uint32_t urgentPriority = 1;
 inline constexpr std::uint32_t laterPriority = 6;
 inline constexpr std::uint32_t maxRank = 3;
 /// A request is urgent if it is expected to start within this share of the time to its objective.
 inline constexpr double urgentShare = 0.9;
-/// Requests that can't be on time are sent to an engine only if less than this share of its batch
-/// waits there and if they are expected to start within this share of their remaining time. Half
-/// of either leaves room for urgent requests and for estimates that are wrong by a factor of two.
+/// Late requests are sent to an engine only if less than this share of its batch waits there and if
+/// they are expected to start within this share of their remaining time. Half of either leaves room
+/// for urgent requests and for estimates that are wrong by a factor of two.
 inline constexpr double laterRoomShare = 0.5;
 inline constexpr double laterTimeShare = 0.5;
 /// Time for which another instance's load update is valid. For instances that send less often: the
@@ -105,7 +105,7 @@
 inline constexpr std::chrono::milliseconds maxLoadUpdateInterval = 4s;
 /// Number of times that each update is sent, against lost datagrams.
 inline constexpr std::uint32_t updateRepeats = 2;
-/// Updates about cached parts that wait to be sent: some seconds' worth at 100 requests per
+/// Maximum updates about cached parts that wait to be sent: some seconds' worth at 100 requests per
 /// second.
 inline constexpr std::size_t maxPendingUpdates = 1000;
 /// Prompt parts remembered per runner; beyond that, the older half is dropped.
@@ -118,8 +118,8 @@
 /// tries, including those that reached no runner.
 inline constexpr std::uint32_t maxArrivals = 4;
 inline constexpr std::uint32_t maxRequestTries = 10;
-/// Time-out for connecting to a runner: 40 round trips, and less than TCP's first retransmission,
-/// after which another runner is the better choice.
+/// Time-out for connecting to a runner: 40 round trips, but less than the delay of TCP's first
+/// retransmission, from which on another runner is the better choice.
 inline constexpr std::chrono::milliseconds runnerConnectTimeout = 150ms;
 /// Silence after which a connection to a runner counts as lost.
 inline constexpr std::chrono::seconds runnerSilenceTimeout = 1s;
@@ -176,8 +176,8 @@
 /// stable before it acts: the runners of a fleet register within some seconds of its start.
 inline constexpr std::chrono::milliseconds stageInterval = 500ms;
 inline constexpr std::chrono::milliseconds stageSettleTime = 1000ms;
-/// Time for which another split must have been needed before it is ordered, unless fewer requests
-/// run than given below: a crashed engine is back after 2 to 4 s.
+/// Time for which another split must have been needed before it is ordered, unless fewer than
+/// idleRunningThreshold requests are running: a crashed engine is back after 2 to 4 s.
 inline constexpr std::chrono::milliseconds stageChangeDelay = 5s;
 /// The same for returning engines to prefill: a burst of up to 15 s may repeat.
 inline constexpr std::chrono::milliseconds stageReturnDelay = 15s;
@@ -185,6 +185,7 @@
 /// this bound, 19 of 140 changed at once, and 434 of the 3,900 requests of the next seconds were
 /// refused.
 inline constexpr std::size_t enginesPerChange = 32;
+/// Mean number of running requests below which stage changes are ordered at once, in any number.
 inline constexpr double idleRunningThreshold = 1;
 /// Time after which an order that has shown no effect counts as lost: engines take 3 s plus the
 /// time of the requests that they run.
@@ -207,7 +208,7 @@
 inline constexpr std::chrono::milliseconds maxQuarantineTime = 48h;
 /// Number of ended incarnations from which a request is not retried on another runner.
 inline constexpr std::size_t noRetryIncarnations = 2;
-/// Crash records kept in memory, and incarnations per record.
+/// Maximum crash records kept in memory, and maximum incarnations per record.
 inline constexpr std::size_t maxCrashRecords = 1024;
 inline constexpr std::size_t maxCrashIncarnations = 8;
 /// Number of incarnations from which a crash record is stored, and the maximum number of stored
@@ -224,14 +225,15 @@
 /// Time for which a broken answer is rechecked if its runner still seemed to be running.
 inline constexpr std::chrono::milliseconds unconfirmedEndTime = 3s;
 inline constexpr std::size_t maxUnconfirmedEnds = 256;
-/// Bits of the quarantine digest in a heartbeat: heartbeats must stay short.
+/// Bits of the quarantine fingerprint in a heartbeat: heartbeats must stay short.
 inline constexpr std::uint32_t quarantineMarkBits = 24;
-/// Time for which another instance's digest must have differed: rumors may still be in transit.
+/// Time for which another instance's fingerprint must have differed: rumors may still be in
+/// transit.
 inline constexpr std::chrono::milliseconds quarantineMarkDifferTime = 1500ms;
 /// Delay of an iteration from which the process counts as having been suspended.
 inline constexpr std::chrono::milliseconds quarantineSuspendedTime = 1s;
-/// Time without a confirmation from the store after which the instance counts as having been cut
-/// off; watches wait for less.
+/// Time without a confirmation from the store after which the instance counts as partitioned;
+/// watches wait for less.
 inline constexpr std::chrono::milliseconds quarantineCutOffTime = 6s;
 /// Pauses between reads of the store for crash records that this instance lacks: initial and
 /// maximum.
@@ -253,7 +255,8 @@
 /// without newer changes: an answer of a slow store (360 ms), 150 ms to connect to a runner, and
 /// up to 90 ms of processing.
 inline constexpr std::chrono::milliseconds confirmationLossLag = 600ms;
-/// With a shorter time, the relays would query the store more than twice per second.
+/// Minimum time for which the relays trust a confirmation of the store (trustTimeFor()). With a
+/// shorter time, they would query the store more than twice per second.
 inline constexpr std::chrono::milliseconds minTrustTime = 1300ms;
 /// Number of other instances in a zone from which an instance relays store changes to these only.
 /// In smaller zones, most instances would become relays.
@@ -286,7 +289,7 @@
 /// seconds old.
 inline constexpr std::chrono::milliseconds registrationSpreadTime = 1000ms;
 inline constexpr std::chrono::milliseconds missingInstanceGracePeriod = 10s;
-/// Time without an answer from the store after which entries may have lapsed during an outage, and
+/// Time without an answer from the store after which entries may have expired during an outage, and
 /// the grace period in which the entries of running runners return: about two seconds according to
 /// the platform's documentation.
 inline constexpr std::chrono::milliseconds storeOutageThreshold = 500ms;
@@ -298,11 +301,12 @@
 /// remembered for as long. Snapshots are some seconds old.
 inline constexpr std::chrono::milliseconds maxSnapshotAge = 60s;
 /// Time after which an entry restored by a rollback is trusted if it still exists: entries of
-/// ended runners lapse after three of their heartbeats of 1.2 s each.
+/// ended runners expire after three of their heartbeats of 1.2 s each.
 inline constexpr std::chrono::milliseconds rollbackEntryConfirmTime = 10s;
 /// Outdated entries that an instance lists for starting instances: some kilobytes in the store.
 inline constexpr std::size_t maxEntryMarks = 64;
-/// Time after the store's return in which entries that lapsed during the outage are found missing.
+/// Time after the store's recovery in which entries that expired during the outage are found
+/// missing.
 inline constexpr std::chrono::milliseconds entryLapseTime = 500ms;
 /// Gossip between gateways: interval, and time until a member is suspect. Callers cache an address
 /// for 2 s and lose 1 s on an instance that does not answer.
@@ -323,7 +327,7 @@
 inline constexpr std::chrono::milliseconds maxRouteTime = std::chrono::hours(24);
 /// Largest weight of a route after scaling, where a weight is a fraction or exceeds 32 bits.
 inline constexpr double maxScaledWeight = 1'000'000;
-/// Refused entries of one configuration that are logged with a line each.
+/// Maximum refused entries of one configuration that are logged with a line each.
 inline constexpr std::size_t maxRefusedLines = 16;
 
 } // namespace poplarspool::config
--- a/include/poplarspool/gateway/placement.h
+++ b/include/poplarspool/gateway/placement.h
@@ -36,8 +36,8 @@
     std::uint32_t urgentWaiting = 0; ///< Of these, urgent ones that have not started.
     std::uint32_t lowPriorityWaiting = 0; ///< Of these, late ones that have not started.
     double urgentPrefillMs = 0; ///< Time needed for the urgent prompts that are not prefilled yet.
-    double lowPriorityPrefillMs =
-            0; ///< The same for the late ones, which all urgent ones overtake.
+    /// The same for the late ones, which all urgent ones overtake.
+    double lowPriorityPrefillMs = 0;
     mono_time ejectedUntil{}; ///< It failed recently: other runners are preferred until then.
     engine_pace pace; ///< Of its service and stage.
     double runMs = 0; ///< Recent mean from a request's first event to its end; 0: unknown.
@@ -51,8 +51,8 @@
     std::shared_ptr<const runner> target;
     runner_load load;
     std::uint32_t cachedTokens = 0; ///< Known cached tokens of this prompt's beginning.
-    std::uint32_t copyableTokens =
-            0; ///< Of these, the prefilled ones: other engines can copy them.
+    /// Of these, the prefilled ones: other engines can copy them.
+    std::uint32_t copyableTokens = 0;
     bool isTried = false; ///< By this request, without success.
     bool isMisdirected = false; ///< It has denied its own entry.
 
@@ -69,8 +69,8 @@
     std::uint64_t affinityKey = 0; ///< Of the shared parts; 0: none.
     bool mayHandOff = true; ///< The prompt may be prefilled on another engine.
     bool hasBegun = false; ///< The caller has a part of the answer: too late to refuse.
-    bool isPrefilled =
-            false; ///< Prefilled on another engine: only its KV cache has to be taken over.
+    /// Prefilled on another engine: only its KV cache has to be taken over.
+    bool isPrefilled = false;
     zone_id prefillZone; ///< Of that engine.
     double objectiveLeftMs = 0; ///< Time in which it should start.
     /// Time in which it must have ended.
@@ -83,8 +83,8 @@
 
 /// Whether a request can still meet its objective.
 enum class send_class {
-    Urgent, ///< It can: goes before those that can't.
-    Later, ///< It can't: served when no urgent request waits.
+    Urgent, ///< It can: served before late requests.
+    Later, ///< It can't, so it is a late request: served when no urgent request waits.
 };
 
 std::string_view nameOf(send_class urgency);
--- a/include/poplarspool/gateway/rollback_filter.h
+++ b/include/poplarspool/gateway/rollback_filter.h
@@ -36,11 +36,11 @@
     /// Adds markers received from an instance that knows more than the snapshot contains. Each
     /// marker is applied only once.
     void addMarkers(const std::vector<outdated_entry_marker> &received, mono_time now);
-    /// @returns Markers of the last snapshot, for instances that start now; empty after a
-    ///          timeout.
+    /// @returns Markers of the last snapshot, for instances that start now; empty after a timeout.
     const std::vector<outdated_entry_marker> &markers() const { return ownMarkers; }
-    /// @returns Whether the entry is older than what is known of the runner. Forgets the outdated
-    /// entry if a newer one is passed.
+    /// Forgets the outdated entry of the runner if the passed one is newer, or is the first one
+    /// that is draining.
+    /// @returns Whether the passed entry is older than what is known of the runner.
     bool isOutdated(const runner &entry);
     /// Removes the outdated entries whose timeout has passed.
     /// @returns Those that are still listed; they have to be accepted.
@@ -74,7 +74,7 @@
     std::map<runner_id, outdated_entry> outdated;
     std::vector<outdated_entry_marker> ownMarkers;
     mono_time rolledBackAt{};
-    std::map<runner_id, outdated_entry_marker> appliedMarkers; ///< Markers that have been applied.
+    std::map<runner_id, outdated_entry_marker> appliedMarkers; ///< The latest one of each runner.
 };
 
 } // namespace poplarspool::gateway
--- a/include/poplarspool/gateway/route_index.h
+++ b/include/poplarspool/gateway/route_index.h
@@ -44,8 +44,8 @@
 struct path_segment_hash
 {
     using is_transparent = void;
-    std::size_t operator()(const path_segment &step) const;
-    std::size_t operator()(const path_segment_view &step) const;
+    std::size_t operator()(const path_segment &segment) const;
+    std::size_t operator()(const path_segment_view &segment) const;
 };
 
 struct path_segment_equal
--- a/src/gateway/caller_key.cpp
+++ b/src/gateway/caller_key.cpp
@@ -12,14 +12,14 @@
     const auto isKey = [&names](const auto &header) {
         return equalsIgnoringCase(header.first, names.key);
     };
-    // If there were two key headers, a proxy that checks one and the runner that uses the other
-    // could differ.
+    // With two key headers, a proxy could check one of them while the runner uses the other.
     if (std::ranges::count_if(request.headers, isKey) != 1)
         return nullptr;
-    const auto shown = workspaces::readKey(names.keyScheme, headerOf(request.headers, names.key));
-    if (!shown)
+    const auto presentedKey =
+            workspaces::readKey(names.keyScheme, headerOf(request.headers, names.key));
+    if (!presentedKey)
         return nullptr;
-    const auto found = index.keys.find(*shown);
+    const auto found = index.keys.find(*presentedKey);
     return found == index.keys.end() ? nullptr : &table.workspaces[found->second];
 }
 
--- a/src/gateway/caller_key.h
+++ b/src/gateway/caller_key.h
@@ -5,7 +5,7 @@
 
 namespace poplarspool::gateway {
 
-/// @param index The index of the table.
+/// @param index Index of `table`.
 /// @returns The workspace whose key the request carries; null if it carries no key, an unknown key
 ///          or more than one key header.
 const workspaces::workspace *keyOwnerOf(const http_request &request, const dialect &names,
--- a/src/gateway/catalogue_updater.cpp
+++ b/src/gateway/catalogue_updater.cpp
@@ -23,7 +23,7 @@
     };
     if (!isNewer(*publisher.current()))
         return;
-    bool isTaken = false;
+    bool isApplied = false;
     const auto shared = std::make_shared<const route_table>(std::move(table));
     const auto index = std::make_shared<const route_index>(buildRouteIndex(*shared));
     publisher.update([&](catalogue &next) {
@@ -31,10 +31,10 @@
             return false;
         next.table = shared;
         next.index = index;
-        isTaken = true;
+        isApplied = true;
         return true;
     });
-    if (isTaken)
+    if (isApplied)
         events.emit("routes_applied",
                     {{"version", std::to_string(version)}, {"routes", std::to_string(routes)}});
 }
@@ -74,11 +74,11 @@
             && now < graceEndsAt;
 }
 
-void catalogue_updater::recordStoreFailure(mono_time askedAt)
+void catalogue_updater::recordStoreFailure(mono_time sentAt)
 {
     if (failingSince == mono_time{})
         failingSince = clock.mono();
-    lastFailureSentAt = std::max(lastFailureSentAt, askedAt);
+    lastFailureSentAt = std::max(lastFailureSentAt, sentAt);
 }
 
 /// An instance that was itself partitioned can't distinguish this from an outage of the store, and
--- a/src/gateway/crash_table.cpp
+++ b/src/gateway/crash_table.cpp
@@ -25,8 +25,8 @@
     return last;
 }
 
-/// The time grows with each further incarnation, so that a request that keeps crashing runners is
-/// sent three times in the first day.
+/// The quarantine time grows with each further incarnation, so that a request that keeps crashing
+/// runners is sent only three times in the first day.
 milliseconds quarantineTime(std::size_t count)
 {
     milliseconds time = config::initialQuarantineTime;
@@ -156,18 +156,18 @@
 
 std::optional<quarantine> crash_table::quarantineOf(std::uint64_t digest, std::int64_t nowMs) const
 {
-    const auto now = assessments.current();
-    const auto found = now->find(digest);
-    if (found == now->end() || found->second.untilMs <= nowMs)
+    const auto current = assessments.current();
+    const auto found = current->find(digest);
+    if (found == current->end() || found->second.untilMs <= nowMs)
         return std::nullopt;
     return quarantine{found->second.incarnations, milliseconds(found->second.untilMs - nowMs)};
 }
 
 std::size_t crash_table::countIncarnations(std::uint64_t digest) const
 {
-    const auto now = assessments.current();
-    const auto found = now->find(digest);
-    return found == now->end() ? 0 : found->second.incarnations;
+    const auto current = assessments.current();
+    const auto found = current->find(digest);
+    return found == current->end() ? 0 : found->second.incarnations;
 }
 
 bool crash_table::hasEnded(std::uint64_t incarnationKey) const
@@ -206,8 +206,8 @@
 std::uint64_t crash_table::fingerprintAt(std::int64_t nowMs) const
 {
     std::uint64_t fingerprint = 0;
-    const auto now = assessments.current();
-    for (const auto &[digest, assessed] : *now) {
+    const auto current = assessments.current();
+    for (const auto &[digest, assessed] : *current) {
         if (assessed.untilMs > nowMs)
             fingerprint ^= digest;
     }
--- a/src/gateway/crash_table.h
+++ b/src/gateway/crash_table.h
@@ -60,7 +60,8 @@
 private:
     struct assessment
     {
-        std::size_t incarnations = 0; ///< That count, attributed to another request or not.
+        /// Ended incarnations that count against the request, including those attributed to others.
+        std::size_t incarnations = 0;
         std::int64_t untilMs = 0; ///< End of the quarantine in Unix ms; 0 if there is none.
     };
     using assessment_map = std::unordered_map<std::uint64_t, assessment>;
--- a/src/gateway/engine_time.cpp
+++ b/src/gateway/engine_time.cpp
@@ -29,11 +29,11 @@
 {
     const double cachedTokens = std::min(cached, promptTokens);
     const double tokensLeft = promptTokens - cachedTokens;
-    const prefill_speed pace = prefillSpeedOf(stage);
-    const double steps = std::ceil(tokensLeft / pace.chunkTokens);
+    const prefill_speed speed = prefillSpeedOf(stage);
+    const double steps = std::ceil(tokensLeft / speed.chunkTokens);
     // Each token attends to all tokens before it.
     const double millionPairs = tokensLeft * (cachedTokens + tokensLeft / 2) / 1e6;
-    return config::promptSetupMs + tokensLeft / pace.tokensPerMs + steps * config::engineStepMs
+    return config::promptSetupMs + tokensLeft / speed.tokensPerMs + steps * config::engineStepMs
             + millionPairs * config::attentionMsPerMillionPairs;
 }
 
--- a/src/gateway/fleet_scaler.cpp
+++ b/src/gateway/fleet_scaler.cpp
@@ -7,9 +7,9 @@
 
 namespace poplarspool::gateway {
 
-fleet_scaler::fleet_scaler(fleet_scaler_dependencies given, duties::lease_store store,
+fleet_scaler::fleet_scaler(fleet_scaler_dependencies dependencies, duties::lease_store store,
                            instance_id self, milliseconds leaseBound)
-    : tools(std::move(given)),
+    : tools(std::move(dependencies)),
       lease(std::move(store), std::move(self), leaseBound, tools.clock, tools.events),
       given(tools.metrics.counterOf("poplarspool_fleet_orders_total{end=\"taken\"}")),
       refused(tools.metrics.counterOf("poplarspool_fleet_orders_total{end=\"refused\"}")),
@@ -41,15 +41,15 @@
     const auto present = lease.readIfAvailable();
     if (!present)
         return false;
-    const auto note = scaling::decodeFleetCheckpoint(present->checkpoint);
-    if (!note && present->version.revision != 0)
+    const auto checkpoint = scaling::decodeFleetCheckpoint(present->checkpoint);
+    if (!checkpoint && present->version.revision != 0)
         tools.events.emit("fleet_note_unreadable", {{"holder", present->holder.text}});
-    if (note) {
+    if (checkpoint) {
         const mono_time now = tools.clock.mono();
-        for (const scaling::issued_order &one : note->issued)
+        for (const scaling::issued_order &one : checkpoint->issued)
             capacities[{one.service, one.order.zone, one.order.isSpot}] = {
                     .ordered = one.order.wanted, .orderedAt = now};
-        for (const scaling::issued_order &one : note->sizes)
+        for (const scaling::issued_order &one : checkpoint->sizes)
             sizes[{one.service, one.order.zone}] = one.order.wanted;
         areSizesSettled = !sizes.empty();
     }
@@ -162,34 +162,34 @@
     auto all = capacities;
     for (const scaling::issued_order &one : orders)
         all[{one.service, one.order.zone, one.order.isSpot}].ordered = one.order.wanted;
-    scaling::fleet_checkpoint note;
-    for (const auto &[about, state] : all) {
+    scaling::fleet_checkpoint checkpoint;
+    for (const auto &[key, state] : all) {
         if (state.ordered)
-            note.issued.push_back(
-                    {std::get<0>(about), {std::get<1>(about), std::get<2>(about), *state.ordered}});
+            checkpoint.issued.push_back(
+                    {std::get<0>(key), {std::get<1>(key), std::get<2>(key), *state.ordered}});
     }
-    for (const auto &[place, size] : sizes)
-        note.sizes.push_back({place.first, {place.second, false, size}});
-    return note;
+    for (const auto &[key, size] : sizes)
+        checkpoint.sizes.push_back({key.first, {key.second, false, size}});
+    return checkpoint;
 }
 
 void fleet_scaler::placeOrder(const scaling::issued_order &order, const duties::lease_term &term)
 {
-    const auto taken = tools.sink.placeOrder(order, term);
+    const auto placed = tools.sink.placeOrder(order, term);
     capacity_state &state = capacities[{order.service, order.order.zone, order.order.isSpot}];
     const mono_time now = tools.clock.mono();
-    if (succeeded(taken))
+    if (succeeded(placed))
         state = {.ordered = order.order.wanted, .orderedAt = now};
-    else if (errorOf(taken).code == error_code::Conflict)
+    else if (errorOf(placed).code == error_code::Conflict)
         state.noCapacityUntil = now + config::capacityBackoffTime;
-    (succeeded(taken) ? given : refused).add();
+    (succeeded(placed) ? given : refused).add();
     tools.events.emit("fleet_order",
                       {{"service", order.service},
                        {"zone", order.order.zone.text},
                        {"spot", order.order.isSpot ? "yes" : "no"},
                        {"wanted", std::to_string(order.order.wanted)},
                        {"fence", std::to_string(term.fence)},
-                       {"fault", succeeded(taken) ? "" : errorOf(taken).message}});
+                       {"fault", succeeded(placed) ? "" : errorOf(placed).message}});
 }
 
 } // namespace poplarspool::gateway
--- a/src/gateway/fleet_scaler.h
+++ b/src/gateway/fleet_scaler.h
@@ -20,8 +20,8 @@
     const clock_source clock;
     journal &events;
     metrics_registry &metrics;
-    /// Whether this instance is responsible. Two instances may briefly both be; the lease ensures
-    /// that only one of them acts.
+    /// Whether this instance is responsible. For a short time, this may be true on two instances;
+    /// the lease ensures that only one of them acts.
     std::function<bool()> isOwner;
 };
 
@@ -30,15 +30,15 @@
 class fleet_scaler
 {
 public:
-    fleet_scaler(fleet_scaler_dependencies tools, duties::lease_store store, instance_id self,
-                 milliseconds leaseBound);
+    fleet_scaler(fleet_scaler_dependencies dependencies, duties::lease_store store,
+                 instance_id self, milliseconds leaseBound);
 
     void start() { thread.start(); }
     void requestStop() { thread.requestStop(); }
     void stop() { thread.stop(); }
 
-    /// Runs one iteration: plans, and places the resulting orders. Called by the own thread and by
-    /// tests.
+    /// Runs one iteration: plans, and places the resulting orders. Called by the scaler's thread
+    /// and by tests.
     void runOnce();
 
 private:
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -69,8 +69,9 @@
           events(eventLog), catalogueUpdater(publisher, settings.settleTime, clock, eventLog),
           runnerTable(clock), retries({settings.retryShare, settings.retryExtra}),
           connections(config::maxIdleRunnerConnections, config::runnerConnectTimeout, registry),
-          metrics(registry), quarantineManager(quarantineTools(), std::move(links.crashRecords),
-                                               settings.instance, clock, registry, eventLog),
+          metrics(registry),
+          quarantineManager(quarantineDependencies(), std::move(links.crashRecords),
+                            settings.instance, clock, registry, eventLog),
           proxyContext{names,
                        publisher,
                        runnerTable,
@@ -86,16 +87,16 @@
                        hasDuty(settings, usageDuty) ? &usage.parts : nullptr,
                        settings.isRevokeStrict ? settings.revokeTime : milliseconds::max()},
           members(gossipSettingsOf(settings, clock),
-                  {{}, [this](const peer::rumor &news) { quarantineManager.onRumor(news); }}, clock,
-                  registry, eventLog),
+                  {{}, [this](const peer::rumor &rumor) { quarantineManager.onRumor(rumor); }},
+                  clock, registry, eventLog),
           loadExchange(
                   {settings.instance, incarnationOf(clock), settings.loadAddress,
                    peerKeyOf(settings)},
-                  [this](peer::update_recipients audience) {
-                      return runnerTable.collectUpdate(audience);
+                  [this](peer::update_recipients recipients) {
+                      return runnerTable.collectUpdate(recipients);
                   },
-                  [this](std::uint64_t sender, const peer::load_update &news) {
-                      runnerTable.applyUpdate(sender, news);
+                  [this](std::uint64_t sender, const peer::load_update &update) {
+                      runnerTable.applyUpdate(sender, update);
                   },
                   clock, registry, eventLog),
           callerServer(
@@ -128,7 +129,7 @@
 
     bool owns(std::string_view role) const;
     void addUsage(duties::lease_store leases, duties::usage_sink sink, metrics_registry &registry);
-    quarantine_dependencies quarantineTools();
+    quarantine_dependencies quarantineDependencies();
     std::optional<http_reply> forward(const http_request &request, http_sink &caller);
     void applyCallerLimits();
 
@@ -181,21 +182,23 @@
             std::move(leases), settings.instance, settings.leaseBound);
 }
 
-quarantine_dependencies gateway::state::quarantineTools()
+quarantine_dependencies gateway::state::quarantineDependencies()
 {
     quarantine_dependencies made;
     made.isConnectionRefused = [](const endpoint &to) {
         return isConnectionRefused(to, socket_clock::now() + config::endedCheckTimeout);
     };
-    made.spreadRumor = [this](peer::rumor news) { members.spread(std::move(news)); };
-    made.setFingerprint = [this](std::uint64_t mark) { members.setApplied(mark, clock.mono()); };
+    made.spreadRumor = [this](peer::rumor rumor) { members.spread(std::move(rumor)); };
+    made.setFingerprint = [this](std::uint64_t fingerprint) {
+        members.setApplied(fingerprint, clock.mono());
+    };
     made.fingerprints = [this] {
-        std::vector<std::uint64_t> marks;
+        std::vector<std::uint64_t> fingerprints;
         for (const policy::member &one : members.members()) {
             if (one.id != settings.instance)
-                marks.push_back(one.appliedVersion);
+                fingerprints.push_back(one.appliedVersion);
         }
-        return marks;
+        return fingerprints;
     };
     made.storeConfirmedAt = [this] { return publisher.current()->runnersConfirmedAt; };
     return made;
@@ -207,14 +210,16 @@
     return request_proxy(proxyContext, request, caller).run();
 }
 
-/// Applies the callers' limits, which are part of the routes' configuration.
+/// Applies the callers' limits, which are part of the routes' configuration, once per version of
+/// it, and removes the records of unlisted runners on the same occasion.
 void gateway::state::applyCallerLimits()
 {
-    const auto now = publisher.current();
-    if (!now->table || limitsVersion.exchange(now->table->version) == now->table->version)
+    const auto current = publisher.current();
+    if (!current->table
+        || limitsVersion.exchange(current->table->version) == current->table->version)
         return;
-    callerServer.setLimits(callerLimitsOf(now->table->callerLimits));
-    runnerTable.removeUnlisted(now->runners);
+    callerServer.setLimits(callerLimitsOf(current->table->callerLimits));
+    runnerTable.removeUnlisted(current->runners);
 }
 
 gateway::gateway(gateway_settings settings, dialect names, platform_links links, clock_source clock,
@@ -277,8 +282,8 @@
 
 bool gateway::isReady() const
 {
-    const auto now = inner->publisher.current();
-    return now->table && now->areRunnersKnown && !inner->isLeaving.load();
+    const auto current = inner->publisher.current();
+    return current->table && current->areRunnersKnown && !inner->isLeaving.load();
 }
 
 std::vector<endpoint> gateway::addressesFor(const zone_id &callerZone) const
--- a/src/gateway/placement.cpp
+++ b/src/gateway/placement.cpp
@@ -41,8 +41,8 @@
         if (!isEjected(one, query.now))
             good.push_back(&one);
     }
-    const auto least = static_cast<double>(all.size()) * config::minEligibleShare;
-    return static_cast<double>(good.size()) >= least && !good.empty() ? good : all;
+    const auto minEligible = static_cast<double>(all.size()) * config::minEligibleShare;
+    return static_cast<double>(good.size()) >= minEligible && !good.empty() ? good : all;
 }
 
 /// Uniformly distributed in [0, 1), and different for each pair of request and runner.
@@ -118,7 +118,7 @@
     return holder;
 }
 
-/// One way to prefill the prompt.
+/// One option for prefilling the prompt.
 struct prefill_option
 {
     const placement_candidate *at = nullptr;
@@ -129,7 +129,7 @@
     double startMs = 0; ///< Until the first token.
 };
 
-/// Inputs that all ways share.
+/// Inputs that all options share.
 struct prefill_inputs
 {
     const placement_query &query;
@@ -170,7 +170,7 @@
     return made;
 }
 
-/// The cheapest way to prefill the prompt on one of these engines.
+/// The cheapest option for prefilling the prompt on one of these engines.
 prefill_option bestPrefillOption(const prefill_inputs &inputs, const candidate_list &engines)
 {
     prefill_option best;
@@ -209,7 +209,7 @@
 const placement_candidate *leastLoadedDecoder(const placement_query &query,
                                               const candidate_list &open, send_class urgency)
 {
-    const auto least = std::ranges::min_element(open, {}, [&](const placement_candidate *one) {
+    const auto best = std::ranges::min_element(open, {}, [&](const placement_candidate *one) {
         const double savedMs =
                 transferTimeMs(*query.engine, std::min(one->cachedTokens, query.promptTokens));
         const bool isCrossing = query.isPrefilled && one->target->zone != query.prefillZone;
@@ -220,7 +220,7 @@
         return decodeLoadMs(query, *one, urgency) - savedMs + crossingMs
                 + config::tieBreakCost * tieBreak(query, *one->target);
     });
-    return *least;
+    return *best;
 }
 
 /// The engines that may take a request.
@@ -301,9 +301,9 @@
 
 /// On the heaviest days, more prompts arrive than the engines can prefill in time. Served in the
 /// order of arrival, all of them would start late. So a request that can still start in time only
-/// waits for others that can; the rest is served when no such request waits. An estimate by open
-/// requests alone, without slots and waiting prompts, accepted requests as on time that were not:
-/// at four times the load that engines can start, 6 instead of 286 requests per second were on
+/// waits for others that can; late requests are served when no such request waits. An estimate by
+/// open requests alone, without slots and waiting prompts, accepted requests as on time that were
+/// not: at four times the load that engines can start, 6 instead of 286 requests per second were on
 /// time (8 engines, simulated).
 ///
 /// Late requests are accepted only if they start soon. That does not increase the number of
--- a/src/gateway/prefill_handoff.cpp
+++ b/src/gateway/prefill_handoff.cpp
@@ -13,7 +13,8 @@
 
 } // namespace
 
-/// Lets an engine prefill the prompt. It keeps the KV cache until another engine takes it over.
+/// Has an engine prefill the prompt. That engine keeps the KV cache until another one takes it
+/// over.
 /// @returns The handle to the KV cache; none if the engine could not or would not prefill.
 std::optional<std::string> request_proxy::runPrefill(const placement &place)
 {
@@ -99,9 +100,8 @@
         fault = rest.fault;
         if (rest.isLast) {
             keepConnection(call, *arrived, prefillEngine.address);
-            const bool isConnectionRefused =
-                    !headerOf(arrived->headers, context.names.notRun).empty();
-            record.recordEnd(isConnectionRefused ? send_outcome::Refused : send_outcome::Failed);
+            const bool isRefused = !headerOf(arrived->headers, context.names.notRun).empty();
+            record.recordEnd(isRefused ? send_outcome::Refused : send_outcome::Failed);
             return reply;
         }
     } else {
--- a/src/gateway/quarantine_manager.cpp
+++ b/src/gateway/quarantine_manager.cpp
@@ -11,10 +11,11 @@
 
 namespace poplarspool::gateway {
 
-quarantine_manager::quarantine_manager(quarantine_dependencies tools, crash_record_store store,
-                                       instance_id self, clock_source clock,
-                                       metrics_registry &metrics, journal &events)
-    : tools(std::move(tools)), store(std::move(store)), self(std::move(self)),
+quarantine_manager::quarantine_manager(quarantine_dependencies dependencies,
+                                       crash_record_store store, instance_id self,
+                                       clock_source clock, metrics_registry &metrics,
+                                       journal &events)
+    : tools(std::move(dependencies)), store(std::move(store)), self(std::move(self)),
       clock(std::move(clock)), events(events),
       endsSeen(metrics.counterOf("poplarspool_gateway_runner_ends_total"))
 { }
@@ -162,12 +163,12 @@
     const auto entry = table.find(digest);
     if (!active || !entry)
         return;
-    std::string lives;
+    std::string incarnations;
     for (const ended_incarnation &each : entry->incarnations)
-        lives += (lives.empty() ? "" : ",") + digestText(each.incarnationKey);
+        incarnations += (incarnations.empty() ? "" : ",") + digestText(each.incarnationKey);
     events.emit("request_quarantined",
                 {{"digest", digestText(digest)},
-                 {"lives", lives},
+                 {"lives", incarnations},
                  {"for_ms", std::to_string(active->remaining.count())}});
 }
 
@@ -222,14 +223,14 @@
     if (fingerprint != lastFingerprint)
         readInterval = config::initialCrashReadPause;
     lastFingerprint = fingerprint;
-    bool mayAskStore = false;
+    bool mayAccessStore = false;
     {
         const std::lock_guard lock(guard);
-        mayAskStore = !isLeaving;
+        mayAccessStore = !isLeaving;
         if (ownDigests.size() > config::maxCrashRecords)
             std::erase_if(ownDigests, [this](std::uint64_t digest) { return !table.find(digest); });
     }
-    if (mayAskStore) {
+    if (mayAccessStore) {
         if (shouldReadStore())
             readStore();
         writeStore();
--- a/src/gateway/quarantine_manager.h
+++ b/src/gateway/quarantine_manager.h
@@ -22,7 +22,7 @@
     std::function<bool(const endpoint &)> isConnectionRefused;
     /// Sends a rumor to the other instances by gossip.
     std::function<void(peer::rumor)> spreadRumor;
-    /// Sets the fingerprint of this instance's quarantine that its heartbeats send.
+    /// Sets the fingerprint of this instance's quarantine that its heartbeats carry.
     std::function<void(std::uint64_t)> setFingerprint;
     /// @returns The fingerprints last received from the other instances; 0 for an empty quarantine.
     std::function<std::vector<std::uint64_t>()> fingerprints;
@@ -39,8 +39,9 @@
 class quarantine_manager
 {
 public:
-    quarantine_manager(quarantine_dependencies tools, crash_record_store store, instance_id self,
-                       clock_source clock, metrics_registry &metrics, journal &events);
+    quarantine_manager(quarantine_dependencies dependencies, crash_record_store store,
+                       instance_id self, clock_source clock, metrics_registry &metrics,
+                       journal &events);
     ~quarantine_manager();
 
     void start();
--- a/src/gateway/relayed_changes.cpp
+++ b/src/gateway/relayed_changes.cpp
@@ -352,7 +352,8 @@
         if (table.version <= before.version)
             return before;
         if (base != before.version)
-            return notRun(error_code::Stale, "told routes follow version " + std::to_string(base));
+            return notRun(error_code::Stale,
+                          "relayed routes are a delta against version " + std::to_string(base));
         std::vector<delta_part<service>> services;
         std::vector<delta_part<workspaces::workspace>> workspaces;
         std::vector<delta_part<route>> routes;
--- a/src/gateway/request_proxy.cpp
+++ b/src/gateway/request_proxy.cpp
@@ -172,7 +172,7 @@
     return std::nullopt;
 }
 
-/// As for routes: a 401 is final.
+/// A 401 is final like the 404 of an unknown route, so the same precautions apply.
 std::optional<http_reply> request_proxy::selectWorkspace()
 {
     const route_table &table = *view->table;
@@ -247,8 +247,8 @@
     if (arrivals >= config::maxArrivals || sends >= config::maxRequestTries
         || possibleRuns >= selectedRoute->maxRunners)
         return false;
-    // The caller's next attempt will show whether the request ends runners. Retried here at once,
-    // such a request ended one runner after another.
+    // The caller's next attempt will show whether the request ends runners. When such requests were
+    // retried here at once, they ended one runner after another.
     if (end == try_end::Lost
         && context.quarantineManager.countIncarnations(digest) >= config::noRetryIncarnations)
         return false;
--- a/src/gateway/request_proxy.h
+++ b/src/gateway/request_proxy.h
@@ -51,8 +51,8 @@
     journal &events;
     const clock_source clock;
     const zone_id zone;
-    /// Time at which this instance ends, in nanoseconds of clock.mono; requests' time limits are
-    /// cut to it.
+    /// Time by which this instance must have sent its last answer, in nanoseconds of clock.mono;
+    /// requests' time limits are cut to it.
     const std::atomic<std::int64_t> &leavesAtNs;
     quarantine_manager &quarantineManager;
     /// Seed of requests' digests; the same on all instances of the fleet.
@@ -152,14 +152,14 @@
 
     std::shared_ptr<const catalogue> view;
     const route *selectedRoute = nullptr;
-    /// Of the key; null: the request has no valid one.
+    /// Workspace of the caller's key; null if the request has no valid key.
     const workspaces::workspace *owner = nullptr;
     service_id service;
     const engine_traits *engine = nullptr;
     mono_time endsAt{};
 
-    std::shared_ptr<const catalogue>
-            placementView; ///< The view that the last runner was chosen from.
+    /// The view that the last runner was chosen from.
+    std::shared_ptr<const catalogue> placementView;
     mono_time chosenAt{};
     mono_time sentAt{}; ///< Before the first byte of the last send; 0: not sent yet.
     std::uint32_t sends = 0; ///< Tries, including those that reached no runner.
@@ -167,7 +167,8 @@
     std::uint32_t arrivals = 0;
     std::uint32_t possibleRuns = 0; ///< Sends that may have run.
     std::vector<runner_id> tried;
-    bool hasHandoffFailed = false; ///< A handoff has failed: the next try prefills where it runs.
+    /// A handoff has failed: the prompt is prefilled where the request runs.
+    bool hasHandoffFailed = false;
     std::optional<http_reply> bufferedReply; ///< A runner's complete answer.
     bool hasBegun = false; ///< Bytes of an answer were passed on to the caller.
     std::optional<std::uint64_t> lastEventId; ///< Last event passed on.
--- a/src/gateway/retry_budgets.cpp
+++ b/src/gateway/retry_budgets.cpp
@@ -20,7 +20,7 @@
     budgets.clear();
 }
 
-/// @attention The guard must be held.
+/// @attention The caller must hold `guard`.
 policy::retry_budget &retry_budgets::budgetOf(const service_id &service)
 {
     std::unique_ptr<policy::retry_budget> &budget = budgets[service];
--- a/src/gateway/rollback_filter.cpp
+++ b/src/gateway/rollback_filter.cpp
@@ -10,7 +10,8 @@
 {
     forgetExpired(now);
     removed[entry.id] = {entry.startedAtMs, now};
-    // It was in its grace period, since the snapshot lacked it; now it is known to have left.
+    // The snapshot lists the runner, but its entry was missing before the rollback and it was only
+    // retained for its grace period; now it is known to have left.
     const auto rejected = outdated.find(entry.id);
     if (rejected != outdated.end() && rejected->second.listed)
         addOwnMarker(*rejected->second.listed);
--- a/src/gateway/runner_call.cpp
+++ b/src/gateway/runner_call.cpp
@@ -47,8 +47,8 @@
     : connection(std::move(connection)), callerFd(callerFd)
 { }
 
-/// Waits for the caller's half-close only, not for its bytes: the bytes of a pipelined request may
-/// lie there all the time.
+/// Watches the caller's connection for a half-close only, not for bytes: those of a pipelined
+/// request may be pending all the time.
 call_fault runner_call::await(short events, socket_deadline deadline) const
 {
     switch (waitForSocket(connection.get(), events, deadline, callerFd, POLLRDHUP)) {
--- a/src/gateway/runner_control.h
+++ b/src/gateway/runner_control.h
@@ -29,8 +29,8 @@
 result<whole_reply> callOn(descriptor connection, const std::string &name, std::string_view request,
                            socket_deadline deadline, const std::function<bool()> &check);
 
-/// @returns Time for which the connection can be reused after that reply; zero or less: not at
-///          all.
+/// @returns Time for which the connection can be reused after a reply with these headers; if not
+///          positive, it can't be reused.
 milliseconds idleTimeOf(const http_headers &headers);
 
 } // namespace poplarspool::gateway
--- a/src/gateway/runner_table.cpp
+++ b/src/gateway/runner_table.cpp
@@ -48,12 +48,12 @@
 
 runner_table::runner_table(clock_source clock) : clock(std::move(clock)) { }
 
-runner_table::open_send::open_send(runner_table &ledger, const runner_id &target, double prefillMs,
+runner_table::open_send::open_send(runner_table &table, const runner_id &target, double prefillMs,
                                    send_class urgency)
-    : ledger(ledger), target(peer::runnerKey(target)), prefillMs(prefillMs), urgency(urgency),
-      sentAt(ledger.clock.mono())
+    : ledger(table), target(peer::runnerKey(target)), prefillMs(prefillMs), urgency(urgency),
+      sentAt(table.clock.mono())
 {
-    ledger.opened(*this);
+    table.opened(*this);
 }
 
 runner_table::open_send::~open_send()
@@ -318,9 +318,9 @@
     }
 }
 
-peer::load_update runner_table::collectUpdate(peer::update_recipients audience)
+peer::load_update runner_table::collectUpdate(peer::update_recipients recipients)
 {
-    const auto index = static_cast<std::size_t>(audience);
+    const auto index = static_cast<std::size_t>(recipients);
     peer::load_update update;
     const std::lock_guard lock(guard);
     for (auto &[key, entry] : records) {
@@ -413,7 +413,7 @@
     entry.misdirectedUntil = clock.mono() + config::misdirectedTime;
 }
 
-/// @attention The guard must be held.
+/// @attention The caller must hold `guard`.
 runner_table::runner_record &
 runner_table::useParts(const runner_id &target, const std::vector<prompt_part> &prompt, bool isRead)
 {
@@ -442,7 +442,7 @@
     useParts(target, prompt, true);
 }
 
-/// @attention The guard must be held.
+/// @attention The caller must hold `guard`.
 void runner_table::queueCachedUpdate(std::uint32_t runner, const std::vector<prompt_part> &prompt,
                                      bool isRead)
 {
--- a/src/gateway/runner_table.h
+++ b/src/gateway/runner_table.h
@@ -18,7 +18,7 @@
 enum class send_outcome {
     Served,
     Refused, ///< It reported that it has not run the request: full, or shutting down.
-    Misdirected, ///< Another runner has this address by now.
+    Misdirected, ///< Another runner has this address by now, or the runner is in another stage.
     Unreachable, ///< No connection.
     Failed, ///< It answered with an error or an invalid reply, or broke off.
     Unknown, ///< The caller left, or the time limit was reached.
@@ -36,7 +36,7 @@
     public:
         /// @param prefillMs Prefill time that the runner needs for the prompt; 0 if it is already
         ///                  prefilled.
-        open_send(runner_table &ledger, const runner_id &target, double prefillMs,
+        open_send(runner_table &table, const runner_id &target, double prefillMs,
                   send_class urgency);
         open_send(const open_send &) = delete;
         open_send &operator=(const open_send &) = delete;
@@ -51,8 +51,8 @@
         /// pace of engines is learnt from it.
         /// @param workMs Prefill time of its prompt and those before it.
         void recordExpected(const service_id &service, engine_stage stage, double workMs);
-        /// The request runs there until its answer is complete; otherwise the runner only prefills
-        /// its prompt.
+        /// Declares that the request runs there until its answer is complete. Without this call,
+        /// the runner only prefills its prompt.
         void markRunning() { isRun = true; }
 
     private:
@@ -88,9 +88,9 @@
     void recordPrefilled(const runner_id &target, const std::vector<prompt_part> &prompt);
 
     /// @returns The load update for the other instances.
-    peer::load_update collectUpdate(peer::update_recipients audience);
+    peer::load_update collectUpdate(peer::update_recipients recipients);
     /// Applies another instance's load update.
-    void applyUpdate(std::uint64_t sender, const peer::load_update &news);
+    void applyUpdate(std::uint64_t sender, const peer::load_update &update);
 
     /// Removes runners that are no longer listed and have no open requests.
     void removeUnlisted(const runner_map &listed);
--- a/src/gateway/stage_manager.cpp
+++ b/src/gateway/stage_manager.cpp
@@ -7,9 +7,9 @@
 
 namespace poplarspool::gateway {
 
-stage_manager::stage_manager(stage_manager_dependencies tools, duties::lease_store store,
+stage_manager::stage_manager(stage_manager_dependencies dependencies, duties::lease_store store,
                              instance_id self, milliseconds leaseBound)
-    : tools(std::move(tools)), self(std::move(self)),
+    : tools(std::move(dependencies)), self(std::move(self)),
       lease(std::move(store), this->self, leaseBound, this->tools.clock, this->tools.events),
       thread("stages", config::stageInterval, this->tools.faults, [this] { runOnce(); })
 { }
@@ -130,8 +130,8 @@
     pendingOrders[target.id] = {change.wanted, tools.clock.mono(), target.startedAtMs};
     const auto reply = callRunner(tools.connections, tools.names, target,
                                   tools.names.stageOrderRequest(wanted), timeLeft(), isInTerm);
-    const bool isNotGiven = !succeeded(reply) && errorOf(reply).ran == verdict::NotRun;
-    if (isNotGiven)
+    const bool wasNotSent = !succeeded(reply) && errorOf(reply).ran == verdict::NotRun;
+    if (wasNotSent)
         pendingOrders.erase(target.id);
     else
         tools.orders.add();
--- a/src/gateway/stage_manager.h
+++ b/src/gateway/stage_manager.h
@@ -23,8 +23,8 @@
     journal &events;
     counter &orders;
     const step_failure_reporter faults;
-    /// Whether this instance is responsible for planning. Two instances may briefly both be; the
-    /// lease ensures that only one of them acts.
+    /// Whether this instance is responsible for planning. For a short time, this may be true on two
+    /// instances; the lease ensures that only one of them acts.
     std::function<bool()> isOwner;
 };
 
@@ -33,15 +33,15 @@
 class stage_manager
 {
 public:
-    stage_manager(stage_manager_dependencies tools, duties::lease_store store, instance_id self,
-                  milliseconds leaseBound);
+    stage_manager(stage_manager_dependencies dependencies, duties::lease_store store,
+                  instance_id self, milliseconds leaseBound);
 
     void start() { thread.start(); }
     void requestStop() { thread.requestStop(); }
     void stop() { thread.stop(); }
 
-    /// Runs one iteration: plans, and sends the resulting orders. Called by the own thread and by
-    /// tests.
+    /// Runs one iteration: plans, and sends the resulting orders. Called by the manager's thread
+    /// and by tests.
     void runOnce();
 
 private:
--- a/src/gateway/stage_plan.cpp
+++ b/src/gateway/stage_plan.cpp
@@ -33,12 +33,12 @@
 /// of the stage, so that KV cache need not cross zones, and of those the one with the fewest
 /// requests in flight.
 const stage_engine *cheapestToChange(std::span<const stage_engine> engines, engine_stage stage,
-                                     const std::vector<stage_change> &taken)
+                                     const std::vector<stage_change> &planned)
 {
     std::map<zone_id, std::uint32_t> remaining;
     const auto isCandidate = [&](const stage_engine &one) {
         return one.stage == stage
-                && std::ranges::find(taken, one.id, &stage_change::engine) == taken.end();
+                && std::ranges::find(planned, one.id, &stage_change::engine) == planned.end();
     };
     for (const stage_engine &one : engines) {
         if (isCandidate(one))
--- a/tests/gateway/crash_table_test.cpp
+++ b/tests/gateway/crash_table_test.cpp
@@ -184,7 +184,7 @@
         CPPUNIT_ASSERT(table.quarantineOf(7, end)->remaining == config::maxQuarantineTime);
     }
 
-    /// Limits how many runners a request can crash that keeps being sent.
+    /// Limits how many runners a request can crash whose caller keeps retrying.
     void requestIsSentThreeTimesInTheFirstDay()
     {
         crash_table table;
--- a/tests/gateway/quarantine_manager_test.cpp
+++ b/tests/gateway/quarantine_manager_test.cpp
@@ -48,7 +48,7 @@
     int writes = 0;
 };
 
-/// One instance. Tests pass the rumors it sends to other instances themselves.
+/// One instance. Its rumors are only collected; tests pass them on to other instances.
 struct instance
 {
     explicit instance(shared_list &list, const std::string &name = "edge-1")
--- a/tests/gateway/refused_route_test.cpp
+++ b/tests/gateway/refused_route_test.cpp
@@ -41,14 +41,14 @@
     metrics_registry registry;
     journal events{{"test"}, clock, 64};
     catalogue_publisher publisher{catalogue{}};
-    runner_table ledger{clock};
+    runner_table runnerTable{clock};
     retry_budgets retries{{1, 100}};
     connection_pool connections{4, 500ms, registry};
     proxy_metrics metrics{registry};
     std::atomic<std::int64_t> leavesAt{INT64_MAX};
     quarantine_manager quarantineManager{{}, {}, {"test"}, clock, registry, events};
-    const proxy_context parts{names,  publisher, ledger, retries,  connections,      metrics,
-                              events, clock,     {"z"},  leavesAt, quarantineManager};
+    const proxy_context context{names,  publisher, runnerTable, retries,  connections,      metrics,
+                                events, clock,     {"z"},       leavesAt, quarantineManager};
 
     explicit fixture(std::vector<route> routes)
     {
@@ -74,7 +74,7 @@
         const http_request request =
                 requestOf("GET", path, {{"Host", "h"}, {"Id", "q1"}, {"Limit", "5000"}});
         unused_sink caller;
-        return request_proxy(parts, request, caller).run().value();
+        return request_proxy(context, request, caller).run().value();
     }
 };
 
--- a/tests/gateway/relayed_changes_test.cpp
+++ b/tests/gateway/relayed_changes_test.cpp
@@ -64,8 +64,8 @@
 public:
     void runnerChangesAreDecodedAsEncoded()
     {
-        const runner_change entered{{"i-1"}, makeEngine()};
-        CPPUNIT_ASSERT(valueOf(decodeRunnerChange(valueOf(encode(entered)))) == entered);
+        const runner_change added{{"i-1"}, makeEngine()};
+        CPPUNIT_ASSERT(valueOf(decodeRunnerChange(valueOf(encode(added)))) == added);
         const runner_change gone{{"i-1"}, std::nullopt};
         CPPUNIT_ASSERT(valueOf(decodeRunnerChange(valueOf(encode(gone)))) == gone);
     }
--- a/tests/gateway/request_proxy_test.cpp
+++ b/tests/gateway/request_proxy_test.cpp
@@ -85,7 +85,7 @@
         scripted_runner first({{refusalText}, {sealed("200 OK", "a")}});
         scripted_runner second({{refusalText}, {sealed("200 OK", "a")}});
         fixture test({&first, &second});
-        // The runner that is asked first refuses, then the other one: both were tried.
+        // The runner that is tried first refuses, then the other one: no runner is left.
         CPPUNIT_ASSERT_EQUAL(503, test.sendRequest("/once/1")->status);
         CPPUNIT_ASSERT_EQUAL(200, test.sendRequest("/once/1")->status);
     }
@@ -174,7 +174,7 @@
         const std::vector<script> scripts{
                 {streamHead + eventText(1) + eventText(2) + "id: 3\nda", script_end::Reset},
                 {streamHead + eventText(3) + eventText(4), script_end::Close}};
-        // The runner that breaks off is excluded for this request; either may be asked first.
+        // The runner that breaks off is excluded for this request; either may be tried first.
         scripted_runner first(scripts);
         scripted_runner second({{streamHead + eventText(2) + eventText(3) + eventText(4)},
                                 {streamHead + eventText(2) + eventText(3) + eventText(4)}});
--- a/tests/gateway/runner_table_test.cpp
+++ b/tests/gateway/runner_table_test.cpp
@@ -15,7 +15,7 @@
 {
     mono_time now{std::chrono::hours(1)};
     clock_source clock{[this] { return now; }, [] { return wall_time{}; }};
-    runner_table ledger{clock};
+    runner_table table{clock};
     catalogue known;
 
     fixture()
@@ -32,7 +32,7 @@
                                      const std::vector<prompt_part> &prompt = {})
     {
         const engine_traits traits{128, 1000, 1, 1};
-        for (placement_candidate &one : ledger.candidatesOf(known, {"s"}, &traits, prompt, {})) {
+        for (placement_candidate &one : table.candidatesOf(known, {"s"}, &traits, prompt, {})) {
             if (one.target->id.text == id)
                 return one;
         }
@@ -50,7 +50,7 @@
 
     void send(const std::string &id, send_outcome end)
     {
-        runner_table::open_send sent(ledger, {id}, 0, send_class::Urgent);
+        runner_table::open_send sent(table, {id}, 0, send_class::Urgent);
         sent.recordEnd(end);
     }
 };
@@ -117,15 +117,15 @@
     {
         fixture test;
         fixture other;
-        const runner_table::open_send mine(test.ledger, {"a"}, 30, send_class::Urgent);
-        const runner_table::open_send theirs(other.ledger, {"a"}, 50, send_class::Urgent);
-        const runner_table::open_send late(other.ledger, {"a"}, 70, send_class::Later);
-        test.ledger.applyUpdate(1, other.ledger.collectUpdate(peer::update_recipients::SameZone));
-        test.ledger.applyUpdate(1, other.ledger.collectUpdate(peer::update_recipients::SameZone));
+        const runner_table::open_send mine(test.table, {"a"}, 30, send_class::Urgent);
+        const runner_table::open_send theirs(other.table, {"a"}, 50, send_class::Urgent);
+        const runner_table::open_send late(other.table, {"a"}, 70, send_class::Later);
+        test.table.applyUpdate(1, other.table.collectUpdate(peer::update_recipients::SameZone));
+        test.table.applyUpdate(1, other.table.collectUpdate(peer::update_recipients::SameZone));
         CPPUNIT_ASSERT_EQUAL(3U, test.candidateFor("a").load.open);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(80.0, test.candidateFor("a").load.urgentPrefillMs, 0.1);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(70.0, test.candidateFor("a").load.lowPriorityPrefillMs, 0.1);
-        test.ledger.applyUpdate(1, {});
+        test.table.applyUpdate(1, {});
         CPPUNIT_ASSERT_EQUAL(1U, test.candidateFor("a").load.open);
     }
 
@@ -133,15 +133,15 @@
     {
         fixture test;
         fixture other;
-        runner_table::open_send running(test.ledger, {"a"}, 30, send_class::Urgent);
+        runner_table::open_send running(test.table, {"a"}, 30, send_class::Urgent);
         running.recordStart();
-        const runner_table::open_send mine(test.ledger, {"a"}, 30, send_class::Later);
-        const runner_table::open_send theirs(other.ledger, {"a"}, 50, send_class::Urgent);
-        test.ledger.applyUpdate(1, other.ledger.collectUpdate(peer::update_recipients::SameZone));
+        const runner_table::open_send mine(test.table, {"a"}, 30, send_class::Later);
+        const runner_table::open_send theirs(other.table, {"a"}, 50, send_class::Urgent);
+        test.table.applyUpdate(1, other.table.collectUpdate(peer::update_recipients::SameZone));
         CPPUNIT_ASSERT_EQUAL(3U, test.candidateFor("a").load.open);
         CPPUNIT_ASSERT_EQUAL(1U, test.candidateFor("a").load.urgentWaiting);
         CPPUNIT_ASSERT_EQUAL(1U, test.candidateFor("a").load.lowPriorityWaiting);
-        test.ledger.applyUpdate(1, {});
+        test.table.applyUpdate(1, {});
         CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a").load.urgentWaiting);
     }
 
@@ -153,7 +153,7 @@
             fixture test;
             for (int i = 0; i < 170; ++i) {
                 const double expectedMs = 1000 * test.candidateFor("a").load.pace.scale;
-                runner_table::open_send sent(test.ledger, {"a"}, expectedMs, send_class::Urgent);
+                runner_table::open_send sent(test.table, {"a"}, expectedMs, send_class::Urgent);
                 sent.recordExpected({"s"}, engine_stage::None, expectedMs);
                 test.now += std::chrono::milliseconds(
                         std::lround(1000 * truth + test.candidateFor("a").load.pace.firstTokenMs));
@@ -172,7 +172,7 @@
         fixture test;
         for (int i = 0; i < 5; ++i) {
             for (const auto &[id, took] : {std::pair("a", 500ms), std::pair("b", 20ms)}) {
-                runner_table::open_send sent(test.ledger, {id}, 100, send_class::Urgent);
+                runner_table::open_send sent(test.table, {id}, 100, send_class::Urgent);
                 test.now += took;
                 sent.recordStart();
                 sent.recordEnd(send_outcome::Served);
@@ -187,7 +187,7 @@
     {
         fixture test;
         for (const send_outcome end : {send_outcome::Served, send_outcome::Refused}) {
-            runner_table::open_send sent(test.ledger, {"a"}, 0, send_class::Urgent);
+            runner_table::open_send sent(test.table, {"a"}, 0, send_class::Urgent);
             sent.markRunning();
             if (end == send_outcome::Served) {
                 sent.recordStart();
@@ -207,14 +207,14 @@
         fixture test;
         const std::vector<prompt_part> prompt{{1, 100}, {2, 50}};
         test.restart("a", 1000);
-        test.ledger.recordPrefilled({"a"}, prompt);
+        test.table.recordPrefilled({"a"}, prompt);
         test.send("a", send_outcome::Unreachable);
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", prompt).cachedTokens);
         CPPUNIT_ASSERT(test.candidateFor("a").load.ejectedUntil > test.now);
         test.restart("a", 2000);
         CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a", prompt).cachedTokens);
         CPPUNIT_ASSERT(test.candidateFor("a").load.ejectedUntil <= test.now);
-        test.ledger.recordPrefilled({"a"}, prompt);
+        test.table.recordPrefilled({"a"}, prompt);
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", prompt).cachedTokens);
     }
 
@@ -224,7 +224,7 @@
     void deniedEntryIsIgnoredUntilItChanges()
     {
         fixture test;
-        test.ledger.recordMisdirected(test.known.runners.at({"a"}));
+        test.table.recordMisdirected(test.known.runners.at({"a"}));
         CPPUNIT_ASSERT(test.candidateFor("a").isMisdirected);
         CPPUNIT_ASSERT(!test.candidateFor("b").isMisdirected);
         // The same entry written again is no change.
@@ -234,7 +234,7 @@
         CPPUNIT_ASSERT(test.candidateFor("a").isMisdirected);
         test.restart("a", 2000);
         CPPUNIT_ASSERT(!test.candidateFor("a").isMisdirected);
-        test.ledger.recordMisdirected(test.known.runners.at({"a"}));
+        test.table.recordMisdirected(test.known.runners.at({"a"}));
         test.now += config::misdirectedTime;
         CPPUNIT_ASSERT(!test.candidateFor("a").isMisdirected);
     }
@@ -244,22 +244,22 @@
     void loadOfSilentInstanceExpires()
     {
         fixture test;
-        test.ledger.applyUpdate(1, {{{peer::runnerKey({"a"}), 9, 500, 0, 0}}, {}});
+        test.table.applyUpdate(1, {{{peer::runnerKey({"a"}), 9, 500, 0, 0}}, {}});
         CPPUNIT_ASSERT_EQUAL(9U, test.candidateFor("a").load.open);
         test.now += config::loadUpdateExpiry + 1ms;
         CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a").load.open);
     }
 
-    /// In a large fleet, instances of other zones send every 2.5 s. If their load expired after 2
-    /// s, it would seem to end and start again, and all instances would send to the seemingly idle
-    /// runner.
+    /// In a large fleet, instances of other zones send every 2.5 s. If their load expired after
+    /// 2 s, it would seem to end and start again, and all instances would send to the seemingly
+    /// idle runner.
     void expiryAdaptsToUpdateInterval()
     {
         fixture test;
         const peer::load_update update{{{peer::runnerKey({"a"}), 9, 500, 0, 0}}, {}};
-        test.ledger.applyUpdate(1, update);
+        test.table.applyUpdate(1, update);
         test.now += 2500ms;
-        test.ledger.applyUpdate(1, update);
+        test.table.applyUpdate(1, update);
         test.now += 2500ms;
         CPPUNIT_ASSERT_EQUAL(9U, test.candidateFor("a").load.open);
         test.now += 2500ms + 1ms;
@@ -272,12 +272,12 @@
     {
         fixture test;
         const std::vector<prompt_part> shared{{11, 100}, {12, 50}};
-        test.ledger.recordCached({"a"}, shared);
+        test.table.recordCached({"a"}, shared);
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", shared).cachedTokens);
         CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("b", shared).cachedTokens);
-        test.ledger.recordCached({"a"}, {{21, 500}});
+        test.table.recordCached({"a"}, {{21, 500}});
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", shared).cachedTokens);
-        test.ledger.recordCached({"a"}, {{22, 500}});
+        test.table.recordCached({"a"}, {{22, 500}});
         CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a", shared).cachedTokens);
     }
 
@@ -289,32 +289,32 @@
         const std::vector<prompt_part> first{{11, 600}};
         const std::vector<prompt_part> second{{12, 600}};
         for (std::uint64_t round = 0; round < 3; ++round) {
-            test.ledger.recordCached({"a"}, first);
+            test.table.recordCached({"a"}, first);
             CPPUNIT_ASSERT_EQUAL(600U, test.candidateFor("a", first).cachedTokens);
             CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a", second).cachedTokens);
-            test.ledger.recordCached({"a"}, {{20 + round, 400}});
-            test.ledger.recordCached({"a"}, second);
+            test.table.recordCached({"a"}, {{20 + round, 400}});
+            test.table.recordCached({"a"}, second);
             CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a", first).cachedTokens);
-            test.ledger.recordCached({"a"}, {{30 + round, 400}});
+            test.table.recordCached({"a"}, {{30 + round, 400}});
         }
     }
 
-    /// A prompt waits at an engine. Another request with the same beginning must not copy
-    /// it from there: nothing is there yet, so it would be prefilled twice.
+    /// A prompt waits at an engine. Another request with the same beginning must not copy it from
+    /// there: nothing is there yet, so it would be prefilled twice.
     void partsAreCopyableOnlyAfterPrefill()
     {
         fixture test;
         fixture other;
         const std::vector<prompt_part> prompt{{11, 100}, {12, 50}};
-        test.ledger.recordCached({"a"}, prompt);
+        test.table.recordCached({"a"}, prompt);
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", prompt).cachedTokens);
         CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a", prompt).copyableTokens);
-        other.ledger.applyUpdate(1, test.ledger.collectUpdate(peer::update_recipients::OtherZones));
+        other.table.applyUpdate(1, test.table.collectUpdate(peer::update_recipients::OtherZones));
         CPPUNIT_ASSERT_EQUAL(100U, other.candidateFor("a", prompt).cachedTokens);
         CPPUNIT_ASSERT_EQUAL(0U, other.candidateFor("a", prompt).copyableTokens);
-        test.ledger.recordPrefilled({"a"}, prompt);
+        test.table.recordPrefilled({"a"}, prompt);
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", prompt).copyableTokens);
-        other.ledger.applyUpdate(1, test.ledger.collectUpdate(peer::update_recipients::OtherZones));
+        other.table.applyUpdate(1, test.table.collectUpdate(peer::update_recipients::OtherZones));
         CPPUNIT_ASSERT_EQUAL(100U, other.candidateFor("a", prompt).copyableTokens);
     }
 
@@ -327,22 +327,22 @@
         fixture far;
         const std::vector<prompt_part> prompt{{11, 100}, {12, 50}};
         {
-            const runner_table::open_send sent(test.ledger, {"a"}, 30, send_class::Urgent);
-            test.ledger.recordCached({"a"}, prompt);
+            const runner_table::open_send sent(test.table, {"a"}, 30, send_class::Urgent);
+            test.table.recordCached({"a"}, prompt);
         }
         for (int i = 0; i < 5; ++i)
-            test.ledger.collectUpdate(peer::update_recipients::SameZone);
+            test.table.collectUpdate(peer::update_recipients::SameZone);
         const peer::load_update update =
-                test.ledger.collectUpdate(peer::update_recipients::OtherZones);
+                test.table.collectUpdate(peer::update_recipients::OtherZones);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, update.cached.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, update.work.size());
         CPPUNIT_ASSERT_EQUAL(150U, update.work[0].prefilledTokens);
-        far.ledger.applyUpdate(1, update);
+        far.table.applyUpdate(1, update);
         CPPUNIT_ASSERT_EQUAL(100U, far.candidateFor("a", prompt).cachedTokens);
         // 850 other tokens are not enough to evict it from a cache of 900; 51 more are.
-        far.ledger.recordCached({"a"}, {{21, 850}});
+        far.table.recordCached({"a"}, {{21, 850}});
         CPPUNIT_ASSERT_EQUAL(100U, far.candidateFor("a", prompt).cachedTokens);
-        far.ledger.recordCached({"a"}, {{22, 51}});
+        far.table.recordCached({"a"}, {{22, 51}});
         CPPUNIT_ASSERT_EQUAL(0U, far.candidateFor("a", prompt).cachedTokens);
     }
 
@@ -352,10 +352,10 @@
     {
         fixture test;
         for (std::uint64_t i = 0; i < 2 * config::maxPendingUpdates; ++i)
-            test.ledger.recordCached({"a"}, {{1000 + i, 1}, {2, 1}});
+            test.table.recordCached({"a"}, {{1000 + i, 1}, {2, 1}});
         std::size_t sent = 0;
         for (std::size_t last = 1; last > 0; sent += last)
-            last = test.ledger.collectUpdate(peer::update_recipients::SameZone).cached.size();
+            last = test.table.collectUpdate(peer::update_recipients::SameZone).cached.size();
         CPPUNIT_ASSERT_EQUAL(config::updateRepeats * config::maxPendingUpdates, sent);
     }
 
@@ -363,9 +363,9 @@
     {
         fixture test;
         const std::vector<prompt_part> prompt{{11, 100}, {12, 50}};
-        test.ledger.applyUpdate(1, {{{peer::runnerKey({"a"}), 1, 0, 0, 5000}}, {}});
-        test.ledger.recordCached({"a"}, prompt);
-        test.ledger.applyUpdate(1, {{{peer::runnerKey({"a"}), 1, 0, 0, 40}}, {}});
+        test.table.applyUpdate(1, {{{peer::runnerKey({"a"}), 1, 0, 0, 5000}}, {}});
+        test.table.recordCached({"a"}, prompt);
+        test.table.applyUpdate(1, {{{peer::runnerKey({"a"}), 1, 0, 0, 40}}, {}});
         CPPUNIT_ASSERT_EQUAL(150U, test.candidateFor("a", prompt).cachedTokens);
     }
 };
--- a/tests/gateway/stage_manager_test.cpp
+++ b/tests/gateway/stage_manager_test.cpp
@@ -74,7 +74,7 @@
 
     void runTwice()
     {
-        stage_manager manager({publisher, ledger, connections, names, clock, events,
+        stage_manager manager({publisher, runnerTable, connections, names, clock, events,
                                metrics.counterOf("orders"), stepFailureReporterOf(events, metrics),
                                [this] { return isOwner; }},
                               store(), {"self"}, 3000ms);
@@ -86,7 +86,7 @@
     mono_time now{std::chrono::hours(1)};
     clock_source clock{[this] { return now; }, [] { return wall_time{}; }};
     catalogue_publisher publisher{catalogue{}};
-    runner_table ledger{clock};
+    runner_table runnerTable{clock};
     metrics_registry metrics;
     connection_pool connections{1, 200ms, metrics};
     dialect names;
@@ -186,7 +186,7 @@
             answerAllowed.get_future().wait();
             return notRun(error_code::TimedOut, "no answer");
         };
-        stage_manager manager({test.publisher, test.ledger, test.connections, test.names,
+        stage_manager manager({test.publisher, test.runnerTable, test.connections, test.names,
                                systemClock(), test.events, test.metrics.counterOf("orders"),
                                stepFailureReporterOf(test.events, test.metrics),
                                [] { return true; }},
@@ -211,7 +211,7 @@
                 secondIteration.set_value();
             return false;
         };
-        stage_manager manager({test.publisher, test.ledger, test.connections, test.names,
+        stage_manager manager({test.publisher, test.runnerTable, test.connections, test.names,
                                systemClock(), test.events, test.metrics.counterOf("orders"),
                                stepFailureReporterOf(test.events, test.metrics), isOwner},
                               test.store(), {"self"}, 3000ms);
