--- a/include/poplarspool/gateway/limits.h
+++ b/include/poplarspool/gateway/limits.h
@@ -255,8 +255,8 @@
 /// without newer changes: an answer of a slow store (360 ms), 150 ms to connect to a runner, and
 /// up to 90 ms of processing.
 inline constexpr std::chrono::milliseconds confirmationLossLag = 600ms;
-/// Minimum time for which the relays trust a confirmation of the store (trustTimeFor()). With a
-/// shorter time, they would query the store more than twice per second.
+/// Minimum time for which a confirmation of the store is valid (trustTimeFor()). With a shorter
+/// time, the relays would query the store more than twice per second.
 inline constexpr std::chrono::milliseconds minTrustTime = 1300ms;
 /// Number of other instances in a zone from which an instance relays store changes to these only.
 /// In smaller zones, most instances would become relays.
--- a/src/gateway/fleet_scaler.h
+++ b/src/gateway/fleet_scaler.h
@@ -66,8 +66,8 @@
 
     const fleet_scaler_dependencies tools;
     duties::duty_lease lease;
-    counter &given;
-    counter &refused;
+    counter &given; ///< Orders that the platform accepted.
+    counter &refused; ///< All others: refused, not sent, or of unknown outcome.
     bool isCheckpointRead = false;
     std::map<capacity_key, capacity_state> capacities;
     /// Target sizes, by service and zone.
--- a/src/gateway/runner_table.h
+++ b/src/gateway/runner_table.h
@@ -99,7 +99,7 @@
     struct cached_part
     {
         std::uint64_t usedAt = 0; ///< tokensIn at its last use.
-        bool isRead = false;
+        bool isRead = false; ///< Prefilled, so that other engines can copy it.
     };
 
     /// Requests of one class that have not started, and the prefill time of their prompts.
