--- a/include/poplarspool/peer/load_exchange.h
+++ b/include/poplarspool/peer/load_exchange.h
@@ -23,10 +23,10 @@
     std::uint32_t runner = 0; ///< runnerKey() of its id.
     std::uint32_t open = 0; ///< Requests sent that have not ended.
     std::uint32_t urgentPrefillMs = 0; ///< Estimated prefill time of urgent requests not begun.
-    std::uint32_t lowPriorityPrefillMs =
-            0; ///< The same for low-priority requests, which wait for urgent ones.
-    /// Running total of prompt tokens that this instance has added to the
-    /// runner's cache; wraps around at 2^32.
+    /// Estimated prefill time of low-priority requests not begun, which wait for urgent ones.
+    std::uint32_t lowPriorityPrefillMs = 0;
+    /// Running total of prompt tokens that this instance has added to the runner's cache; wraps
+    /// around at 2^32.
     std::uint32_t prefilledTokens = 0;
     std::uint32_t urgentWaiting = 0; ///< Urgent requests that have not begun.
     std::uint32_t lowPriorityWaiting = 0; ///< Low-priority requests that have not begun.
@@ -79,8 +79,8 @@
 class load_exchange
 {
 public:
-    /// @param collect Returns the update to send. Called on the thread
-    ///                of the exchange, as is onUpdate.
+    /// @param collect Returns the update to send. Called on the thread of the exchange, as is
+    ///                onUpdate.
     /// @param onUpdate Gets the sender's number and its update, in the order in which it sent them.
     load_exchange(datagram_settings settings, std::function<load_update(update_recipients)> collect,
                   std::function<void(std::uint64_t sender, const load_update &)> onUpdate,
--- a/include/poplarspool/peer/messages.h
+++ b/include/poplarspool/peer/messages.h
@@ -21,8 +21,8 @@
     Events = 5, ///< events_request -> events_reply
 };
 
-/// Requests the watched objects (configuration head, order
-/// records) that are newer than `knownVersion`.
+/// Requests the watched objects (configuration head, order records) that are newer than
+/// `knownVersion`.
 struct watched_request
 {
     std::uint64_t knownVersion = 0;
--- a/include/poplarspool/peer/store_update.h
+++ b/include/poplarspool/peer/store_update.h
@@ -11,8 +11,8 @@
 #include <string_view>
 #include <vector>
 
-/// Store updates: sent by a relay, an instance that watches
-/// the platform's store on behalf of others.
+/// Store updates are sent by a relay: an instance that watches the platform's store on behalf of
+/// others.
 namespace poplarspool::peer {
 
 /// State of one kind of store objects, as known to the sender.
@@ -44,12 +44,12 @@
 class recent_changes
 {
 public:
-    /// Discards all changes. Called after the kind was listed at this version.
-    void reset(store_version version);
-    /// Adds all changes from `since` (exclusive) to `version` of one epoch. A change
-    /// that is too long to be relayed is discarded with all changes before it;
-    /// receivers that lack it query the store.
-    void add(std::uint64_t since, store_version version, std::vector<std::string> changes,
+    /// Discards all changes. Called after the kind was listed at version `to`.
+    void reset(store_version to);
+    /// Adds all changes from `since` (exclusive) to `to` (inclusive), which are of one epoch. A
+    /// change that is too long to be relayed is discarded with all changes before it; receivers
+    /// that lack it query the store.
+    void add(std::uint64_t since, store_version to, std::vector<std::string> changes,
              mono_time now);
     /// @returns An update with as many of the newest changes as fit; `since` and `version` are set.
     kind_update makeUpdate(std::size_t maxBytes) const;
--- a/include/poplarspool/peer/store_update_exchange.h
+++ b/include/poplarspool/peer/store_update_exchange.h
@@ -41,7 +41,7 @@
     void stop();
     void setPeers(std::vector<endpoint> peers);
     std::size_t peerCount() const;
-    /// Runs the next iteration at once, because there is something new to send.
+    /// Runs the next iteration at once. Called when there is something new to send.
     void wake();
 
 private:
--- a/include/poplarspool/platform/object_store.h
+++ b/include/poplarspool/platform/object_store.h
@@ -90,9 +90,9 @@
     /// only a changed version invalidates earlier requests that may still be in flight.
     /// @returns The version written. Any error with NotRun: this write has not taken effect and
     ///          never will (Conflict: another write was first). Conflict with MayHaveRun: the
-    ///          object has a newer version, so that this write can no longer take effect, but it
-    ///          may have done so and been overwritten; read the object to find out. Other errors
-    ///          with MayHaveRun: the write may still take effect after this function returns.
+    ///          object has a newer version, so this write can no longer take effect, but it may
+    ///          have done so and been overwritten; read the object to find out. Other errors with
+    ///          MayHaveRun: the write may still take effect after this function returns.
     /// @attention A create (mustNotExist) whose reply was lost can still take effect after others
     ///            created and removed the object: never remove objects that several writers may
     ///            create.
--- a/src/peer/byte_budget.h
+++ b/src/peer/byte_budget.h
@@ -7,9 +7,9 @@
 
 namespace poplarspool::peer {
 
-/// Token bucket that limits bytes per second; its capacity is one second's worth.
-/// Messages that must not wait, such as acks of probes, may overdraw it by one
-/// second's worth; later ones wait longer.
+/// Token bucket that limits bytes per second; its capacity is one second's worth. Messages that
+/// must not wait, such as acks of probes, may overdraw it by one second's worth; later ones wait
+/// longer.
 class byte_budget
 {
 public:
--- a/src/peer/call_client.cpp
+++ b/src/peer/call_client.cpp
@@ -135,11 +135,11 @@
     const auto found = idle.find(to);
     if (found == idle.end())
         return std::nullopt;
-    std::vector<connection> &kept = found->second;
+    std::vector<connection> &connections = found->second;
     const auto oldest = socket_clock::now() - maxIdleTime;
-    while (!kept.empty()) {
-        connection open = std::move(kept.back());
-        kept.pop_back();
+    while (!connections.empty()) {
+        connection open = std::move(connections.back());
+        connections.pop_back();
         if (open.usedAt >= oldest && isIdleAndOpen(open.socket.get()))
             return open;
     }
@@ -154,9 +154,9 @@
     if (stopping.isRaised())
         return;
     closeUnused(open.usedAt - maxIdleTime);
-    std::vector<connection> &kept = idle[to];
-    if (kept.size() < config::maxIdlePeerConnections)
-        kept.push_back(std::move(open));
+    std::vector<connection> &connections = idle[to];
+    if (connections.size() < config::maxIdlePeerConnections)
+        connections.push_back(std::move(open));
 }
 
 /// Without this, idle connections to peers that are never called again would stay open.
@@ -165,8 +165,8 @@
     if (lastSweepAt >= oldest)
         return;
     lastSweepAt = socket_clock::now();
-    for (auto &[to, kept] : idle)
-        std::erase_if(kept, [&](const connection &open) { return open.usedAt < oldest; });
+    for (auto &[to, connections] : idle)
+        std::erase_if(connections, [&](const connection &open) { return open.usedAt < oldest; });
     std::erase_if(idle, [](const auto &entry) { return entry.second.empty(); });
 }
 
@@ -239,8 +239,8 @@
             events.observe(frame.header.sentAt);
             return decodeReply(frame.payload);
         }
-        // A late, duplicate or misdirected reply. Accepting it would
-        // give one caller the answer of another.
+        // A late, duplicate or misdirected reply. Accepting it would give one caller the answer of
+        // another.
         unmatchedReplies.add();
     }
 }
--- a/src/peer/call_server.cpp
+++ b/src/peer/call_server.cpp
@@ -132,8 +132,8 @@
             return;
         const int fd = accept4(listener.get(), nullptr, nullptr, SOCK_CLOEXEC);
         if (fd < 0) {
-            // If the process is out of descriptors the listener stays readable, and
-            // without a pause this loop would spin.
+            // If the process is out of descriptors the listener stays readable, and without a pause
+            // this loop would spin.
             if (fault == socket_fault::None && errno != EAGAIN)
                 waitForSocket(-1, 0, after(config::gossipInterval), stopping.descriptorNumber());
             continue;
--- a/src/peer/call_wire.h
+++ b/src/peer/call_wire.h
@@ -12,10 +12,10 @@
 
 /// Wire protocol of a TCP connection between two instances.
 ///
-/// The server sends the first frame, a Hello whose counter is a random number. The frames
-/// of the client, beginning with its own Hello, carry that number plus one, plus two and so
-/// on. So a recorded connection can't be replayed, and a peer without the key is rejected
-/// before the server accepts a payload from it.
+/// The server sends the first frame, a Hello whose counter is a random number. The frames of the
+/// client, beginning with its own Hello, carry that number plus one, plus two and so on. So a
+/// recorded connection can't be replayed, and a peer without the key is rejected before the server
+/// accepts a payload from it.
 namespace poplarspool::peer {
 
 /// Maximum bytes of one request or reply; the rest of the frame's payload is left for its envelope.
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -90,7 +90,7 @@
     cereal::PortableBinaryOutputArchive archive;
 };
 
-/// Encodes values whose length others choose, such as operators, and which may exceed their bounds.
+/// Encodes values whose length is chosen by others, such as operators, and may exceed a bound.
 /// @param write Called with an encoder.
 /// @returns The encoded bytes; TooLarge if a bound is exceeded.
 template <class Write>
@@ -123,8 +123,8 @@
 
     std::uint64_t varint();
 
-    /// @attention Throws bad_payload if the value does not fit into
-    ///            `Number`, rather than truncate it.
+    /// @attention Throws bad_payload if the value does not fit into `Number`, instead of truncating
+    ///            it.
     template <class Number>
     void small(Number &value)
     {
--- a/src/peer/datagram_loop.cpp
+++ b/src/peer/datagram_loop.cpp
@@ -41,7 +41,8 @@
     socket.send(to, payload);
 }
 
-/// Each update is collected anew. The update of a failed iteration is lost, as any datagram may be.
+/// Each iteration collects its update anew. The update of a failed iteration is lost, as any
+/// datagram may be.
 void datagram_loop::run()
 {
     nextSendAt = clock.mono();
@@ -56,9 +57,9 @@
 {
     if (clock.mono() >= nextSendAt)
         nextSendAt = handlers.sendDue();
-    const auto left = std::chrono::ceil<milliseconds>(nextSendAt - clock.mono());
+    const auto remaining = std::chrono::ceil<milliseconds>(nextSendAt - clock.mono());
     waitForSocket(socket.descriptorNumber(), POLLIN,
-                  socket_clock::now() + std::max(left, milliseconds(0)),
+                  socket_clock::now() + std::max(remaining, milliseconds(0)),
                   stopping.descriptorNumber());
     socket.receive([this](std::uint64_t sender, std::string_view payload) {
         bool isDecoded = false;
--- a/src/peer/datagram_socket.h
+++ b/src/peer/datagram_socket.h
@@ -19,8 +19,8 @@
 /// A UDP socket for frames of one kind. Sent frames get a MAC; invalid, foreign, reordered and
 /// duplicate frames are counted and dropped.
 ///
-/// @attention One thread may send while another receives, but neither function
-///            may be called by two threads at once.
+/// @attention One thread may send while another receives, but neither function may be called by two
+///            threads at once.
 class datagram_socket
 {
 public:
@@ -33,8 +33,8 @@
 
     /// @param payload If it holds an error, nothing is sent and the `untold` counter is increased.
     void send(const std::vector<endpoint> &to, const result<std::string> &payload);
-    /// Passes all datagrams that have arrived to a handler, in the
-    /// order in which each sender sent them.
+    /// Passes all datagrams that have arrived to a handler, in the order in which each sender sent
+    /// them.
     /// @param accept Gets the sender's number and the payload. Returns false if it can't decode
     ///               the payload, which then counts as dropped.
     void receive(const std::function<bool(std::uint64_t sender, std::string_view payload)> &accept);
--- a/src/peer/frame.h
+++ b/src/peer/frame.h
@@ -56,8 +56,8 @@
 /// @returns Header, MAC and payload. Sets the length in the header.
 std::string sealFrame(const frame_key &key, frame_header header, std::string_view payload);
 
-/// Reads a header without verifying the MAC. A stream reader needs
-/// the length before it can read the payload.
+/// Decodes a header without verifying the MAC. A stream reader needs the length before it can read
+/// the payload.
 std::variant<frame_header, frame_fault> peekHeader(std::string_view bytes);
 
 struct opened_frame
--- a/src/peer/gossip.cpp
+++ b/src/peer/gossip.cpp
@@ -61,7 +61,7 @@
 
     void run();
     void runOnce();
-    void sendFarewell();
+    void announceShutdown();
     void wake();
     void waitUntil(mono_time time);
     void detectPause(mono_time now);
@@ -202,7 +202,7 @@
             waitForSocket(wakeEvent.get(), POLLIN, socket_clock::now() + config::failedStepPause,
                           -1);
     }
-    runLoggingExceptions(faults, [this] { sendFarewell(); });
+    runLoggingExceptions(faults, [this] { announceShutdown(); });
 }
 
 void gossip::state::runOnce()
@@ -218,14 +218,14 @@
     notifyHandlers();
 }
 
-void gossip::state::sendFarewell()
+void gossip::state::announceShutdown()
 {
-    std::vector<outgoing_datagram> farewell;
+    std::vector<outgoing_datagram> announcement;
     {
         const std::lock_guard lock(mutex);
-        farewell = protocol.onShutdown(clock.mono());
+        announcement = protocol.onShutdown(clock.mono());
     }
-    sendAllOf(farewell);
+    sendAllOf(announcement);
 }
 
 void gossip::state::wake()
@@ -235,8 +235,9 @@
 
 void gossip::state::waitUntil(mono_time time)
 {
-    const auto left = std::chrono::ceil<milliseconds>(time - clock.mono());
-    const auto bounded = std::clamp<std::int64_t>(left.count(), 0, settings.roundInterval.count());
+    const auto remaining = std::chrono::ceil<milliseconds>(time - clock.mono());
+    const auto bounded =
+            std::clamp<std::int64_t>(remaining.count(), 0, settings.roundInterval.count());
     std::array<pollfd, 2> polled{pollfd{socket.get(), POLLIN, 0},
                                  pollfd{wakeEvent.get(), POLLIN, 0}};
     poll(polled.data(), polled.size(), static_cast<int>(bounded));
@@ -274,8 +275,8 @@
             return;
         bytesReceived.add(static_cast<std::uint64_t>(size) + config::datagramOverheadBytes);
         datagramsReceived.add();
-        // If this throws, the datagram counts as lost. No pause,
-        // because others are queued behind it.
+        // If this throws, the datagram counts as lost. No pause, because others are queued behind
+        // it.
         runLoggingExceptions(faults, [&] {
             receive({buffer.data(), static_cast<std::size_t>(size)}, from);
         });
--- a/src/peer/gossip_message.cpp
+++ b/src/peer/gossip_message.cpp
@@ -57,8 +57,8 @@
     time = timeOf(in.varint(), base.now);
 }
 
-/// Encodes the distance to the base version. Nearly all members have the newest version, so that
-/// the distance takes one byte. It wraps around if the version is above the base.
+/// Encodes the distance to the base version. Nearly all members have the newest version, so the
+/// distance takes one byte. It wraps around if the version is above the base.
 void versionField(encoder &out, std::uint64_t version, const message_base &base)
 {
     out.varint(base.version - version);
--- a/src/peer/gossip_message.h
+++ b/src/peer/gossip_message.h
@@ -20,8 +20,8 @@
     Page = 5,
 };
 
-/// Heartbeat of a member without its record; a receiver that does
-/// not know the handle requests the record.
+/// Heartbeat of a member without its record; a receiver that does not know the handle requests the
+/// record.
 struct heartbeat_update
 {
     std::uint64_t handle = 0;
@@ -45,8 +45,9 @@
 {
     gossip_purpose purpose = gossip_purpose::Update;
     std::uint64_t subject = 0; ///< Handle of the member to be pinged, or that has answered.
-    std::uint32_t page = 0; ///< Join: index of the first record wanted. Page: first index of the
-                            ///< next page; 0 after the last.
+    /// In a Join: index of the first record wanted. In a Page: index at which the next page starts;
+    /// 0 after the last page.
+    std::uint32_t page = 0;
     std::vector<member_record> records;
     std::vector<heartbeat_update> heartbeats;
     std::vector<rumor_update> rumors;
--- a/src/peer/gossip_protocol.cpp
+++ b/src/peer/gossip_protocol.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint64_t roundsPerContact = 5;
 /// Maximum number of peers to which an instance announces that it has left.
 constexpr std::size_t maxLeaveRecipients = 16;
-/// Average bytes of one heartbeat.
+/// Average encoded size of one heartbeat.
 constexpr double typicalHeartbeatBytes = 15;
 
 /// @returns Payload bytes that fit into a datagram of the given total size.
@@ -149,8 +149,8 @@
                 && isSuspect(member->record) && !member->record.isDead;
         return !isOpen;
     });
-    // Limited per round, because an isolated instance suspects all members and would
-    // otherwise write to all of them at once.
+    // Limited per round, because an isolated instance suspects all members and would otherwise
+    // write to all of them at once.
     std::vector<instance_id> ids;
     for (const auto &[id, suspectedIncarnation] : ownSuspicions)
         ids.push_back(id);
@@ -204,8 +204,8 @@
     std::set<endpoint> living{table.self().record.peerAddress};
     std::vector<endpoint> missing = contacts;
     for (const auto &[id, member] : table.others()) {
-        // Dead members are contacted as well: after a
-        // partition, each side considers the other dead.
+        // Dead members are contacted as well: after a partition, each side considers the other
+        // dead.
         if (member.record.isDead)
             missing.push_back(member.record.peerAddress);
         else
@@ -242,8 +242,8 @@
     return true;
 }
 
-/// A joining instance requests pages as long as they contain new
-/// members; anti-entropy delivers the rest.
+/// A joining instance requests pages as long as they contain new members; anti-entropy delivers the
+/// rest.
 void gossip_protocol::onPage(const gossip_message &message, const incoming_datagram &datagram,
                              bool hasNewMembers, mono_time now)
 {
@@ -253,7 +253,8 @@
         requestFromSender(datagram, 0, now, wantedPage);
 }
 
-/// The member asked for the next page may be out of budget or gone; any other member can send it.
+/// The member from which the next page was requested may be out of budget or unreachable; any other
+/// member can send it.
 void gossip_protocol::requestNextPage(mono_time now)
 {
     if (wantedPage == 0 || std::exchange(isPageRequested, false))
@@ -392,8 +393,8 @@
     send(datagram.from, datagram.senderIncarnation, page, 0, now);
 }
 
-/// A sender whose incarnation is outdated or considered dead must be notified; only then
-/// can it continue with a new incarnation.
+/// A sender whose incarnation is outdated or considered dead must be notified; only then can it
+/// continue with a new incarnation.
 void gossip_protocol::notifySender(const known_member &sender, const incoming_datagram &datagram,
                                    mono_time now)
 {
--- a/src/peer/gossip_protocol.h
+++ b/src/peer/gossip_protocol.h
@@ -63,19 +63,19 @@
     /// @returns False if the datagram can't be decoded.
     bool onDatagram(const incoming_datagram &datagram, mono_time now,
                     std::vector<outgoing_datagram> &answers);
-    /// Handles a datagram from an outdated incarnation:
-    /// ignores its content and notifies the sender.
+    /// Handles a datagram from an outdated incarnation: ignores its content and notifies the
+    /// sender.
     void onOldIncarnation(const incoming_datagram &datagram, mono_time now,
                           std::vector<outgoing_datagram> &answers);
-    /// Resets probes and suspicion timers after a pause of this process,
-    /// during which it could not receive anything.
+    /// Resets probes and suspicion timers after a pause of this process, during which it could not
+    /// receive anything.
     void onPause(mono_time now);
     /// @returns Datagrams that announce that this instance has left.
     std::vector<outgoing_datagram> onShutdown(mono_time now);
 
     const gossip_table &members() const { return table; }
-    /// @returns Members, each with the worse of its gossiped state
-    ///          and its state in the platform's list.
+    /// @returns Members, each with the worse of its gossiped state and its state in the platform's
+    ///          list.
     std::vector<policy::member> listedMembers() const;
     std::vector<rumor> allRumors() const { return rumors.all(); }
 
@@ -127,8 +127,8 @@
     std::mt19937_64 random;
     std::vector<endpoint> contacts;
     std::set<instance_id> listedLeaving;
-    std::map<instance_id, incarnation_number>
-            ownSuspicions; ///< Members that this instance itself suspected.
+    /// Members that this instance itself suspected, with the suspected incarnation.
+    std::map<instance_id, incarnation_number> ownSuspicions;
     std::vector<rumor> newRumors;
     std::vector<outgoing_datagram> outbox;
     std::uint64_t round = 0;
--- a/src/peer/gossip_table.cpp
+++ b/src/peer/gossip_table.cpp
@@ -53,8 +53,8 @@
 
 void gossip_table::publishHeartbeat()
 {
-    // Changes take effect only with a new sequence number, since peers may keep
-    // either of two copies of one heartbeat.
+    // Changes take effect only with a new sequence number, since peers may keep either of two
+    // copies of one heartbeat.
     nextHeartbeat.sequence = own.record.heartbeat.sequence + 1;
     own.record.heartbeat = nextHeartbeat;
     own.transmits.heartbeat = 0;
@@ -255,10 +255,10 @@
     if (replaced)
         self.state = std::max(self.state, policy::member_state::Leaving);
     if (self.state != policy::member_state::Dead) {
-        const auto place = std::lower_bound(
+        const auto position = std::lower_bound(
                 result.begin(), result.end(), self,
                 [](const policy::member &a, const policy::member &b) { return a.id < b.id; });
-        result.insert(place, std::move(self));
+        result.insert(position, std::move(self));
     }
     return result;
 }
--- a/src/peer/gossip_table.h
+++ b/src/peer/gossip_table.h
@@ -44,8 +44,8 @@
     transmit_counts transmits;
 };
 
-/// Membership as known to one instance: a single-threaded state
-/// machine that takes the time as an argument.
+/// Membership as known to one instance: a single-threaded state machine that takes the time as an
+/// argument.
 ///
 /// A dead incarnation never becomes alive again. An instance that learns that it is suspected
 /// refutes the suspicion within its incarnation. One that learns that it is considered dead (it
@@ -75,12 +75,13 @@
     bool suspect(const instance_id &id, incarnation_number suspectedIncarnation, mono_time now);
     /// Applies the timeouts: suspects become dead, dead members are removed.
     void expire(mono_time now);
-    /// Restarts all suspicion timers after a pause of this process, in
-    /// which it could not receive refutations.
+    /// Restarts all suspicion timers after a pause of this process, in which it could not receive
+    /// refutations.
     void restartSuspicionTimers(mono_time now);
 
     /// @returns This instance as others may see it: as of the last heartbeat.
     const known_member &self() const { return own; }
+    /// @returns Whether another process with a higher incarnation uses this instance's id.
     bool isReplaced() const { return replaced; }
     /// @returns nullptr if the member is unknown. Dead members are found.
     const known_member *find(const instance_id &id) const;
@@ -92,8 +93,8 @@
     /// @returns All members that are not dead, this instance included, sorted by id.
     std::vector<policy::member> members() const;
 
-    /// @returns Members whose record or heartbeat was sent less
-    ///          than `limit` times since it changed.
+    /// @returns Members whose record or heartbeat was sent less than `limit` times since it
+    ///          changed.
     std::vector<known_member *> recordsToSend(std::uint32_t limit);
     std::vector<known_member *> heartbeatsToSend(std::uint32_t limit);
     bool hasItemsToSend(std::uint32_t limit) const;
--- a/src/peer/load_exchange.cpp
+++ b/src/peer/load_exchange.cpp
@@ -12,10 +12,10 @@
 milliseconds loadUpdateInterval(std::size_t peers, std::size_t others,
                                 std::size_t datagramsPerSecond)
 {
-    const std::size_t share = std::max(others, config::loadUpdateFullRateFleet);
-    const milliseconds within(1000 * peers * share
-                              / (datagramsPerSecond * config::loadUpdateFullRateFleet));
-    return std::max(within, config::loadUpdateInterval);
+    const std::size_t effectiveFleet = std::max(others, config::loadUpdateFullRateFleet);
+    const milliseconds interval(1000 * peers * effectiveFleet
+                                / (datagramsPerSecond * config::loadUpdateFullRateFleet));
+    return std::max(interval, config::loadUpdateInterval);
 }
 
 struct load_exchange::state
--- a/src/peer/member_record.cpp
+++ b/src/peer/member_record.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// The higher sequence number wins. Copies of one heartbeat differ only in
-/// their transit time, which the ages on the wire do not include; so the copy
-/// with the earlier confirmation is more accurate.
+/// The higher sequence number wins. Copies of one heartbeat differ only in their transit time,
+/// which the ages on the wire do not include; so the copy with the earlier confirmation is more
+/// accurate.
 auto rankOf(const member_heartbeat &heartbeat)
 {
     return std::tuple(heartbeat.sequence, heartbeat.appliedVersion, heartbeat.openStreams,
--- a/src/peer/member_record.h
+++ b/src/peer/member_record.h
@@ -40,8 +40,8 @@
     bool operator==(const member_record &) const = default;
 };
 
-/// @returns The least upper bound of both; the operation is
-///          commutative, associative and idempotent.
+/// @returns The least upper bound of both; the operation is commutative, associative and
+///          idempotent.
 /// @attention Both records must be of the same member.
 member_record merged(const member_record &a, const member_record &b);
 member_heartbeat merged(const member_heartbeat &a, const member_heartbeat &b);
--- a/src/peer/prober.cpp
+++ b/src/peer/prober.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Divisor of the probe timeout: after this part of it without
-/// an answer, other members probe as well.
+/// Divisor of the probe timeout: after this part of it without an answer, other members probe as
+/// well.
 constexpr int indirectProbeDivisor = 3;
 
 } // namespace
--- a/src/peer/prober.h
+++ b/src/peer/prober.h
@@ -19,7 +19,7 @@
     incarnation_number incarnation = 0;
     std::uint64_t handle = 0;
     mono_time sentAt{};
-    bool isIndirect = false; ///< Other members were asked to ping the target as well.
+    bool isIndirect = false; ///< Other members were requested to ping the target as well.
 };
 
 /// A ping sent on behalf of another instance.
@@ -42,8 +42,8 @@
 public:
     prober(milliseconds probeTimeout, std::uint64_t seed);
 
-    /// @param candidates Returns the members that are not dead.
-    ///                   Called only when a new order starts.
+    /// @param candidates Returns the members that are not dead. Called only when a new order
+    ///                   starts.
     /// @returns The member to probe next.
     template <class Candidates>
     std::optional<instance_id> next(Candidates candidates)
@@ -75,8 +75,8 @@
     std::vector<std::pair<std::uint64_t, open_probe>> takeUnanswered(mono_time now);
     /// @returns Probes that timed out, direct and indirect.
     std::vector<open_probe> takeFailed(mono_time now);
-    /// Discards open probes after a pause of this process, in
-    /// which it could not receive the answers.
+    /// Discards open probes after a pause of this process, in which it could not receive the
+    /// answers.
     void reset();
 
 private:
--- a/src/peer/relay_election.cpp
+++ b/src/peer/relay_election.cpp
@@ -36,7 +36,7 @@
         sending.kinds[one.kind] = {one.isAnswered, one.version, now - milliseconds(one.ageMs)};
 }
 
-bool relay_election::decide(bool isAble, std::size_t wantedRelays, mono_time now)
+bool relay_election::decide(bool canRelay, std::size_t wantedRelays, mono_time now)
 {
     std::erase_if(relays, [now](const auto &entry) {
         return now - entry.second.receivedAt > config::relayRetention;
@@ -50,10 +50,10 @@
         higherRanked += sender > self ? 1 : 0;
     }
     if (isRelay) {
-        isRelay = isAble && higherRanked < wantedRelays;
+        isRelay = canRelay && higherRanked < wantedRelays;
         return isRelay;
     }
-    if (!isAble || healthy >= wantedRelays)
+    if (!canRelay || healthy >= wantedRelays)
         shortageSince.reset();
     else if (!shortageSince)
         shortageSince = now;
@@ -83,13 +83,13 @@
         if (received.version > known.version)
             return std::nullopt;
         // A relay that still watches the store as it was before a store rollback confirms nothing.
-        const bool isPast = received.version.epoch < known.version.epoch;
+        const bool isOlderEpoch = received.version.epoch < known.version.epoch;
         // Confirmed later, but at an older revision: either the store has restarted its
         // revisions, or the two instances use different stores. Relying on this relay, this
         // instance would wait for updates that never come.
         const bool isContradiction = received.version < known.version
                 && received.confirmedAt > known.confirmedAt + config::relayRetention;
-        if (!received.isAnswered || isPast || isContradiction)
+        if (!received.isAnswered || isOlderEpoch || isContradiction)
             continue;
         const mono_time end = std::min(received.confirmedAt + maxAge,
                                        sending.receivedAt + config::relaySilenceLimit);
--- a/src/peer/replay_window.cpp
+++ b/src/peer/replay_window.cpp
@@ -24,10 +24,10 @@
         highest = counter;
         return true;
     }
-    const std::uint64_t back = highest - counter;
-    if (back >= seen.size() || seen.test(back))
+    const std::uint64_t distance = highest - counter;
+    if (distance >= seen.size() || seen.test(distance))
         return false;
-    seen.set(back);
+    seen.set(distance);
     return true;
 }
 
--- a/src/peer/rumor_table.cpp
+++ b/src/peer/rumor_table.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Compares payloads last, so that all instances choose the same one
-/// if two writers publish the same version.
+/// Compares payloads last, so that all instances choose the same one if two writers publish the
+/// same version.
 bool isNewer(const rumor_update &a, const rumor_update &b)
 {
     return std::tie(a.value.version, a.renewal, a.value.payload)
--- a/src/peer/rumor_table.h
+++ b/src/peer/rumor_table.h
@@ -15,8 +15,8 @@
     std::uint32_t transmits = 0; ///< Times it was sent since it was received or published.
 };
 
-/// Holds the newest rumor of every key. A single-threaded state
-/// machine that takes the time as an argument.
+/// Holds the newest rumor of every key. A single-threaded state machine that takes the time as an
+/// argument.
 class rumor_table
 {
 public:
--- a/src/platform/call_limiter.cpp
+++ b/src/platform/call_limiter.cpp
@@ -9,7 +9,7 @@
 /// After this many doublings the back-off has reached its maximum in any case.
 constexpr std::uint32_t maxDoublings = 16;
 
-/// Rounds up, so that a caller that waits this long is not refused again.
+/// Rounds up, so that a call made after this wait is not refused again.
 milliseconds roundedUp(std::chrono::duration<double> time)
 {
     return std::chrono::ceil<milliseconds>(time);
@@ -87,8 +87,8 @@
     return wasFailing;
 }
 
-// Full jitter: instances that saw the same outage start must not all retry at the same moments,
-// which would overload a store that is just recovering.
+/// Full jitter: instances that saw the same outage start must not all retry at the same moments,
+/// which would overload a store that is just recovering.
 milliseconds call_limiter::drawBackoff(std::optional<milliseconds> requestedWait)
 {
     const auto doublings = std::min(consecutiveFailures, maxDoublings);
--- a/src/platform/call_limiter.h
+++ b/src/platform/call_limiter.h
@@ -27,8 +27,7 @@
     /// @returns Throttled if the budget is exhausted, Unavailable during a back-off; both NotRun
     ///          with retryAfter.
     result<permit> tryAcquire();
-    /// Like tryAcquire(), for callers that have waited for timeUntilAllowed(): ignores the
-    /// back-off.
+    /// Like tryAcquire(), but ignores the back-off. For use after a wait of timeUntilAllowed().
     result<permit> tryAcquireAfterWait();
     /// @returns Whether this answer ends a series of failures.
     bool onAnswer();
--- a/src/platform/object_store.cpp
+++ b/src/platform/object_store.cpp
@@ -140,7 +140,7 @@
 };
 
 // The reply to a write was lost. The request may have taken effect, may have been dropped, or may
-// still be in flight and take effect later, so that reading the object once does not prove that it
+// still be in flight and take effect later, so reading the object once does not prove that it
 // never will. The cases:
 // - The object holds our value: the write took effect, since the value contains our nonce.
 // - The object still has `ifVersion`: the outcome is open. The same conditional write is sent
--- a/tests/adapter/decode_bounds_test.cpp
+++ b/tests/adapter/decode_bounds_test.cpp
@@ -118,7 +118,7 @@
         }
     }
 
-    /// It is unknown which requests such a route would match, so that any request matched by no
+    /// It is unknown which requests such a route would match, so any request matched by no
     /// other route may be for it. A 404 is final, and must not be sent to its callers.
     void routeWithUnreadableMatchTakesUnmatchedRequests()
     {
--- a/tests/adapter/kind_watch_test.cpp
+++ b/tests/adapter/kind_watch_test.cpp
@@ -243,7 +243,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("9"), regained.front().fields[2].value);
     }
 
-    /// If the list counted as known, its objects would be missing until they change again.
+    /// The handler of a list throws. If the list counted as known, its objects would be missing
+    /// until they change again.
     void listIsRepeatedAfterAHandlerException()
     {
         watch_fixture fixture(
@@ -255,7 +256,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.events.events({"step_failed", {}, {}}).size());
     }
 
-    /// A watch from the same revision would not repeat changes that were handled in part.
+    /// The handler of changes throws, possibly after it has applied a part of them. If the watch
+    /// were repeated from the same revision, that part would look unchanged, so the kind is listed
+    /// again.
     void changesAreListedAgainAfterAHandlerException()
     {
         watch_fixture fixture({jsonReply(R"({"items":[],"currentRev":5})"),
--- a/tests/adapter/store_follower_test.cpp
+++ b/tests/adapter/store_follower_test.cpp
@@ -31,8 +31,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Each call to the store is billed, so that only one of two instances makes them. The other
-    /// one receives the first routes, the leaving of a runner and new routes from it.
+    /// Each call to the store is billed, so only one of two instances makes them. The other one
+    /// receives the first routes, the leaving of a runner and new routes from it.
     ///
     /// Guards against updates without the first routes: an instance that relied on a relay had none
     /// and answered 503 until the next change.
--- a/tests/adapter/store_rollback_stress_test.cpp
+++ b/tests/adapter/store_rollback_stress_test.cpp
@@ -28,9 +28,9 @@
 
 int fromEnvironment(const char *name, int defaultValue)
 {
-    const char *text = std::getenv(name); // NOLINT(concurrency-mt-unsafe): nobody sets any.
+    const char *text = std::getenv(name); // NOLINT(concurrency-mt-unsafe): no setenv() calls.
     return text == nullptr ? defaultValue
-                           : std::atoi(text); // NOLINT(cert-err34-c): 0 plays nothing.
+                           : std::atoi(text); // NOLINT(cert-err34-c): 0 runs no seed.
 }
 
 std::string nameOf(int runner)
@@ -74,8 +74,7 @@
         registerRunner(runner);
     }
 
-    /// Restores the snapshot of a random earlier round. replayLostWrites() writes the lost changes
-    /// again.
+    /// Restores the snapshot of a random earlier round. writeAgain() writes the lost changes again.
     void rollBack() { store.restoreSnapshot(snapshots[generator() % snapshots.size()]); }
 
     void takeSnapshot() { snapshots.push_back(store.takeSnapshot()); }
@@ -190,7 +189,7 @@
     std::array<bool, runnerCount> isLeaving{};
     std::array<bool, runnerCount> isRemoved{};
     std::array<int, runnerCount> startTimes{};
-    int writes = 0; ///< Of all runners, so that it rises for each of them.
+    int writes = 0; ///< Counted over all runners, so it increases for each of them.
     std::vector<std::unique_ptr<follower_fixture>> instances;
     bool isStarted = false;
 };
--- a/tests/adapter/store_rollback_test.cpp
+++ b/tests/adapter/store_rollback_test.cpp
@@ -135,7 +135,7 @@
     }
 
     /// By the time of the next call, the restored store has accepted as many changes as it had
-    /// lost. Its revision equals the known one, so that the watch continues as if nothing had
+    /// lost. Its revision equals the known one, so the watch continues as if nothing had
     /// happened: a runner that left meanwhile would stay in use for good.
     void rollbackWithEqualRevisionIsDetected()
     {
@@ -193,7 +193,7 @@
         }
     }
 
-    /// The objects of all instances are lost in the rollback, so that no instance would find the
+    /// The objects of all instances are lost in the rollback, so no instance would find the
     /// others any more. Each one writes its own again, and only once.
     void instanceRegistersAgainOnce()
     {
@@ -235,7 +235,7 @@
     }
 
     /// An instance starts and registers; the store is rolled back before the instance has listed
-    /// anything, so that its first list is already of the snapshot. Only the epoch in which its
+    /// anything, so its first list is already of the snapshot. Only the epoch in which its
     /// object was written shows the rollback. Undetected, the others would never find the instance.
     void instanceRegisteredBeforeItsFirstListRegistersAgain()
     {
--- a/tests/peer/allocation_meter.cpp
+++ b/tests/peer/allocation_meter.cpp
@@ -9,8 +9,8 @@
 
 } // namespace
 
-// All ordinary forms are replaced together, because std::stable_sort allocates its buffer
-// with one form and frees it with another.
+// All ordinary forms are replaced together, because std::stable_sort allocates its buffer with one
+// form and frees it with another.
 
 void *operator new(std::size_t size, const std::nothrow_t &) noexcept
 {
--- a/tests/peer/calls_test.cpp
+++ b/tests/peer/calls_test.cpp
@@ -194,8 +194,8 @@
         fixture context;
         endpoint address;
         {
-            const scripted_peer gone([](int) {});
-            address = gone.address();
+            const scripted_peer closedPeer([](int) {});
+            address = closedPeer.address();
         }
         call_client client(clientIdentity, context.metrics, context.events);
         const auto reply = callTyped<body_reply>(client, address, call_kind::Body,
@@ -240,8 +240,8 @@
                              context.count("poplarspool_peer_stray_answers_total"));
     }
 
-    /// The peer replies to the first call only after its timeout. The second call
-    /// must not read that late reply as its own.
+    /// The peer replies to the first call only after its timeout. The second call must not read
+    /// that late reply as its own.
     void lateReplyIsNotGivenToNextCall()
     {
         fixture context;
--- a/tests/peer/gossip_table_test.cpp
+++ b/tests/peer/gossip_table_test.cpp
@@ -102,9 +102,9 @@
         }
     }
 
-    /// A live instance that was slow to answer a probe is suspected; callers avoid it
-    /// while it is. Its refutation has a higher number and must win everywhere, also
-    /// where it arrives before the suspicion.
+    /// A live instance that was slow to answer a probe is suspected; callers avoid it while it is.
+    /// Its refutation has a higher number and must win everywhere, also where it arrives before the
+    /// suspicion.
     void suspectRefutesWithinItsIncarnation()
     {
         gossip_table accuser(recordOf("accuser", 1), times);
--- a/tests/peer/relay_election_test.cpp
+++ b/tests/peer/relay_election_test.cpp
@@ -100,9 +100,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// 50 instances start at once. Only a few may become relays: if all did, each
-    /// change would cost 50 calls to the store and 2,450 datagrams. If none did, every
-    /// instance would have to call the store.
+    /// 50 instances start at once. Only a few may become relays: if all did, each change would cost
+    /// 50 calls to the store and 2,450 datagrams. If none did, every instance would have to call
+    /// the store.
     void fewInstancesBecomeRelays()
     {
         fleet instances(50, 2);
@@ -111,8 +111,8 @@
         CPPUNIT_ASSERT(instances.relayStarts <= 10);
     }
 
-    /// When the relay dies, the others notice its silence. A
-    /// few may take over, but not all of them.
+    /// When the relay dies, the others notice its silence. A few may take over, but not all of
+    /// them.
     void anotherRelayTakesOverAfterDeath()
     {
         fleet instances(20, 1);
@@ -127,8 +127,8 @@
         CPPUNIT_ASSERT(instances.relayStarts - before <= 4);
     }
 
-    /// Guards against waiting for updates of a relay that froze: callers
-    /// would be sent to a runner that has left.
+    /// Guards against waiting for updates of a relay that froze: callers would be sent to a runner
+    /// that has left.
     void silentRelayIsNotReliedOn()
     {
         relay_election election{instance_id{"edge-1"}};
@@ -146,9 +146,9 @@
         CPPUNIT_ASSERT(!election.coveredUntil({runners, {0, 5}, at(0ms)}, maxAge, at(20ms)));
     }
 
-    /// The store accepts a relay's watch but never answers it. The relay keeps
-    /// sending updates, since it believes that nothing has changed; the growing age
-    /// of its confirmation must end the reliance.
+    /// The store accepts a relay's watch but never answers it. The relay keeps sending updates,
+    /// since it believes that nothing has changed; the growing age of its confirmation must end the
+    /// reliance.
     void relayWithUnansweredWatchIsNotReliedOnForLong()
     {
         relay_election election{instance_id{"edge-1"}};
--- a/tests/platform/object_store_test.cpp
+++ b/tests/platform/object_store_test.cpp
@@ -165,7 +165,7 @@
     }
 
     // The write takes effect and its reply is lost. The object that is read back holds the writer's
-    // nonce, so that the write succeeds with its version and is not sent twice.
+    // nonce, so the write succeeds with its version and is not sent twice.
     void ownWriteWithLostReplySucceeds()
     {
         object_store store = makeStore();
@@ -177,7 +177,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), callsOf("put"));
     }
 
-    // The first request never arrives. The object still has the expected version, so that the write
+    // The first request never arrives. The object still has the expected version, so the write
     // is sent again and succeeds.
     void lostRequestIsSentAgain()
     {
--- a/tests/platform/platform_wire_test.cpp
+++ b/tests/platform/platform_wire_test.cpp
@@ -137,7 +137,7 @@
         CPPUNIT_ASSERT_EQUAL(version, valueOf(seen).version);
     }
 
-    // Three consecutive writes take effect and lose their replies. Each is read back, so that all
+    // Three consecutive writes take effect and lose their replies. Each is read back, so all
     // three succeed with the versions in the store.
     void writeWithLostReplyIsReadBack()
     {
