--- a/tests/adapter/crashing_request_test.cpp
+++ b/tests/adapter/crashing_request_test.cpp
@@ -49,9 +49,9 @@
         while (port < 30000) {
             gateway::gateway_settings settings = settingsAt(port);
             port = static_cast<std::uint16_t>(port + 10);
-            auto made = std::make_unique<platform_gateway>(settings);
-            if (succeeded(made->start())) {
-                instances.push_back(std::move(made));
+            auto instance = std::make_unique<platform_gateway>(settings);
+            if (succeeded(instance->start())) {
+                instances.push_back(std::move(instance));
                 callers.push_back(settings.callerAddress);
                 return;
             }
@@ -95,16 +95,17 @@
 private:
     gateway::gateway_settings settingsAt(std::uint16_t first) const
     {
-        gateway::gateway_settings made;
-        made.instance.text = "edge-" + std::to_string(first);
-        made.zone.text = "a";
-        made.storeAddress = store.address();
+        gateway::gateway_settings settings;
+        settings.instance.text = "edge-" + std::to_string(first);
+        settings.zone.text = "a";
+        settings.storeAddress = store.address();
         std::uint16_t next = first;
-        for (endpoint *each : {&made.callerAddress, &made.readinessAddress, &made.directoryAddress,
-                               &made.loadAddress, &made.metricsAddress, &made.peerAddress})
+        for (endpoint *each :
+             {&settings.callerAddress, &settings.readinessAddress, &settings.directoryAddress,
+              &settings.loadAddress, &settings.metricsAddress, &settings.peerAddress})
             *each = {"127.0.0.1", next++};
-        made.leaveSeconds = 1;
-        return made;
+        settings.leaveSeconds = 1;
+        return settings;
     }
 
     fake_store &store;
--- a/tests/adapter/crashing_runners.h
+++ b/tests/adapter/crashing_runners.h
@@ -158,12 +158,12 @@
 
     void startOne()
     {
-        incarnation_entry made{"i-" + std::to_string(incarnations.size()),
-                               std::make_unique<crashing_runner>()};
-        store.put(wire::runnerKind, made.id,
-                  R"({"service":"s","address":")" + textOf(made.runner->address())
+        incarnation_entry entry{"i-" + std::to_string(incarnations.size()),
+                                std::make_unique<crashing_runner>()};
+        store.put(wire::runnerKind, entry.id,
+                  R"({"service":"s","address":")" + textOf(entry.runner->address())
                           + R"(","state":"in_service","slots":8,"seq":1})");
-        incarnations.push_back(std::move(made));
+        incarnations.push_back(std::move(entry));
     }
 
     fake_store &store;
--- a/tests/adapter/decode_bounds_test.cpp
+++ b/tests/adapter/decode_bounds_test.cpp
@@ -14,19 +14,19 @@
 
 json routeEntry(const std::string &name)
 {
-    json made{{"name", name},      {"host", "h"},    {"pathPrefix", "/" + name + "/"},
-              {"timeoutMs", 3000}, {"service", "s"}, {"kind", "idempotent"},
-              {"attempts", 2},     {"priority", 1}};
-    return json::parse(made.dump());
+    json entry{{"name", name},      {"host", "h"},    {"pathPrefix", "/" + name + "/"},
+               {"timeoutMs", 3000}, {"service", "s"}, {"kind", "idempotent"},
+               {"attempts", 2},     {"priority", 1}};
+    return json::parse(entry.dump());
 }
 
 json specOf(const std::vector<json> &routes)
 {
-    json made = json::parse(R"({"version":7,"services":[{"name":"s"}],
+    json spec = json::parse(R"({"version":7,"services":[{"name":"s"}],
         "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,
                   "idleTimeoutMs":15000}})");
-    made["routes"] = routes;
-    return made;
+    spec["routes"] = routes;
+    return spec;
 }
 
 /// Decodes a table of three routes, the second of which is the given entry.
@@ -37,9 +37,9 @@
 
 json routeWithValue(const std::string &key, const json &value)
 {
-    json made = routeEntry("b");
-    made[key] = value;
-    return made;
+    json entry = routeEntry("b");
+    entry[key] = value;
+    return entry;
 }
 
 milliseconds decodedTimeLimit(const std::string &number)
--- a/tests/adapter/decode_workspaces_test.cpp
+++ b/tests/adapter/decode_workspaces_test.cpp
@@ -11,7 +11,7 @@
 
 json configWith(const json &workspaces)
 {
-    json made = json::parse(R"({"version":7,"routes":[
+    json spec = json::parse(R"({"version":7,"routes":[
         {"name":"r1","host":"h","pathPrefix":"/a/","kind":"streaming","service":"s"},
         {"name":"r2","host":"h","pathPrefix":"/b/","kind":"idempotent","service":"s",
          "anonymous":true}],
@@ -19,8 +19,8 @@
         "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,
           "idleTimeoutMs":15000}})");
     if (!workspaces.is_discarded())
-        made["tenants"] = workspaces;
-    return made;
+        spec["tenants"] = workspaces;
+    return spec;
 }
 
 decoded_routes decodeWith(const char *workspaces)
--- a/tests/adapter/fake_store.h
+++ b/tests/adapter/fake_store.h
@@ -135,26 +135,26 @@
 private:
     static http_limits limitsFor(std::uint32_t connections)
     {
-        http_limits made = defaultHttpLimits();
-        made.connections = connections;
-        return made;
+        http_limits limits = defaultHttpLimits();
+        limits.connections = connections;
+        return limits;
     }
 
     static call callOf(const http_request &request)
     {
         const std::string path = request.path.substr(std::string(wire::objectsPath).size());
-        call made;
-        made.kind = path.substr(0, path.find_first_of("?/"));
-        made.receivedAt = std::chrono::steady_clock::now();
+        call received;
+        received.kind = path.substr(0, path.find_first_of("?/"));
+        received.receivedAt = std::chrono::steady_clock::now();
         if (request.method != "GET") {
-            made.type = call::operation::Write;
-            made.objectName = nlohmann::json::parse(request.body).at("metadata").at("name");
+            received.type = call::operation::Write;
+            received.objectName = nlohmann::json::parse(request.body).at("metadata").at("name");
         } else if (path.find('/') != std::string::npos) {
-            made.type = call::operation::Get;
+            received.type = call::operation::Get;
         } else if (path.find("watch=") != std::string::npos) {
-            made.type = call::operation::Watch;
+            received.type = call::operation::Watch;
         }
-        return made;
+        return received;
     }
 
     std::optional<http_reply> answer(const http_request &request)
@@ -167,8 +167,8 @@
         }
         if (arrived.isConnectionRefused)
             return std::nullopt;
-        auto made = answerWhileUp(request);
-        return isDown ? std::nullopt : std::move(made);
+        auto reply = answerWhileUp(request);
+        return isDown ? std::nullopt : std::move(reply);
     }
 
     std::optional<http_reply> answerWhileUp(const http_request &request)
--- a/tests/adapter/follower_pair.h
+++ b/tests/adapter/follower_pair.h
@@ -11,13 +11,13 @@
 inline gateway::gateway_settings settingsFor(const fake_store &store, const std::string &name,
                                              std::uint16_t port)
 {
-    gateway::gateway_settings made;
-    made.instance.text = name;
-    made.zone.text = "a";
-    made.peerAddress = {"127.0.0.1", port};
-    made.sharesStoreUpdates = true;
-    made.storeAddress = store.address();
-    return made;
+    gateway::gateway_settings settings;
+    settings.instance.text = name;
+    settings.zone.text = "a";
+    settings.peerAddress = {"127.0.0.1", port};
+    settings.sharesStoreUpdates = true;
+    settings.storeAddress = store.address();
+    return settings;
 }
 
 inline bool hasState(const follower_fixture &one, std::uint64_t version, bool isDraining)
@@ -49,11 +49,11 @@
         two->follower.setInstances({one->entry(), two->entry()});
     }
 
-    static gateway::gateway_settings changed(gateway::gateway_settings made,
+    static gateway::gateway_settings changed(gateway::gateway_settings settings,
                                              const settings_change &change)
     {
-        change(made);
-        return made;
+        change(settings);
+        return settings;
     }
 
     std::size_t followedByOthersCount() const
--- a/tests/adapter/instances_test.cpp
+++ b/tests/adapter/instances_test.cpp
@@ -19,18 +19,18 @@
 /// @param port The first of its ports.
 gateway::gateway_settings settingsWithInvalidName(const endpoint &store, std::uint16_t port)
 {
-    gateway::gateway_settings made;
-    made.instance.text = "edge-\xff";
-    made.callerAddress = local(port);
-    made.readinessAddress = local(port + 1);
-    made.directoryAddress = local(port + 2);
-    made.peerAddress = local(port + 3);
-    made.loadAddress = local(port + 4);
-    made.metricsAddress = local(port + 5);
-    made.storeAddress = store;
-    made.addressKeepTime = 0s;
-    made.leaveSeconds = 0.3;
-    return made;
+    gateway::gateway_settings settings;
+    settings.instance.text = "edge-\xff";
+    settings.callerAddress = local(port);
+    settings.readinessAddress = local(port + 1);
+    settings.directoryAddress = local(port + 2);
+    settings.peerAddress = local(port + 3);
+    settings.loadAddress = local(port + 4);
+    settings.metricsAddress = local(port + 5);
+    settings.storeAddress = store;
+    settings.addressKeepTime = 0s;
+    settings.leaveSeconds = 0.3;
+    return settings;
 }
 
 /// @returns The value of the metric as text, or an empty one.
--- a/tests/adapter/kind_watch_test.cpp
+++ b/tests/adapter/kind_watch_test.cpp
@@ -80,13 +80,13 @@
 
 kind_handlers countingHandlers(std::atomic<int> &failures)
 {
-    kind_handlers made;
-    made.onList = [](const std::vector<store_object> &, store_version) {};
-    made.onChanges = [](const std::vector<store_change> &, revision_range) {};
-    made.onConfirmation = [](const store_confirmation &) {};
-    made.onFailure = [&failures](mono_time) { ++failures; };
-    made.onStoreRollback = [](mono_time) {};
-    return made;
+    kind_handlers handlers;
+    handlers.onList = [](const std::vector<store_object> &, store_version) {};
+    handlers.onChanges = [](const std::vector<store_change> &, revision_range) {};
+    handlers.onConfirmation = [](const store_confirmation &) {};
+    handlers.onFailure = [&failures](mono_time) { ++failures; };
+    handlers.onStoreRollback = [](mono_time) {};
+    return handlers;
 }
 
 /// @returns The number of pages requested until the list is rejected as malformed.
--- a/tests/adapter/store_refusal_test.cpp
+++ b/tests/adapter/store_refusal_test.cpp
@@ -22,9 +22,9 @@
 public:
     clock_source source() const
     {
-        clock_source made = systemClock();
-        made.mono = [this] { return now(); };
-        return made;
+        clock_source clockSource = systemClock();
+        clockSource.mono = [this] { return now(); };
+        return clockSource;
     }
 
     mono_time now() const { return mono_time(1h) + milliseconds(offsetMs.load()); }
@@ -86,10 +86,10 @@
 
 gateway::gateway_settings settingsFor(const compacting_store &store)
 {
-    gateway::gateway_settings made;
-    made.instance.text = "edge-1";
-    made.storeAddress = store.address();
-    return made;
+    gateway::gateway_settings settings;
+    settings.instance.text = "edge-1";
+    settings.storeAddress = store.address();
+    return settings;
 }
 
 /// A watch of an instance that relies on a relay. It lists the runners once and then makes no
@@ -110,24 +110,24 @@
 
     kind_handlers handlers()
     {
-        kind_handlers made;
-        made.onList = [](const std::vector<store_object> &, store_version) {};
-        made.onChanges = [](const std::vector<store_change> &, revision_range) {};
-        made.onConfirmation = [](const store_confirmation &) {};
-        made.onFailure = [this](mono_time sentAt) { failures.push_back(sentAt); };
-        made.onStoreRollback = [](mono_time) {};
-        return made;
+        kind_handlers kindHandlers;
+        kindHandlers.onList = [](const std::vector<store_object> &, store_version) {};
+        kindHandlers.onChanges = [](const std::vector<store_change> &, revision_range) {};
+        kindHandlers.onConfirmation = [](const store_confirmation &) {};
+        kindHandlers.onFailure = [this](mono_time sentAt) { failures.push_back(sentAt); };
+        kindHandlers.onStoreRollback = [](mono_time) {};
+        return kindHandlers;
     }
 
     relay_callbacks callbacks(const manual_clock &clock) const
     {
-        relay_callbacks made;
-        made.mayBeRelayed = true;
-        made.coveredUntil = [this, &clock](const kind_state &) {
+        relay_callbacks relayCallbacks;
+        relayCallbacks.mayBeRelayed = true;
+        relayCallbacks.coveredUntil = [this, &clock](const kind_state &) {
             return isCovered ? std::optional(clock.now() + 1h) : std::nullopt;
         };
-        made.isRelay = [] { return false; };
-        return made;
+        relayCallbacks.isRelay = [] { return false; };
+        return relayCallbacks;
     }
 
     bool isIdle() const { return !events.events({"store_followed_by_others", {}, {}}).empty(); }
--- a/tests/adapter/store_rollback_load_test.cpp
+++ b/tests/adapter/store_rollback_load_test.cpp
@@ -47,18 +47,19 @@
 {
     const std::string host = "127.77." + std::to_string(1 + instance / 250) + "."
             + std::to_string(1 + instance % 250);
-    gateway::gateway_settings made;
-    made.instance.text = nameOf(instance);
-    made.zone.text = std::string(1, static_cast<char>('a' + instance % 6));
+    gateway::gateway_settings settings;
+    settings.instance.text = nameOf(instance);
+    settings.zone.text = std::string(1, static_cast<char>('a' + instance % 6));
     std::uint16_t port = 21000;
     // The port after the peer port is used for store updates.
-    for (endpoint *each : {&made.callerAddress, &made.readinessAddress, &made.directoryAddress,
-                           &made.loadAddress, &made.metricsAddress, &made.peerAddress})
+    for (endpoint *each :
+         {&settings.callerAddress, &settings.readinessAddress, &settings.directoryAddress,
+          &settings.loadAddress, &settings.metricsAddress, &settings.peerAddress})
         *each = {host, port++};
-    made.sharesStoreUpdates = true;
-    made.storeAddress = store.address();
-    made.leaveSeconds = 1;
-    return made;
+    settings.sharesStoreUpdates = true;
+    settings.storeAddress = store.address();
+    settings.leaveSeconds = 1;
+    return settings;
 }
 
 std::string nameOf(const fake_store::call &one)
@@ -95,18 +96,18 @@
 call_statistics statisticsOf(const std::vector<fake_store::call> &calls,
                              steady_clock::time_point restoredAt)
 {
-    call_statistics made;
+    call_statistics statistics;
     for (const fake_store::call &one : calls) {
         if (one.isConnectionRefused) {
-            ++made.refused;
+            ++statistics.refused;
         } else if (one.receivedAt >= restoredAt) {
-            ++made.counts[nameOf(one)];
-            ++made.byBucket[nameOf(one)][(one.receivedAt - restoredAt) / bucketTime];
+            ++statistics.counts[nameOf(one)];
+            ++statistics.byBucket[nameOf(one)][(one.receivedAt - restoredAt) / bucketTime];
         }
         if (one.type == operation::Write && !one.isConnectionRefused)
-            ++made.writes[one.objectName];
+            ++statistics.writes[one.objectName];
     }
-    return made;
+    return statistics;
 }
 
 void print(const call_statistics &statistics, int instances, milliseconds registrationTime)
--- a/tests/adapter/store_rollback_stress_test.cpp
+++ b/tests/adapter/store_rollback_stress_test.cpp
@@ -169,13 +169,13 @@
         std::vector<gateway::listed_gateway> listed;
         isStarted = true;
         for (int i = 0; i < count; ++i) {
-            gateway::gateway_settings made;
-            made.instance.text = "edge-" + std::to_string(i);
-            made.zone.text = "a";
-            made.peerAddress = {"127.0.0.1", static_cast<std::uint16_t>(firstPort + 2 * i)};
-            made.sharesStoreUpdates = true;
-            made.storeAddress = store.address();
-            instances.push_back(std::make_unique<follower_fixture>(made));
+            gateway::gateway_settings settings;
+            settings.instance.text = "edge-" + std::to_string(i);
+            settings.zone.text = "a";
+            settings.peerAddress = {"127.0.0.1", static_cast<std::uint16_t>(firstPort + 2 * i)};
+            settings.sharesStoreUpdates = true;
+            settings.storeAddress = store.address();
+            instances.push_back(std::make_unique<follower_fixture>(settings));
             isStarted = isStarted && succeeded(instances.back()->follower.start());
             listed.push_back(instances.back()->entry());
         }
--- a/tests/adapter/store_rollback_test.cpp
+++ b/tests/adapter/store_rollback_test.cpp
@@ -17,31 +17,32 @@
 
 gateway::gateway_settings settingsFor(const fake_store &store)
 {
-    gateway::gateway_settings made;
-    made.instance.text = "edge-1";
-    made.zone.text = "a";
-    made.storeAddress = store.address();
-    return made;
+    gateway::gateway_settings settings;
+    settings.instance.text = "edge-1";
+    settings.zone.text = "a";
+    settings.storeAddress = store.address();
+    return settings;
 }
 
 /// Settings of a complete instance, with free ports.
 gateway::gateway_settings completeSettings(const fake_store &store)
 {
     const endpoint any{"127.0.0.1", 0};
-    gateway::gateway_settings made = settingsFor(store);
-    for (endpoint *each : {&made.callerAddress, &made.readinessAddress, &made.directoryAddress,
-                           &made.peerAddress, &made.loadAddress, &made.metricsAddress})
+    gateway::gateway_settings settings = settingsFor(store);
+    for (endpoint *each :
+         {&settings.callerAddress, &settings.readinessAddress, &settings.directoryAddress,
+          &settings.peerAddress, &settings.loadAddress, &settings.metricsAddress})
         *each = any;
-    made.leaveSeconds = 1;
-    return made;
+    settings.leaveSeconds = 1;
+    return settings;
 }
 
 /// A clock that stands still, so that nothing times out early on a loaded machine.
 clock_source frozenClock()
 {
-    clock_source made = systemClock();
-    made.mono = [] { return mono_time(1h); };
-    return made;
+    clock_source clock = systemClock();
+    clock.mono = [] { return mono_time(1h); };
+    return clock;
 }
 
 bool isUsed(const follower_fixture &one, const std::string &runner)
