--- a/include/poplarspool/gateway/limits.h
+++ b/include/poplarspool/gateway/limits.h
@@ -87,15 +87,15 @@
 /// that only have to run, urgent requests (plus their rank), and late requests (plus their rank).
 inline constexpr std::uint32_t prefilledPriority = 0;
 inline constexpr std::uint32_t urgentPriority = 1;
-inline constexpr std::uint32_t laterPriority = 6;
+inline constexpr std::uint32_t latePriority = 6;
 inline constexpr std::uint32_t maxRank = 3;
 /// A request is urgent if it is expected to start within this share of the time to its objective.
 inline constexpr double urgentShare = 0.9;
 /// Late requests are sent to an engine only if less than this share of its batch waits there and if
 /// they are expected to start within this share of their remaining time. Half of either leaves room
 /// for urgent requests and for estimates that are wrong by a factor of two.
-inline constexpr double laterRoomShare = 0.5;
-inline constexpr double laterTimeShare = 0.5;
+inline constexpr double lateRoomShare = 0.5;
+inline constexpr double lateTimeShare = 0.5;
 /// Time for which another instance's load update is valid. For instances that send less often: the
 /// number of their intervals for which it stays valid, and the maximum interval. In a large fleet,
 /// instances of other zones send every 2.5 s; if their updates expired in between, their load
@@ -226,15 +226,15 @@
 inline constexpr std::chrono::milliseconds unconfirmedEndTime = 3s;
 inline constexpr std::size_t maxUnconfirmedEnds = 256;
 /// Bits of the quarantine fingerprint in a heartbeat: heartbeats must stay short.
-inline constexpr std::uint32_t quarantineMarkBits = 24;
+inline constexpr std::uint32_t quarantineFingerprintBits = 24;
 /// Time for which another instance's fingerprint must have differed: rumors may still be in
 /// transit.
-inline constexpr std::chrono::milliseconds quarantineMarkDifferTime = 1500ms;
+inline constexpr std::chrono::milliseconds quarantineFingerprintDifferTime = 1500ms;
 /// Delay of an iteration from which the process counts as having been suspended.
 inline constexpr std::chrono::milliseconds quarantineSuspendedTime = 1s;
 /// Time without a confirmation from the store after which the instance counts as partitioned;
 /// watches wait for less.
-inline constexpr std::chrono::milliseconds quarantineCutOffTime = 6s;
+inline constexpr std::chrono::milliseconds quarantinePartitionTime = 6s;
 /// Pauses between reads of the store for crash records that this instance lacks: initial and
 /// maximum.
 inline constexpr std::chrono::milliseconds initialCrashReadPause = 1s;
@@ -304,10 +304,10 @@
 /// ended runners expire after three of their heartbeats of 1.2 s each.
 inline constexpr std::chrono::milliseconds rollbackEntryConfirmTime = 10s;
 /// Outdated entries that an instance lists for starting instances: some kilobytes in the store.
-inline constexpr std::size_t maxEntryMarks = 64;
+inline constexpr std::size_t maxOutdatedMarkers = 64;
 /// Time after the store's recovery in which entries that expired during the outage are found
 /// missing.
-inline constexpr std::chrono::milliseconds entryLapseTime = 500ms;
+inline constexpr std::chrono::milliseconds entryExpiryTime = 500ms;
 /// Gossip between gateways: interval, and time until a member is suspect. Callers cache an address
 /// for 2 s and lose 1 s on an instance that does not answer.
 inline constexpr std::chrono::milliseconds gatewayGossipInterval = 250ms;
--- a/include/poplarspool/gateway/placement.h
+++ b/include/poplarspool/gateway/placement.h
@@ -34,10 +34,10 @@
 {
     std::uint32_t open = 0; ///< Requests sent and not ended.
     std::uint32_t urgentWaiting = 0; ///< Of these, urgent ones that have not started.
-    std::uint32_t lowPriorityWaiting = 0; ///< Of these, late ones that have not started.
+    std::uint32_t lateWaiting = 0; ///< Of these, late ones that have not started.
     double urgentPrefillMs = 0; ///< Time needed for the urgent prompts that are not prefilled yet.
     /// The same for the late ones, which all urgent ones overtake.
-    double lowPriorityPrefillMs = 0;
+    double latePrefillMs = 0;
     mono_time ejectedUntil{}; ///< It failed recently: other runners are preferred until then.
     engine_pace pace; ///< Of its service and stage.
     double runMs = 0; ///< Recent mean from a request's first event to its end; 0: unknown.
@@ -84,7 +84,7 @@
 /// Whether a request can still meet its objective.
 enum class send_class {
     Urgent, ///< It can: served before late requests.
-    Later, ///< It can't, so it is a late request: served when no urgent request waits.
+    Late, ///< It can't, so it is a late request: served when no urgent request waits.
 };
 
 std::string_view nameOf(send_class urgency);
--- a/include/poplarspool/peer/load_exchange.h
+++ b/include/poplarspool/peer/load_exchange.h
@@ -23,13 +23,13 @@
     std::uint32_t runner = 0; ///< runnerKey() of its id.
     std::uint32_t open = 0; ///< Requests sent that have not ended.
     std::uint32_t urgentPrefillMs = 0; ///< Estimated prefill time of urgent requests not begun.
-    /// Estimated prefill time of low-priority requests not begun, which wait for urgent ones.
-    std::uint32_t lowPriorityPrefillMs = 0;
+    /// Estimated prefill time of late requests not begun, which wait for urgent ones.
+    std::uint32_t latePrefillMs = 0;
     /// Running total of prompt tokens that this instance has added to the runner's cache; wraps
     /// around at 2^32.
     std::uint32_t prefilledTokens = 0;
     std::uint32_t urgentWaiting = 0; ///< Urgent requests that have not begun.
-    std::uint32_t lowPriorityWaiting = 0; ///< Low-priority requests that have not begun.
+    std::uint32_t lateWaiting = 0; ///< Late requests that have not begun.
 
     bool operator==(const runner_work &) const = default;
 };
--- a/src/caller/completion_json.cpp
+++ b/src/caller/completion_json.cpp
@@ -197,8 +197,8 @@
                            valueOf(isStreamed)};
 }
 
-buffered_completion::buffered_completion(completion_metadata label, http_sink &connection)
-    : label(std::move(label)), connection(connection)
+buffered_completion::buffered_completion(completion_metadata metadata, http_sink &connection)
+    : metadata(std::move(metadata)), connection(connection)
 { }
 
 bool buffered_completion::token(std::string_view piece)
@@ -217,10 +217,10 @@
     if (result.isEnded)
         return;
     const nlohmann::json answer = {
-            {"id", "cmpl-" + label.request.text},
+            {"id", "cmpl-" + metadata.request.text},
             {"object", "text_completion"},
-            {"created", label.createdSeconds},
-            {"model", label.model},
+            {"created", metadata.createdSeconds},
+            {"model", metadata.model},
             {"choices",
              {{{"index", 0},
                {"text", text},
--- a/src/caller/completion_json.h
+++ b/src/caller/completion_json.h
@@ -43,7 +43,7 @@
 class buffered_completion final : public completion_sink
 {
 public:
-    buffered_completion(completion_metadata label, http_sink &connection);
+    buffered_completion(completion_metadata metadata, http_sink &connection);
 
     bool token(std::string_view text) override;
     void finish(const completion_summary &end) override;
@@ -55,7 +55,7 @@
     http_reply takeReply() { return std::move(reply); }
 
 private:
-    completion_metadata label;
+    completion_metadata metadata;
     http_sink &connection;
     std::string text;
     bool isTooLong = false;
--- a/src/duties/usage_update.cpp
+++ b/src/duties/usage_update.cpp
@@ -20,7 +20,7 @@
     codec.fixed(sinceMs);
     if constexpr (Codec::isDecoding) {
         if (sinceMs < 0 || sinceMs > maxWallTimeMs)
-            throw peer::bad_payload("wall clock time out of range");
+            throw peer::malformed_payload("wall clock time out of range");
         time = wall_time(milliseconds(sinceMs));
     }
 }
--- a/src/gateway/catalogue_updater.cpp
+++ b/src/gateway/catalogue_updater.cpp
@@ -70,7 +70,7 @@
 bool catalogue_updater::isInGracePeriod() const
 {
     const mono_time now = clock.mono();
-    return recoveredAt != mono_time{} && now - recoveredAt < config::entryLapseTime
+    return recoveredAt != mono_time{} && now - recoveredAt < config::entryExpiryTime
             && now < graceEndsAt;
 }
 
--- a/src/gateway/crash_table.cpp
+++ b/src/gateway/crash_table.cpp
@@ -211,7 +211,7 @@
         if (assessed.untilMs > nowMs)
             fingerprint ^= digest;
     }
-    constexpr std::uint64_t maxValue = (std::uint64_t{1} << config::quarantineMarkBits) - 1;
+    constexpr std::uint64_t maxValue = (std::uint64_t{1} << config::quarantineFingerprintBits) - 1;
     return fingerprint == 0 ? 0 : fingerprint % maxValue + 1;
 }
 
--- a/src/gateway/crash_table.h
+++ b/src/gateway/crash_table.h
@@ -54,7 +54,7 @@
     std::optional<crash_record> find(std::uint64_t digest) const;
     /// @returns A fingerprint of the set of requests in quarantine, equal for equal sets; 0 if
     /// there
-    ///          are none. It has config::quarantineMarkBits bits.
+    ///          are none. It has config::quarantineFingerprintBits bits.
     std::uint64_t fingerprintAt(std::int64_t nowMs) const;
 
 private:
--- a/src/gateway/fleet_scaler.cpp
+++ b/src/gateway/fleet_scaler.cpp
@@ -7,13 +7,14 @@
 
 namespace poplarspool::gateway {
 
-fleet_scaler::fleet_scaler(fleet_scaler_dependencies dependencies, duties::lease_store store,
+fleet_scaler::fleet_scaler(fleet_scaler_dependencies given, duties::lease_store store,
                            instance_id self, milliseconds leaseBound)
-    : tools(std::move(dependencies)),
-      lease(std::move(store), std::move(self), leaseBound, tools.clock, tools.events),
-      given(tools.metrics.counterOf("poplarspool_fleet_orders_total{end=\"taken\"}")),
-      refused(tools.metrics.counterOf("poplarspool_fleet_orders_total{end=\"refused\"}")),
-      thread("fleet", config::fleetInterval, stepFailureReporterOf(tools.events, tools.metrics),
+    : dependencies(std::move(given)),
+      lease(std::move(store), std::move(self), leaseBound, dependencies.clock, dependencies.events),
+      accepted(dependencies.metrics.counterOf("poplarspool_fleet_orders_total{end=\"taken\"}")),
+      refused(dependencies.metrics.counterOf("poplarspool_fleet_orders_total{end=\"refused\"}")),
+      thread("fleet", config::fleetInterval,
+             stepFailureReporterOf(dependencies.events, dependencies.metrics),
              [this] { runOnce(); })
 { }
 
@@ -22,14 +23,14 @@
 /// only once it has not grown for a while.
 void fleet_scaler::updateSizesSettled(const catalogue &known)
 {
-    const mono_time now = tools.clock.mono();
+    const mono_time now = dependencies.clock.mono();
     const auto regular = static_cast<std::size_t>(std::ranges::count_if(
             known.runners, [](const auto &entry) { return !entry.second->isSpot; }));
     if (regular > maxRegularSeen || changedAt == mono_time{}) {
         maxRegularSeen = regular;
         changedAt = now;
     }
-    if (now - changedAt >= config::fleetSettleTime && !sizes.empty())
+    if (now - changedAt >= config::fleetSettleTime && !targetSizes.empty())
         areSizesSettled = true;
 }
 
@@ -43,15 +44,15 @@
         return false;
     const auto checkpoint = scaling::decodeFleetCheckpoint(present->checkpoint);
     if (!checkpoint && present->version.revision != 0)
-        tools.events.emit("fleet_note_unreadable", {{"holder", present->holder.text}});
+        dependencies.events.emit("fleet_note_unreadable", {{"holder", present->holder.text}});
     if (checkpoint) {
-        const mono_time now = tools.clock.mono();
+        const mono_time now = dependencies.clock.mono();
         for (const scaling::issued_order &one : checkpoint->issued)
             capacities[{one.service, one.order.zone, one.order.isSpot}] = {
                     .ordered = one.order.wanted, .orderedAt = now};
         for (const scaling::issued_order &one : checkpoint->sizes)
-            sizes[{one.service, one.order.zone}] = one.order.wanted;
-        areSizesSettled = !sizes.empty();
+            targetSizes[{one.service, one.order.zone}] = one.order.wanted;
+        areSizesSettled = !targetSizes.empty();
     }
     isCheckpointRead = true;
     return true;
@@ -59,15 +60,15 @@
 
 void fleet_scaler::runOnce()
 {
-    const auto known = tools.publisher.current();
-    if (!known->table || !known->areRunnersKnown || !tools.isOwner()) {
+    const auto known = dependencies.publisher.current();
+    if (!known->table || !known->areRunnersKnown || !dependencies.isOwner()) {
         isCheckpointRead = areSizesSettled = false;
         capacities.clear();
-        sizes.clear();
+        targetSizes.clear();
         return;
     }
     const auto canScale = [](const service &one) { return one.scaling.has_value(); };
-    const mono_time now = tools.clock.mono();
+    const mono_time now = dependencies.clock.mono();
     if (!std::ranges::any_of(known->table->services, canScale) || now < nextAttemptAt)
         return;
     if (!readCheckpoint()) {
@@ -101,14 +102,14 @@
         ++(target.isSpot ? zone.spot : zone.regular);
     }
     // Include zones that have lost all runners.
-    for (const auto &entry : sizes) {
+    for (const auto &entry : targetSizes) {
         if (entry.first.first == one.id.text)
             zones[entry.first.second];
     }
     std::vector<scaling::zone_fleet> found;
     for (auto &[id, zone] : zones) {
         zone.zone = id;
-        std::uint32_t &size = sizes[{one.id.text, id}];
+        std::uint32_t &size = targetSizes[{one.id.text, id}];
         if (!areSizesSettled)
             size = std::max(size, zone.regular);
         zone.size = size;
@@ -116,7 +117,7 @@
         const capacity_state &spot = capacities[{one.id.text, id, true}];
         zone.regularOrdered = capacities[{one.id.text, id, false}].ordered;
         zone.spotOrdered = spot.ordered;
-        zone.isSpotUnavailable = tools.clock.mono() < spot.noCapacityUntil;
+        zone.isSpotUnavailable = dependencies.clock.mono() < spot.noCapacityUntil;
         found.push_back(zone);
     }
     return found;
@@ -127,7 +128,7 @@
 void fleet_scaler::expireUnfilledOrders(const scaling::fleet_traits &traits,
                                         const std::string &service, const scaling::zone_fleet &zone)
 {
-    const mono_time now = tools.clock.mono();
+    const mono_time now = dependencies.clock.mono();
     const milliseconds timeout = traits.bootTime + config::fleetOrderTimeout;
     for (const bool isSpot : {false, true}) {
         capacity_state &state = capacities[{service, zone.zone, isSpot}];
@@ -168,28 +169,28 @@
             checkpoint.issued.push_back(
                     {std::get<0>(key), {std::get<1>(key), std::get<2>(key), *state.ordered}});
     }
-    for (const auto &[key, size] : sizes)
+    for (const auto &[key, size] : targetSizes)
         checkpoint.sizes.push_back({key.first, {key.second, false, size}});
     return checkpoint;
 }
 
 void fleet_scaler::placeOrder(const scaling::issued_order &order, const duties::lease_term &term)
 {
-    const auto placed = tools.sink.placeOrder(order, term);
+    const auto placed = dependencies.sink.placeOrder(order, term);
     capacity_state &state = capacities[{order.service, order.order.zone, order.order.isSpot}];
-    const mono_time now = tools.clock.mono();
+    const mono_time now = dependencies.clock.mono();
     if (succeeded(placed))
         state = {.ordered = order.order.wanted, .orderedAt = now};
     else if (errorOf(placed).code == error_code::Conflict)
         state.noCapacityUntil = now + config::capacityBackoffTime;
-    (succeeded(placed) ? given : refused).add();
-    tools.events.emit("fleet_order",
-                      {{"service", order.service},
-                       {"zone", order.order.zone.text},
-                       {"spot", order.order.isSpot ? "yes" : "no"},
-                       {"wanted", std::to_string(order.order.wanted)},
-                       {"fence", std::to_string(term.fence)},
-                       {"fault", succeeded(placed) ? "" : errorOf(placed).message}});
+    (succeeded(placed) ? accepted : refused).add();
+    dependencies.events.emit("fleet_order",
+                             {{"service", order.service},
+                              {"zone", order.order.zone.text},
+                              {"spot", order.order.isSpot ? "yes" : "no"},
+                              {"wanted", std::to_string(order.order.wanted)},
+                              {"fence", std::to_string(term.fence)},
+                              {"fault", succeeded(placed) ? "" : errorOf(placed).message}});
 }
 
 } // namespace poplarspool::gateway
--- a/src/gateway/fleet_scaler.h
+++ b/src/gateway/fleet_scaler.h
@@ -30,8 +30,8 @@
 class fleet_scaler
 {
 public:
-    fleet_scaler(fleet_scaler_dependencies dependencies, duties::lease_store store,
-                 instance_id self, milliseconds leaseBound);
+    fleet_scaler(fleet_scaler_dependencies given, duties::lease_store store, instance_id self,
+                 milliseconds leaseBound);
 
     void start() { thread.start(); }
     void requestStop() { thread.requestStop(); }
@@ -64,14 +64,14 @@
     scaling::fleet_checkpoint
     checkpointWith(const std::vector<scaling::issued_order> &orders) const;
 
-    const fleet_scaler_dependencies tools;
+    const fleet_scaler_dependencies dependencies;
     duties::duty_lease lease;
-    counter &given; ///< Orders that the platform accepted.
+    counter &accepted; ///< Orders that the platform accepted.
     counter &refused; ///< All others: refused, not sent, or of unknown outcome.
     bool isCheckpointRead = false;
     std::map<capacity_key, capacity_state> capacities;
     /// Target sizes, by service and zone.
-    std::map<std::pair<std::string, zone_id>, std::uint32_t> sizes;
+    std::map<std::pair<std::string, zone_id>, std::uint32_t> targetSizes;
     bool areSizesSettled = false; ///< If false, the fleet is still starting and sizes may grow.
     std::size_t maxRegularSeen = 0;
     mono_time changedAt{}; ///< When the maximum number of regular runners last grew.
--- a/src/gateway/placement.cpp
+++ b/src/gateway/placement.cpp
@@ -160,7 +160,7 @@
                     * slowness
             + copyMs;
     const double aheadMs = at.load.urgentPrefillMs
-            + (inputs.urgency == send_class::Later ? at.load.lowPriorityPrefillMs : 0);
+            + (inputs.urgency == send_class::Late ? at.load.latePrefillMs : 0);
     made.aheadMs = aheadMs * slowness;
     made.startMs = made.aheadMs + made.ownMs + at.load.pace.firstTokenMs;
     const bool isColdElsewhere = cached < query.sharedTokens && inputs.preferred != &at;
@@ -192,8 +192,7 @@
 {
     const double batch = std::max(query.engine->batch, 1U);
     const runner_load &load = one.load;
-    const double ahead =
-            load.open - (urgency == send_class::Urgent ? load.lowPriorityWaiting : 0.0);
+    const double ahead = load.open - (urgency == send_class::Urgent ? load.lateWaiting : 0.0);
     return std::max(0.0, ahead + 1 - batch) * load.runMs / batch;
 }
 
@@ -283,7 +282,7 @@
     chosen.cacheSource = best.copyFrom != nullptr ? best.copyFrom->target : nullptr;
     chosen.serving = serving->target;
     chosen.slotWaitMs = slotWaitMs(query, *serving, urgency);
-    chosen.waitingThere = serving->load.urgentWaiting + serving->load.lowPriorityWaiting;
+    chosen.waitingThere = serving->load.urgentWaiting + serving->load.lateWaiting;
     chosen.prefillMs = best.ownMs;
     chosen.aheadMs = best.aheadMs;
     chosen.expectedStartMs = best.startMs + chosen.slotWaitMs;
@@ -294,9 +293,9 @@
 /// other request waits.
 bool canStartSoon(const placement_query &query, const placement &later)
 {
-    const double room = std::max(1.0, config::laterRoomShare * query.engine->batch);
+    const double room = std::max(1.0, config::lateRoomShare * query.engine->batch);
     const double waitMs = later.aheadMs + later.slotWaitMs;
-    return later.waitingThere < room && waitMs < query.timeLeftMs * config::laterTimeShare;
+    return later.waitingThere < room && waitMs < query.timeLeftMs * config::lateTimeShare;
 }
 
 /// On the heaviest days, more prompts arrive than the engines can prefill in time. Served in the
@@ -330,7 +329,7 @@
     placement urgent = cheapestPlacement(query, engines, send_class::Urgent);
     if (urgent.expectedStartMs <= query.objectiveLeftMs * config::urgentShare)
         return urgent;
-    placement later = cheapestPlacement(query, engines, send_class::Later);
+    placement later = cheapestPlacement(query, engines, send_class::Late);
     if (query.hasBegun || canStartSoon(query, later))
         return later;
     return no_placement{false, std::max(urgent.expectedStartMs - query.objectiveLeftMs, 1.0)};
--- a/src/gateway/prefill_handoff.cpp
+++ b/src/gateway/prefill_handoff.cpp
@@ -116,7 +116,7 @@
 }
 
 /// KV cache that no engine takes over occupies the engine's memory until it expires.
-void request_proxy::freeHandleRequest(const runner &prefillEngine, const std::string &handle)
+void request_proxy::freeHandle(const runner &prefillEngine, const std::string &handle)
 {
     const auto freed =
             callRunner(context.connections, context.names, prefillEngine,
--- a/src/gateway/quarantine_manager.cpp
+++ b/src/gateway/quarantine_manager.cpp
@@ -11,11 +11,10 @@
 
 namespace poplarspool::gateway {
 
-quarantine_manager::quarantine_manager(quarantine_dependencies dependencies,
-                                       crash_record_store store, instance_id self,
-                                       clock_source clock, metrics_registry &metrics,
-                                       journal &events)
-    : tools(std::move(dependencies)), store(std::move(store)), self(std::move(self)),
+quarantine_manager::quarantine_manager(quarantine_dependencies given, crash_record_store store,
+                                       instance_id self, clock_source clock,
+                                       metrics_registry &metrics, journal &events)
+    : dependencies(std::move(given)), store(std::move(store)), self(std::move(self)),
       clock(std::move(clock)), events(events),
       endsSeen(metrics.counterOf("poplarspool_gateway_runner_ends_total"))
 { }
@@ -61,7 +60,8 @@
 /// runners may abort responses. Refused connections do show it.
 void quarantine_manager::recordConnectionLost(std::uint64_t digest, const runner &target)
 {
-    if (table.hasEnded(incarnationKeyOf(target)) || tools.isConnectionRefused(target.address))
+    if (table.hasEnded(incarnationKeyOf(target))
+        || dependencies.isConnectionRefused(target.address))
         countEnd(digest, target);
     else
         recordUnconfirmed(digest, target);
@@ -89,7 +89,8 @@
         const std::uint64_t key = incarnationKeyOf(each.target);
         const auto [known, isNew] = hasEnded.try_emplace(key, false);
         if (isNew)
-            known->second = table.hasEnded(key) || tools.isConnectionRefused(each.target.address);
+            known->second =
+                    table.hasEnded(key) || dependencies.isConnectionRefused(each.target.address);
         if (known->second)
             countEnd(each.digest, each.target);
         else if (clock.mono() - each.seenAt < config::unconfirmedEndTime)
@@ -219,7 +220,7 @@
     resolveUnconfirmed();
     sendPending();
     const std::uint64_t fingerprint = table.fingerprintAt(nowMs());
-    tools.setFingerprint(fingerprint);
+    dependencies.setFingerprint(fingerprint);
     if (fingerprint != lastFingerprint)
         readInterval = config::initialCrashReadPause;
     lastFingerprint = fingerprint;
@@ -259,7 +260,7 @@
             rumors.push_back(std::move(one));
     }
     for (peer::rumor &one : rumors)
-        tools.spreadRumor(std::move(one));
+        dependencies.spreadRumor(std::move(one));
 }
 
 /// @returns Whether this instance was suspended or partitioned until now. It may have missed rumors
@@ -269,7 +270,8 @@
     const mono_time now = clock.mono();
     const bool wasSuspended = lastRunAt != mono_time{}
             && now - lastRunAt > config::quarantineInterval + config::quarantineSuspendedTime;
-    const bool isPartitioned = now - tools.storeConfirmedAt() > config::quarantineCutOffTime;
+    const bool isPartitioned =
+            now - dependencies.storeConfirmedAt() > config::quarantinePartitionTime;
     const bool isBack = std::exchange(wasPartitioned, isPartitioned) && !isPartitioned;
     return wasSuspended || isBack;
 }
@@ -291,7 +293,7 @@
 /// @returns Whether the quarantine of another instance has differed from the own one for a while.
 bool quarantine_manager::hasOtherFingerprint()
 {
-    const auto others = tools.fingerprints();
+    const auto others = dependencies.fingerprints();
     const bool differs = std::ranges::any_of(others, [this](std::uint64_t fingerprint) {
         return fingerprint != 0 && fingerprint != lastFingerprint;
     });
@@ -302,7 +304,7 @@
     const mono_time now = clock.mono();
     if (differsSince == mono_time{})
         differsSince = now;
-    return now - differsSince >= config::quarantineMarkDifferTime;
+    return now - differsSince >= config::quarantineFingerprintDifferTime;
 }
 
 void quarantine_manager::readStore()
@@ -319,7 +321,7 @@
     for (const crash_record &one : stored->records)
         logQuarantine(one.digest);
     lastFingerprint = table.fingerprintAt(nowMs());
-    tools.setFingerprint(lastFingerprint);
+    dependencies.setFingerprint(lastFingerprint);
 }
 
 /// Only instances that have observed an end themselves write it, so that not all write at once.
--- a/src/gateway/quarantine_manager.h
+++ b/src/gateway/quarantine_manager.h
@@ -39,9 +39,8 @@
 class quarantine_manager
 {
 public:
-    quarantine_manager(quarantine_dependencies dependencies, crash_record_store store,
-                       instance_id self, clock_source clock, metrics_registry &metrics,
-                       journal &events);
+    quarantine_manager(quarantine_dependencies given, crash_record_store store, instance_id self,
+                       clock_source clock, metrics_registry &metrics, journal &events);
     ~quarantine_manager();
 
     void start();
@@ -105,7 +104,7 @@
     bool isOwnRecordMissingIn(const crash_record_list &list);
     void logQuarantine(std::uint64_t digest) const;
 
-    const quarantine_dependencies tools;
+    const quarantine_dependencies dependencies;
     const crash_record_store store;
     const instance_id self;
     const clock_source clock;
--- a/src/gateway/request_proxy.cpp
+++ b/src/gateway/request_proxy.cpp
@@ -105,7 +105,7 @@
             // another may have less load.
             place = findPlacement(prefillEngine.get());
             if (isCallerGone() || !place || isQuarantined()) {
-                freeHandleRequest(*prefillEngine, *handle);
+                freeHandle(*prefillEngine, *handle);
                 continue;
             }
             place->prefill = prefillEngine;
--- a/src/gateway/request_proxy.h
+++ b/src/gateway/request_proxy.h
@@ -116,7 +116,7 @@
     // prefill_handoff.cpp: an engine that only prefills the prompt.
     std::optional<std::string> runPrefill(const placement &place);
     std::optional<http_reply> sendPrefill(const placement &place, runner_table::open_send &record);
-    void freeHandleRequest(const runner &prefillEngine, const std::string &handle);
+    void freeHandle(const runner &prefillEngine, const std::string &handle);
 
     // runner_try.cpp: one send and its answer.
     try_end tryAt(const placement &place, const std::string &kvSource);
--- a/src/gateway/rollback_filter.cpp
+++ b/src/gateway/rollback_filter.cpp
@@ -43,7 +43,7 @@
 /// number would be rejected by each instance that starts from then on, so it is not marked.
 void rollback_filter::addOwnMarker(const runner &entry)
 {
-    if (!entry.isDraining && entry.writes > 0 && ownMarkers.size() < config::maxEntryMarks)
+    if (!entry.isDraining && entry.writes > 0 && ownMarkers.size() < config::maxOutdatedMarkers)
         ownMarkers.push_back({entry.id, entry.startedAtMs, entry.writes});
 }
 
--- a/src/gateway/runner_table.cpp
+++ b/src/gateway/runner_table.cpp
@@ -50,7 +50,7 @@
 
 runner_table::open_send::open_send(runner_table &table, const runner_id &target, double prefillMs,
                                    send_class urgency)
-    : ledger(table), target(peer::runnerKey(target)), prefillMs(prefillMs), urgency(urgency),
+    : table(table), target(peer::runnerKey(target)), prefillMs(prefillMs), urgency(urgency),
       sentAt(table.clock.mono())
 {
     table.opened(*this);
@@ -58,15 +58,15 @@
 
 runner_table::open_send::~open_send()
 {
-    ledger.ended(*this);
+    table.ended(*this);
 }
 
 bool runner_table::open_send::recordStart()
 {
     if (startedAt != mono_time{})
         return false;
-    startedAt = ledger.clock.mono();
-    ledger.started(*this);
+    startedAt = table.clock.mono();
+    table.started(*this);
     return true;
 }
 
@@ -92,21 +92,21 @@
 
 runner_table::waiting_work &runner_table::work_sum::of(send_class urgency)
 {
-    return urgency == send_class::Urgent ? urgent : later;
+    return urgency == send_class::Urgent ? urgent : late;
 }
 
 void runner_table::work_sum::add(const peer::runner_work &update)
 {
     open += update.open;
     urgent.add(update.urgentWaiting, update.urgentPrefillMs);
-    later.add(update.lowPriorityWaiting, update.lowPriorityPrefillMs);
+    late.add(update.lateWaiting, update.latePrefillMs);
 }
 
 void runner_table::work_sum::subtract(const peer::runner_work &update)
 {
     open -= std::min(open, update.open);
     urgent.subtract(update.urgentWaiting, update.urgentPrefillMs);
-    later.subtract(update.lowPriorityWaiting, update.lowPriorityPrefillMs);
+    late.subtract(update.lateWaiting, update.latePrefillMs);
 }
 
 void runner_table::opened(const open_send &sent)
@@ -220,30 +220,30 @@
     startedAtMs = newStartMs;
 }
 
-void runner_table::runner_record::use(std::uint32_t chain, std::uint32_t tokens, bool isRead)
+void runner_table::runner_record::use(std::uint32_t chain, std::uint32_t tokens, bool isPrefilled)
 {
     if (!holds(chain)) {
         tokensIn += tokens;
         ownTokensIn += tokens;
-        cached[chain].isRead = false;
+        cached[chain].isPrefilled = false;
     }
     cached_part &part = cached[chain];
     part.usedAt = tokensIn;
-    part.isRead = part.isRead || isRead;
+    part.isPrefilled = part.isPrefilled || isPrefilled;
 }
 
 void runner_table::countCachedTokens(const runner_record &entry,
                                      const std::vector<prompt_part> &prompt,
                                      placement_candidate &into)
 {
-    bool isRead = true;
+    bool isPrefilled = true;
     for (const prompt_part &part : prompt) {
         const auto chain = static_cast<std::uint32_t>(part.chain);
         if (!entry.holds(chain))
             return;
-        isRead = isRead && entry.cached.at(chain).isRead;
+        isPrefilled = isPrefilled && entry.cached.at(chain).isPrefilled;
         into.cachedTokens += part.tokens;
-        into.copyableTokens += isRead ? part.tokens : 0;
+        into.copyableTokens += isPrefilled ? part.tokens : 0;
     }
 }
 
@@ -280,9 +280,9 @@
             const work_sum &others = entry.others;
             one.load.open = own.open + others.open;
             one.load.urgentWaiting = own.urgent.count + others.urgent.count;
-            one.load.lowPriorityWaiting = own.later.count + others.later.count;
+            one.load.lateWaiting = own.late.count + others.late.count;
             one.load.urgentPrefillMs = own.urgent.prefillMs + others.urgent.prefillMs;
-            one.load.lowPriorityPrefillMs = own.later.prefillMs + others.later.prefillMs;
+            one.load.latePrefillMs = own.late.prefillMs + others.late.prefillMs;
             one.load.runMs = entry.runMs;
             one.load.ejectedUntil = entry.ejectedUntil;
             one.isMisdirected =
@@ -330,9 +330,9 @@
             continue;
         sendsLeft -= std::min(sendsLeft, 1U);
         update.work.push_back({key, own.open, static_cast<std::uint32_t>(own.urgent.prefillMs),
-                               static_cast<std::uint32_t>(own.later.prefillMs),
+                               static_cast<std::uint32_t>(own.late.prefillMs),
                                static_cast<std::uint32_t>(entry.ownTokensIn), own.urgent.count,
-                               own.later.count});
+                               own.late.count});
     }
     std::deque<cached_update> &waiting = pendingUpdates[index];
     const std::size_t count = std::min(waiting.size(), config::maxCachedPrefixes);
@@ -370,7 +370,7 @@
         const bool wasHeld = runnerEntry.holds(one.prefixHash);
         cached_part &part = runnerEntry.cached[one.prefixHash];
         part.usedAt = runnerEntry.tokensIn;
-        part.isRead = one.isPrefilled || (wasHeld && part.isRead);
+        part.isPrefilled = one.isPrefilled || (wasHeld && part.isPrefilled);
     }
 }
 
@@ -414,14 +414,15 @@
 }
 
 /// @attention The caller must hold `guard`.
-runner_table::runner_record &
-runner_table::useParts(const runner_id &target, const std::vector<prompt_part> &prompt, bool isRead)
+runner_table::runner_record &runner_table::useParts(const runner_id &target,
+                                                    const std::vector<prompt_part> &prompt,
+                                                    bool isPrefilled)
 {
     const std::uint32_t runner = peer::runnerKey(target);
     runner_record &entry = records[runner];
     for (const prompt_part &part : prompt)
-        entry.use(static_cast<std::uint32_t>(part.chain), part.tokens, isRead);
-    queueCachedUpdate(runner, prompt, isRead);
+        entry.use(static_cast<std::uint32_t>(part.chain), part.tokens, isPrefilled);
+    queueCachedUpdate(runner, prompt, isPrefilled);
     return entry;
 }
 
@@ -444,13 +445,13 @@
 
 /// @attention The caller must hold `guard`.
 void runner_table::queueCachedUpdate(std::uint32_t runner, const std::vector<prompt_part> &prompt,
-                                     bool isRead)
+                                     bool isPrefilled)
 {
     // The last part belongs to this request alone: no other request will need it.
     for (std::size_t i = 0; i + 1 < prompt.size(); ++i) {
         const auto chain = static_cast<std::uint32_t>(prompt[i].chain);
         for (std::deque<cached_update> &waiting : pendingUpdates) {
-            waiting.push_back({{runner, chain, isRead}, config::updateRepeats});
+            waiting.push_back({{runner, chain, isPrefilled}, config::updateRepeats});
             // If a zone has no other members, its queue is never drained: without a bound, an
             // instance alone in its zone would queue updates until it runs out of memory. The
             // oldest updates are the least useful.
--- a/src/gateway/runner_table.h
+++ b/src/gateway/runner_table.h
@@ -58,7 +58,7 @@
     private:
         friend class runner_table;
 
-        runner_table &ledger;
+        runner_table &table;
         const std::uint32_t target;
         const double prefillMs;
         const send_class urgency;
@@ -99,7 +99,7 @@
     struct cached_part
     {
         std::uint64_t usedAt = 0; ///< tokensIn at its last use.
-        bool isRead = false; ///< Prefilled, so that other engines can copy it.
+        bool isPrefilled = false; ///< Prefilled, so that other engines can copy it.
     };
 
     /// Requests of one class that have not started, and the prefill time of their prompts.
@@ -117,7 +117,7 @@
     {
         std::uint32_t open = 0;
         waiting_work urgent;
-        waiting_work later;
+        waiting_work late;
 
         waiting_work &of(send_class urgency);
         void add(const peer::runner_work &update);
@@ -150,7 +150,7 @@
 
         bool holds(std::uint32_t chain) const;
         void beginIncarnation(std::uint64_t newStartMs);
-        void use(std::uint32_t chain, std::uint32_t tokens, bool isRead);
+        void use(std::uint32_t chain, std::uint32_t tokens, bool isPrefilled);
     };
 
     struct peer_record
@@ -174,9 +174,9 @@
                                   const std::vector<prompt_part> &prompt,
                                   placement_candidate &into);
     runner_record &useParts(const runner_id &target, const std::vector<prompt_part> &prompt,
-                            bool isRead);
+                            bool isPrefilled);
     void queueCachedUpdate(std::uint32_t runner, const std::vector<prompt_part> &prompt,
-                           bool isRead);
+                           bool isPrefilled);
     void subtract(const peer_record &update);
     void expireSilentPeers(mono_time now);
     void estimateSlowness(std::vector<placement_candidate> &candidates, mono_time now);
--- a/src/gateway/runner_try.cpp
+++ b/src/gateway/runner_try.cpp
@@ -30,7 +30,7 @@
     const std::uint32_t given =
             owner != nullptr ? owner->rank.value_or(selectedRoute->rank) : selectedRoute->rank;
     const std::uint32_t rank = std::min(given, config::maxRank);
-    return (urgency == send_class::Urgent ? config::urgentPriority : config::laterPriority) + rank;
+    return (urgency == send_class::Urgent ? config::urgentPriority : config::latePriority) + rank;
 }
 
 request_proxy::try_end request_proxy::tryAt(const placement &place, const std::string &kvSource)
@@ -65,7 +65,7 @@
              {"left_ms", std::to_string(timeLeft().count())}});
     const bool isTaken = end == try_end::Answered || end == try_end::Lost || hasBegun;
     if (place.prefill && !isTaken)
-        freeHandleRequest(*place.prefill, kvSource.substr(kvSource.find('/') + 1));
+        freeHandle(*place.prefill, kvSource.substr(kvSource.find('/') + 1));
     return end;
 }
 
--- a/src/gateway/stage_manager.cpp
+++ b/src/gateway/stage_manager.cpp
@@ -7,18 +7,19 @@
 
 namespace poplarspool::gateway {
 
-stage_manager::stage_manager(stage_manager_dependencies dependencies, duties::lease_store store,
+stage_manager::stage_manager(stage_manager_dependencies given, duties::lease_store store,
                              instance_id self, milliseconds leaseBound)
-    : tools(std::move(dependencies)), self(std::move(self)),
-      lease(std::move(store), this->self, leaseBound, this->tools.clock, this->tools.events),
-      thread("stages", config::stageInterval, this->tools.faults, [this] { runOnce(); })
+    : dependencies(std::move(given)), self(std::move(self)),
+      lease(std::move(store), this->self, leaseBound, this->dependencies.clock,
+            this->dependencies.events),
+      thread("stages", config::stageInterval, this->dependencies.faults, [this] { runOnce(); })
 { }
 
 /// While a fleet starts, its runners register one after the other, and a split of the first few
 /// would differ from that of all. Draining runners are not counted.
 bool stage_manager::isFleetSettled(const catalogue &known)
 {
-    const mono_time now = tools.clock.mono();
+    const mono_time now = dependencies.clock.mono();
     const auto serving = static_cast<std::size_t>(std::ranges::count_if(
             known.runners, [](const auto &entry) { return !entry.second->isDraining; }));
     if (serving != servingCount || changedAt == mono_time{}) {
@@ -30,9 +31,9 @@
 
 void stage_manager::runOnce()
 {
-    const auto known = tools.publisher.current();
+    const auto known = dependencies.publisher.current();
     const bool isSettled = isFleetSettled(*known);
-    if (!known->table || !known->areRunnersKnown || !tools.isOwner()) {
+    if (!known->table || !known->areRunnersKnown || !dependencies.isOwner()) {
         planStates.clear();
         return;
     }
@@ -49,7 +50,7 @@
 /// restarted. An order that was lost is discarded after a timeout, so that it can be sent again.
 void stage_manager::forgetSettledOrders(const catalogue &known)
 {
-    const mono_time now = tools.clock.mono();
+    const mono_time now = dependencies.clock.mono();
     std::erase_if(pendingOrders, [&](const auto &entry) {
         const auto found = known.runners.find(entry.first);
         return found == known.runners.end() || found->second->stage == entry.second.wanted
@@ -61,9 +62,9 @@
 std::vector<stage_engine> stage_manager::enginesOf(const catalogue &known, const service &engines)
 {
     std::vector<stage_engine> found;
-    const mono_time now = tools.clock.mono();
+    const mono_time now = dependencies.clock.mono();
     for (const placement_candidate &one :
-         tools.ledger.candidatesOf(known, engines.id, &*engines.engine, {}, {})) {
+         dependencies.runnerTable.candidatesOf(known, engines.id, &*engines.engine, {}, {})) {
         const runner &target = *one.target;
         // An engine without a stage does all work and refuses orders to change stage.
         if (target.isDraining || target.retainedUntil <= now || target.stage == engine_stage::None)
@@ -83,7 +84,7 @@
 {
     const std::vector<stage_engine> seen = enginesOf(known, engines);
     stage_plan_state &state = planStates[engines.id];
-    state = updateMeanRunning(state, seen, tools.clock.mono());
+    state = updateMeanRunning(state, seen, dependencies.clock.mono());
     const std::vector<stage_change> changes = dueChanges(seen, *engines.engine, state);
     if (changes.empty())
         return;
@@ -104,44 +105,46 @@
     if (found == known.runners.end())
         return;
     const runner &target = *found->second;
-    const auto isInTerm = [&] { return tools.clock.mono() < term.endsAt; };
+    const auto isInTerm = [&] { return dependencies.clock.mono() < term.endsAt; };
     const auto timeLeft = [&] {
         const auto left =
-                std::chrono::duration_cast<milliseconds>(term.endsAt - tools.clock.mono());
+                std::chrono::duration_cast<milliseconds>(term.endsAt - dependencies.clock.mono());
         return std::min(left, config::stageCallTimeout);
     };
     if (timeLeft() <= milliseconds::zero())
         return;
-    const auto report = callRunner(tools.connections, tools.names, target,
-                                   tools.names.reportRequest(), timeLeft());
-    const auto state = succeeded(report) ? tools.names.parseReport(valueOf(report).body)
+    const auto report = callRunner(dependencies.connections, dependencies.names, target,
+                                   dependencies.names.reportRequest(), timeLeft());
+    const auto state = succeeded(report) ? dependencies.names.parseReport(valueOf(report).body)
                                          : std::optional<engine_report>();
     if (!state || state->isChanging || timeLeft() <= milliseconds::zero()) {
-        tools.events.emit("stage_order_skipped",
-                          {{"runner", target.id.text},
-                           {"reason",
-                            !state                      ? "engine gave no report"
-                                    : state->isChanging ? "stage change in progress"
-                                                        : "lease term expired"}});
+        dependencies.events.emit("stage_order_skipped",
+                                 {{"runner", target.id.text},
+                                  {"reason",
+                                   !state                      ? "engine gave no report"
+                                           : state->isChanging ? "stage change in progress"
+                                                               : "lease term expired"}});
         return;
     }
     const engine_order wanted{change.wanted, self, term.fence, state->ordersTaken};
     // Recorded before it is sent: even if the call fails, the engine may have taken the order.
-    pendingOrders[target.id] = {change.wanted, tools.clock.mono(), target.startedAtMs};
-    const auto reply = callRunner(tools.connections, tools.names, target,
-                                  tools.names.stageOrderRequest(wanted), timeLeft(), isInTerm);
+    pendingOrders[target.id] = {change.wanted, dependencies.clock.mono(), target.startedAtMs};
+    const auto reply =
+            callRunner(dependencies.connections, dependencies.names, target,
+                       dependencies.names.stageOrderRequest(wanted), timeLeft(), isInTerm);
     const bool wasNotSent = !succeeded(reply) && errorOf(reply).ran == verdict::NotRun;
     if (wasNotSent)
         pendingOrders.erase(target.id);
     else
-        tools.orders.add();
-    tools.events.emit("stage_order",
-                      {{"runner", target.id.text},
-                       {"wanted", std::string(nameOf(change.wanted))},
-                       {"fence", std::to_string(term.fence)},
-                       {"orders_taken", std::to_string(state->ordersTaken)},
-                       {"status", succeeded(reply) ? std::to_string(valueOf(reply).status) : ""},
-                       {"fault", succeeded(reply) ? "" : errorOf(reply).message}});
+        dependencies.orders.add();
+    dependencies.events.emit(
+            "stage_order",
+            {{"runner", target.id.text},
+             {"wanted", std::string(nameOf(change.wanted))},
+             {"fence", std::to_string(term.fence)},
+             {"orders_taken", std::to_string(state->ordersTaken)},
+             {"status", succeeded(reply) ? std::to_string(valueOf(reply).status) : ""},
+             {"fault", succeeded(reply) ? "" : errorOf(reply).message}});
 }
 
 } // namespace poplarspool::gateway
--- a/src/gateway/stage_manager.h
+++ b/src/gateway/stage_manager.h
@@ -16,7 +16,7 @@
 struct stage_manager_dependencies
 {
     const catalogue_publisher &publisher;
-    runner_table &ledger;
+    runner_table &runnerTable;
     connection_pool &connections;
     const dialect &names;
     const clock_source clock;
@@ -33,8 +33,8 @@
 class stage_manager
 {
 public:
-    stage_manager(stage_manager_dependencies dependencies, duties::lease_store store,
-                  instance_id self, milliseconds leaseBound);
+    stage_manager(stage_manager_dependencies given, duties::lease_store store, instance_id self,
+                  milliseconds leaseBound);
 
     void start() { thread.start(); }
     void requestStop() { thread.requestStop(); }
@@ -60,7 +60,7 @@
     void placeOrder(const catalogue &known, const stage_change &change,
                     const duties::lease_term &term);
 
-    const stage_manager_dependencies tools;
+    const stage_manager_dependencies dependencies;
     const instance_id self;
     duties::duty_lease lease;
     std::map<runner_id, pending_order> pendingOrders;
--- a/src/node/freshness.cpp
+++ b/src/node/freshness.cpp
@@ -71,7 +71,7 @@
         if (!other || other->appliedVersion < known.version)
             return false;
     }
-    if (known.sinceAsked > config::maxFreshAge + config::freshMargin)
+    if (known.sinceFirstQuery > config::maxFreshAge + config::freshMargin)
         return true;
     return std::none_of(
             known.departed.begin(), known.departed.end(),
--- a/src/node/freshness.h
+++ b/src/node/freshness.h
@@ -42,7 +42,7 @@
 struct acknowledgements
 {
     std::uint64_t version = 0;
-    milliseconds sinceAsked{0}; ///< Time since this instance first queried that version.
+    milliseconds sinceFirstQuery{0}; ///< Time since this instance first queried that version.
     std::vector<policy::member> members;
     std::vector<platform::listed_instance> listed;
     std::vector<departed_member> departed;
--- a/src/node/membership.cpp
+++ b/src/node/membership.cpp
@@ -54,7 +54,7 @@
     const mono_time since = firstQueriedAt.try_emplace(version, now).first->second;
     acknowledgements known;
     known.version = version;
-    known.sinceAsked = std::chrono::duration_cast<milliseconds>(now - since);
+    known.sinceFirstQuery = std::chrono::duration_cast<milliseconds>(now - since);
     known.members = gossip.members();
     known.listed = listed;
     known.departed = departed(known.members);
--- a/src/peer/call_wire.cpp
+++ b/src/peer/call_wire.cpp
@@ -54,7 +54,7 @@
     std::uint32_t retryAfter = 0;
     in.small(retryAfter);
     if (failure.code > error_code::Internal || failure.ran > verdict::MayHaveRun)
-        throw bad_payload("unknown error code or verdict");
+        throw malformed_payload("unknown error code or verdict");
     if (retryAfter > 0)
         failure.retryAfter = milliseconds(retryAfter - 1);
     return failure;
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -55,8 +55,8 @@
 void encoder::checkCount(std::size_t count, std::size_t maxCount)
 {
     if (count > maxCount)
-        throw bad_payload("too long to send: " + std::to_string(count) + " (limit "
-                          + std::to_string(maxCount) + ")");
+        throw malformed_payload("too long to send: " + std::to_string(count) + " (limit "
+                                + std::to_string(maxCount) + ")");
 }
 
 decoder::decoder(std::string_view bytes)
@@ -73,12 +73,12 @@
         const std::uint64_t bits = byte & varintMask;
         const int shift = index * varintBits;
         if ((bits << shift) >> shift != bits)
-            throw bad_payload("varint exceeds 64 bits");
+            throw malformed_payload("varint exceeds 64 bits");
         value |= bits << shift;
         if ((byte & varintMore) == 0)
             return value;
     }
-    throw bad_payload("varint exceeds 10 bytes");
+    throw malformed_payload("varint exceeds 10 bytes");
 }
 
 void decoder::text(std::string &value, std::size_t maxBytes)
@@ -92,14 +92,14 @@
 {
     const std::uint64_t claimed = varint();
     if (claimed > maxCount || claimed > left() / minBytesEach)
-        throw bad_payload("count exceeds its bound or the payload");
+        throw malformed_payload("count exceeds its bound or the payload");
     return static_cast<std::size_t>(claimed);
 }
 
 void decoder::finish() const
 {
     if (left() != 0)
-        throw bad_payload("trailing bytes");
+        throw malformed_payload("trailing bytes");
 }
 
 } // namespace poplarspool::peer
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -17,7 +17,7 @@
 
 /// Thrown for a payload that violates the format or a bound. Callers of encoder and decoder turn
 /// it into a result; it never leaves the library.
-struct bad_payload : std::runtime_error
+struct malformed_payload : std::runtime_error
 {
     using std::runtime_error::runtime_error;
 };
@@ -100,7 +100,7 @@
         encoder out;
         write(out);
         return out.take();
-    } catch (const bad_payload &fault) {
+    } catch (const malformed_payload &fault) {
         return notRun(error_code::TooLarge, fault.what());
     }
 }
@@ -123,7 +123,8 @@
 
     std::uint64_t varint();
 
-    /// @attention Throws bad_payload if the value does not fit into `Number`, instead of truncating
+    /// @attention Throws malformed_payload if the value does not fit into `Number`, instead of
+    /// truncating
     ///            it.
     template <class Number>
     void small(Number &value)
@@ -131,7 +132,7 @@
         const std::uint64_t wide = varint();
         value = static_cast<Number>(wide);
         if (static_cast<std::uint64_t>(value) != wide)
-            throw bad_payload("number out of range");
+            throw malformed_payload("number out of range");
     }
 
     void text(std::string &value, std::size_t maxBytes);
@@ -148,7 +149,7 @@
 
     std::size_t left() const { return source.left(); }
 
-    /// Throws bad_payload if bytes remain.
+    /// Throws malformed_payload if bytes remain.
     void finish() const;
 
 private:
--- a/src/peer/gossip_message.cpp
+++ b/src/peer/gossip_message.cpp
@@ -36,7 +36,7 @@
     if (age == 0)
         return {};
     if (age - 1 > static_cast<std::uint64_t>(maxAge.count()))
-        throw bad_payload("age out of range");
+        throw malformed_payload("age out of range");
     return now - milliseconds(age - 1);
 }
 
@@ -80,7 +80,7 @@
     std::uint8_t flags = 0;
     in.fixed(flags);
     if ((flags & ~(leavingFlag | deadFlag)) != 0)
-        throw bad_payload("unknown member flags");
+        throw malformed_payload("unknown member flags");
     record.isLeaving = (flags & leavingFlag) != 0;
     record.isDead = (flags & deadFlag) != 0;
 }
@@ -131,16 +131,16 @@
 {
     codec.fixed(message.purpose);
     if (message.purpose > gossip_purpose::Page)
-        throw bad_payload("unknown gossip purpose");
+        throw malformed_payload("unknown gossip purpose");
     codec.fixed(message.subject);
     codec.small(message.page);
     codec.small(base.version);
     codec.list(message.records, maxItems, minRecordBytes, [&base](auto &inner, auto &record) {
         recordFields(inner, record, base);
         if (!record.id.isValid() || record.incarnation == 0)
-            throw bad_payload("member record without id or incarnation");
+            throw malformed_payload("member record without id or incarnation");
         if (record.isDead && record.diedAt == mono_time{})
-            throw bad_payload("dead member without time of death");
+            throw malformed_payload("dead member without time of death");
     });
     codec.list(message.heartbeats, maxItems, minHeartbeatBytes, [&base](auto &inner, auto &known) {
         inner.fixed(known.handle);
--- a/src/peer/load_update.cpp
+++ b/src/peer/load_update.cpp
@@ -18,10 +18,10 @@
         each.fixed(item.runner);
         each.small(item.open);
         each.small(item.urgentPrefillMs);
-        each.small(item.lowPriorityPrefillMs);
+        each.small(item.latePrefillMs);
         each.fixed(item.prefilledTokens);
         each.small(item.urgentWaiting);
-        each.small(item.lowPriorityWaiting);
+        each.small(item.lateWaiting);
     });
     codec.list(update.cached, config::maxCachedPrefixes, minPrefixBytes,
                [](Codec &each, auto &item) {
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -108,7 +108,7 @@
     {
         codec.small(message.state);
         if (message.state > answer_state::Lost)
-            throw bad_payload("unknown answer state");
+            throw malformed_payload("unknown answer state");
         codec.fixed(message.status);
         codec.list(message.headers, config::maxWireHeaders, minPairBytes,
                    [](auto &inner, auto &header) {
@@ -169,7 +169,7 @@
         encoder out;
         layout<Message>::fields(out, message);
         return out.take();
-    } catch (const bad_payload &) {
+    } catch (const malformed_payload &) {
         return {};
     }
 }
@@ -185,7 +185,7 @@
         layout<Message>::fields(in, message);
         in.finish();
         return message;
-    } catch (const bad_payload &fault) {
+    } catch (const malformed_payload &fault) {
         return mayHaveRun(error_code::Broken, fault.what());
     } catch (const cereal::Exception &) {
         return mayHaveRun(error_code::Broken, "payload is truncated");
--- a/src/standin/engine_types.h
+++ b/src/standin/engine_types.h
@@ -118,7 +118,7 @@
     std::uint64_t preempted = 0;
     std::uint64_t staleOrdersRefused = 0;
     std::uint64_t staleOrdersObeyed = 0;
-    std::uint64_t ordersDuringChange = 0; ///< Orders obeyed before the previous change had ended.
+    std::uint64_t ordersDuringChange = 0; ///< Orders applied before the previous change had ended.
     std::uint64_t changes = 0; ///< Completed changes.
 };
 
--- a/tests/faults/outcome_counts.h
+++ b/tests/faults/outcome_counts.h
@@ -21,8 +21,8 @@
     std::uint64_t cut = 0;
     /// "Not run" answers to requests that an engine or a service had begun.
     std::uint64_t falseNotRun = 0;
-    /// Orders with an outdated fence that an engine obeyed, different requested states under the
-    /// same fence, and orders obeyed before the previous one was done.
+    /// Orders with an outdated fence that an engine applied, different requested states under the
+    /// same fence, and orders applied before the previous one was done.
     std::uint64_t staleOrders = 0;
 
     bool hasNoViolations() const { return doubled + cut + falseNotRun + staleOrders == 0; }
--- a/tests/gateway/crash_table_test.cpp
+++ b/tests/gateway/crash_table_test.cpp
@@ -227,7 +227,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, table.fingerprintAt(start));
         table.recordEnd(7, endOf(3));
         CPPUNIT_ASSERT(table.fingerprintAt(start) != 0);
-        CPPUNIT_ASSERT(table.fingerprintAt(start) >> config::quarantineMarkBits == 0);
+        CPPUNIT_ASSERT(table.fingerprintAt(start) >> config::quarantineFingerprintBits == 0);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
                              table.fingerprintAt(start + config::initialQuarantineTime.count()));
     }
--- a/tests/gateway/overload_test.cpp
+++ b/tests/gateway/overload_test.cpp
@@ -72,12 +72,11 @@
         const auto running = std::ranges::count_if(endsAt, [&](double e) { return e > nowMs; });
         runner_load seen;
         seen.urgentWaiting = static_cast<std::uint32_t>(urgent.size());
-        seen.lowPriorityWaiting = static_cast<std::uint32_t>(later.size());
-        seen.open =
-                static_cast<std::uint32_t>(running) + seen.urgentWaiting + seen.lowPriorityWaiting;
+        seen.lateWaiting = static_cast<std::uint32_t>(later.size());
+        seen.open = static_cast<std::uint32_t>(running) + seen.urgentWaiting + seen.lateWaiting;
         seen.urgentPrefillMs =
                 promptPrefillMs * seen.urgentWaiting + std::max(prefillsUntil - nowMs, 0.0);
-        seen.lowPriorityPrefillMs = promptPrefillMs * seen.lowPriorityWaiting;
+        seen.latePrefillMs = promptPrefillMs * seen.lateWaiting;
         seen.runMs = runMs;
         return seen;
     }
@@ -215,7 +214,7 @@
         query.promptTokens = 100000;
         CPPUNIT_ASSERT(prefillTimeMs(engine_stage::Decode, 100000, 0) > limitMs / 2);
         const auto found = choosePlacement(query, std::vector{idle});
-        CPPUNIT_ASSERT(std::get<placement>(found).urgency == send_class::Later);
+        CPPUNIT_ASSERT(std::get<placement>(found).urgency == send_class::Late);
     }
 };
 
--- a/tests/gateway/placement_test.cpp
+++ b/tests/gateway/placement_test.cpp
@@ -242,7 +242,7 @@
     void lateRequestsDoNotDelayOthers()
     {
         std::vector<placement_candidate> all{candidateOf("d", engine_stage::Decode)};
-        all[0].load.lowPriorityPrefillMs = 5000;
+        all[0].load.latePrefillMs = 5000;
         placement_query query = engineQuery();
         query.promptTokens = 3000;
         query.sharedTokens = 0;
@@ -250,7 +250,7 @@
         CPPUNIT_ASSERT(inTime.urgency == send_class::Urgent);
         all[0].load.urgentPrefillMs = 600;
         const auto late = std::get<placement>(choosePlacement(query, all));
-        CPPUNIT_ASSERT(late.urgency == send_class::Later);
+        CPPUNIT_ASSERT(late.urgency == send_class::Late);
         CPPUNIT_ASSERT(late.expectedStartMs > 5600);
     }
 
--- a/tests/gateway/runner_table_test.cpp
+++ b/tests/gateway/runner_table_test.cpp
@@ -119,12 +119,12 @@
         fixture other;
         const runner_table::open_send mine(test.table, {"a"}, 30, send_class::Urgent);
         const runner_table::open_send theirs(other.table, {"a"}, 50, send_class::Urgent);
-        const runner_table::open_send late(other.table, {"a"}, 70, send_class::Later);
+        const runner_table::open_send late(other.table, {"a"}, 70, send_class::Late);
         test.table.applyUpdate(1, other.table.collectUpdate(peer::update_recipients::SameZone));
         test.table.applyUpdate(1, other.table.collectUpdate(peer::update_recipients::SameZone));
         CPPUNIT_ASSERT_EQUAL(3U, test.candidateFor("a").load.open);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(80.0, test.candidateFor("a").load.urgentPrefillMs, 0.1);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(70.0, test.candidateFor("a").load.lowPriorityPrefillMs, 0.1);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(70.0, test.candidateFor("a").load.latePrefillMs, 0.1);
         test.table.applyUpdate(1, {});
         CPPUNIT_ASSERT_EQUAL(1U, test.candidateFor("a").load.open);
     }
@@ -135,12 +135,12 @@
         fixture other;
         runner_table::open_send running(test.table, {"a"}, 30, send_class::Urgent);
         running.recordStart();
-        const runner_table::open_send mine(test.table, {"a"}, 30, send_class::Later);
+        const runner_table::open_send mine(test.table, {"a"}, 30, send_class::Late);
         const runner_table::open_send theirs(other.table, {"a"}, 50, send_class::Urgent);
         test.table.applyUpdate(1, other.table.collectUpdate(peer::update_recipients::SameZone));
         CPPUNIT_ASSERT_EQUAL(3U, test.candidateFor("a").load.open);
         CPPUNIT_ASSERT_EQUAL(1U, test.candidateFor("a").load.urgentWaiting);
-        CPPUNIT_ASSERT_EQUAL(1U, test.candidateFor("a").load.lowPriorityWaiting);
+        CPPUNIT_ASSERT_EQUAL(1U, test.candidateFor("a").load.lateWaiting);
         test.table.applyUpdate(1, {});
         CPPUNIT_ASSERT_EQUAL(0U, test.candidateFor("a").load.urgentWaiting);
     }
--- a/tests/node/freshness_test.cpp
+++ b/tests/node/freshness_test.cpp
@@ -129,7 +129,7 @@
     {
         acknowledgements known;
         known.version = 9;
-        known.sinceAsked = std::chrono::hours(1);
+        known.sinceFirstQuery = std::chrono::hours(1);
         known.members = {memberOf("a", 9), memberOf("b", 9)};
         known.listed = {listedOf("a"), listedOf("b"), listedOf("c")};
         CPPUNIT_ASSERT(!isAppliedEverywhere(known));
@@ -150,13 +150,13 @@
     {
         acknowledgements known;
         known.version = 9;
-        known.sinceAsked = config::maxFreshAge;
+        known.sinceFirstQuery = config::maxFreshAge;
         known.members = {memberOf("a", 9)};
         known.departed = {{{"b"}, 8}};
         CPPUNIT_ASSERT(!isAppliedEverywhere(known));
-        known.sinceAsked = config::maxFreshAge + config::freshMargin + milliseconds(1);
+        known.sinceFirstQuery = config::maxFreshAge + config::freshMargin + milliseconds(1);
         CPPUNIT_ASSERT(isAppliedEverywhere(known));
-        known.sinceAsked = milliseconds(0);
+        known.sinceFirstQuery = milliseconds(0);
         known.departed = {{{"b"}, 9}};
         CPPUNIT_ASSERT(isAppliedEverywhere(known));
     }
--- a/tests/standin/engine_core_test.cpp
+++ b/tests/standin/engine_core_test.cpp
@@ -81,7 +81,7 @@
     }
 
     // The engine crashes halfway through a change. It returns as a new incarnation with its initial
-    // setup and must still refuse fencing numbers below the last one that it obeyed.
+    // setup and must still refuse fencing tokens below the last one that it applied.
     void crashDuringChangeKeepsTheFence()
     {
         auto options = optionsOf(100);
